--- a/crates/stairfront-balancer/src/cache_host.rs
+++ b/crates/stairfront-balancer/src/cache_host.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use stairfront_policy::interface::{Load, Note, Outcome};
+use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use stairfront_wire::budget::Budget;
 use stairfront_wire::part::Part;
 use stairfront_wire::resp::{put_bulk, put_number, PartReader, RespError, Value};
@@ -77,7 +77,7 @@
         };
         match verdict {
             Some(verdict) => (verdict, true),
-            None => (Verdict::bare(Outcome::Spoilt), false),
+            None => (Verdict::bare(Outcome::Malformed), false),
         }
     }
 
@@ -90,18 +90,20 @@
 fn cache_reply(items: Vec<Value>, report: &[String]) -> Option<Verdict> {
     let [value, note, load] = <[Value; 3]>::try_from(items).ok()?;
     let note = match note {
-        Value::Null => Note::None,
+        Value::Null => CacheStatus::None,
         Value::Bulk(word) => match &word[..] {
-            b"hit" => Note::Hit,
-            b"miss" => Note::Fetched,
-            b"pending" => Note::FetchPending,
-            other if other.len() <= LONGEST_NOTE && other.iter().all(u8::is_ascii_alphabetic) => Note::None,
+            b"hit" => CacheStatus::Hit,
+            b"miss" => CacheStatus::Fetched,
+            b"pending" => CacheStatus::FetchPending,
+            other if other.len() <= LONGEST_NOTE && other.iter().all(u8::is_ascii_alphabetic) => {
+                CacheStatus::None
+            }
             _ => return None,
         },
         _ => return None,
     };
     let load = match load {
-        Value::Null => Load::default(),
+        Value::Null => LoadReport::default(),
         Value::Bulk(text) => load_report(&text, report),
         _ => return None,
     };
@@ -119,7 +121,7 @@
     let forms = [(&b"BUSY"[..], Outcome::Full), (b"ERR failed", Outcome::Errored)];
     forms.into_iter().find_map(|(form, outcome)| {
         let load = match line.strip_prefix(form)? {
-            [] => Load::default(),
+            [] => LoadReport::default(),
             [b' ', text @ ..] if is_report(text, report) => load_report(text, report),
             _ => return None,
         };
--- a/crates/stairfront-balancer/src/caches.rs
+++ b/crates/stairfront-balancer/src/caches.rs
@@ -38,13 +38,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Endpoint {
+pub struct UpstreamTarget {
     pub address: SocketAddr,
     pub protocol: Protocol,
 }
 
 struct Host {
-    endpoint: Endpoint,
+    endpoint: UpstreamTarget,
     /// Raised when connections made so far are not to be used again.
     epoch: u64,
     /// Nothing new may be begun there. Shared with its connections' tasks, which look before the first byte.
@@ -54,7 +54,7 @@
 }
 
 impl Host {
-    fn at(endpoint: Endpoint) -> Self {
+    fn at(endpoint: UpstreamTarget) -> Self {
         Host { endpoint, epoch: 0, barred: Rc::default(), idle: Vec::new() }
     }
 }
@@ -139,7 +139,7 @@
     }
 
     /// Where a server is from now on. Connections to another address are not used again.
-    pub fn set(&mut self, cache: CacheId, endpoint: Endpoint) {
+    pub fn set(&mut self, cache: CacheId, endpoint: UpstreamTarget) {
         let host = self.hosts.entry(cache).or_insert(Host::at(endpoint));
         if host.endpoint != endpoint {
             host.endpoint = endpoint;
@@ -212,7 +212,7 @@
         self.waiting.retain(|job| {
             let stays = job.cache != cache;
             if !stays {
-                ends.extend([job.end(Verdict::bare(Outcome::Moot))]);
+                ends.extend([job.end(Verdict::bare(Outcome::NeverSent))]);
             }
             stays
         });
@@ -222,7 +222,7 @@
     pub fn dispatch(&mut self, job: Job) -> Option<AttemptEnd> {
         // Its request ended while it waited for a socket: none is opened for it.
         if !job.may_begin() {
-            return Some(job.end(Verdict::bare(Outcome::Moot)));
+            return Some(job.end(Verdict::bare(Outcome::NeverSent)));
         }
         let Some(host) = self.hosts.get_mut(&job.cache) else {
             return Some(job.end(Verdict::bare(Outcome::ConnectFailed)));
@@ -261,7 +261,7 @@
     /// server, and all of them would rest. It was never issued.
     pub fn give_up_waiting(&mut self, attempt: AttemptId) -> Option<AttemptEnd> {
         let i = self.waiting.iter().position(|job| job.attempt == attempt)?;
-        self.waiting.remove(i).map(|job| job.end(Verdict::bare(Outcome::Moot)))
+        self.waiting.remove(i).map(|job| job.end(Verdict::bare(Outcome::NeverSent)))
     }
 
     /// Books what a connection tells; ends of attempts go into `ends`.
--- a/crates/stairfront-balancer/src/connection.rs
+++ b/crates/stairfront-balancer/src/connection.rs
@@ -78,7 +78,7 @@
         let mut wire = match self.connect::<S>(&mut job).await {
             Ok(wire) => wire,
             Err(outcome) => {
-                let outcome = if job.has_lapsed() { Outcome::Moot } else { outcome };
+                let outcome = if job.has_lapsed() { Outcome::NeverSent } else { outcome };
                 return self.closed(Some(job.end(Verdict::bare(outcome))), None).await;
             }
         };
@@ -86,14 +86,14 @@
             if self.barred.get() {
                 // The socket goes first, as always; not a byte of the attempt was written.
                 drop(wire);
-                return self.closed(Some(job.end(Verdict::bare(Outcome::Moot))), None).await;
+                return self.closed(Some(job.end(Verdict::bare(Outcome::NeverSent))), None).await;
             }
             // The server may count from here at the earliest: its answer, or this loop, may have been late.
             let used = Instant::now();
             let exchanged = match job.may_begin() {
                 true => exchange(&mut wire, &mut job, &self.common.report).await,
                 // Nothing was written: the connection is as good as it was.
-                false => Exchanged::Over(Verdict::bare(Outcome::Moot), true),
+                false => Exchanged::Over(Verdict::bare(Outcome::NeverSent), true),
             };
             let (end, reusable) = match exchanged {
                 Exchanged::Over(verdict, reusable) => (Some(job.end(verdict)), reusable),
@@ -293,11 +293,11 @@
             }
             // No reader yields these first.
             Some(Ok(Part::Piece(_) | Part::Done(_))) => {
-                Exchanged::Over(Verdict::bare(Outcome::Spoilt), false)
+                Exchanged::Over(Verdict::bare(Outcome::Malformed), false)
             }
             Some(Err(problem)) => {
                 debug!("reply not read: {problem}");
-                let outcome = if S::is_malformed(&problem) { Outcome::Spoilt } else { Outcome::Reset };
+                let outcome = if S::is_malformed(&problem) { Outcome::Malformed } else { Outcome::Reset };
                 Exchanged::Over(Verdict::bare(outcome), false)
             }
             None => Exchanged::Over(Verdict::bare(Outcome::Reset), false),
--- a/crates/stairfront-balancer/src/counters.rs
+++ b/crates/stairfront-balancer/src/counters.rs
@@ -85,7 +85,7 @@
     pub fn ended(&self, outcome: Outcome) {
         match outcome {
             // Nothing was asked of it, or its answer was not waited for.
-            Outcome::Moot | Outcome::Cancelled => return,
+            Outcome::NeverSent | Outcome::Cancelled => return,
             Outcome::Served | Outcome::Miss => {}
             _ => self.unserved.add(),
         }
@@ -123,9 +123,9 @@
             Outcome::TimedOut => &self.attempts_timed_out,
             Outcome::ConnectFailed => &self.attempts_connect_failed,
             Outcome::Reset => &self.attempts_reset,
-            Outcome::Spoilt => &self.attempts_spoilt,
+            Outcome::Malformed => &self.attempts_spoilt,
             Outcome::Cancelled => &self.attempts_cancelled,
-            Outcome::Moot => &self.attempts_moot,
+            Outcome::NeverSent => &self.attempts_moot,
         }
         .add();
     }
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -10,15 +10,15 @@
 use stairfront_operations::{Done, HostRegistry, Order, Word};
 use stairfront_overload::Door;
 use stairfront_policy::interface::{
-    Action, CacheId, CacheMode, Event, ListNews, Load, Member, MemberState, Micros, Outcome, RequestId,
-    Settings, MS,
+    Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport, Micros,
+    Outcome, RequestId, Settings, MS,
 };
 use stairfront_settings::{Retuned, Start};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::time::DelayQueue;
 use tracing::{debug, info, warn};
 
-use crate::caches::{Endpoint, Pool, Protocol};
+use crate::caches::{Pool, Protocol, UpstreamTarget};
 use crate::clock::{duration, Clock};
 use crate::cordon_record::CordonRecord;
 use crate::counters::{Counters, OriginUse};
@@ -77,7 +77,7 @@
     /// How long this process may live once it has been told to end.
     life_left: Micros,
     /// What each server of the list was last said to be.
-    servers: FxHashMap<CacheId, Member>,
+    servers: FxHashMap<CacheId, Endpoint>,
     /// Names of the cache hosts in the list, where there is a group to tell.
     names: FxHashMap<CacheId, String>,
     /// Every cache host ever listed, and who is taken out.
@@ -111,7 +111,7 @@
         held.into_iter().flatten().for_each(|name| registry.hold(cache_id(&name), &name));
         let Start { mut settings, host, .. } = start;
         // The agent is watched at no cost from the start, whatever the simulator's discovery would ask for.
-        settings.discovery = stairfront_policy::interface::Discovery::Push;
+        settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
         Engine {
             clock,
             table: Table::new(host.open_requests, memory),
@@ -121,8 +121,8 @@
             door,
             ready,
             mode: settings.mode,
-            most_attempts: settings.limits.most_attempts,
-            dropped_stay_open: settings.rules.dropped_stay_open,
+            most_attempts: settings.limits.max_attempts,
+            dropped_stay_open: settings.rules.removal_is_advisory,
             dropped: VecDeque::new(),
             life_left: life_left(&settings),
             servers: FxHashMap::default(),
@@ -203,7 +203,7 @@
             Input::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
             Input::Ending => {
                 let by = self.clock.now() + self.life_left;
-                self.tell(Event::Ending { by });
+                self.tell(Event::ShuttingDown { by });
             }
             Input::TakeAll => {
                 self.pool.take_all(&mut self.ends);
@@ -230,15 +230,15 @@
         let Retuned { start: Start { settings, host, .. }, tenants, .. } = retuned;
         let mut settings = settings.clone();
         // The agent is watched at no cost, as at the start.
-        settings.discovery = stairfront_policy::interface::Discovery::Push;
-        self.most_attempts = settings.limits.most_attempts;
+        settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
+        self.most_attempts = settings.limits.max_attempts;
         self.life_left = life_left(&settings);
-        self.dropped_stay_open = settings.rules.dropped_stay_open;
+        self.dropped_stay_open = settings.rules.removal_is_advisory;
         self.table.set_most(host.open_requests);
         let stall = stall_limit(&settings);
         self.pool.retune(duration(settings.limits.connect_timeout), duration(host.idle), stall);
         self.door.borrow_mut().retune(&door_settings(&settings, 0));
-        self.tell(Event::Retuned { settings: &settings, tenants });
+        self.tell(Event::SettingsChanged { settings: &settings, tenants });
         *self.terms.borrow_mut() = Terms::retuned(self.clock.now(), retuned);
     }
 
@@ -319,7 +319,7 @@
     /// Has the pool hold back from a server that may get nothing new: what waits for a socket or a connection ends,
     /// and idle connections close. What is under way goes on.
     fn bar(&mut self, cache: CacheId) {
-        let listed = self.servers.get(&cache).is_some_and(|member| member.state == MemberState::Ready);
+        let listed = self.servers.get(&cache).is_some_and(|member| member.state == EndpointState::Ready);
         let barred = !listed || self.registry.is_cordoned(cache) || self.hearsay.contains(&cache);
         self.pool.bar(cache, barred);
         if barred {
@@ -335,16 +335,16 @@
             return;
         };
         let changed = if stop { self.hearsay.insert(cache) } else { self.hearsay.remove(&cache) };
-        if changed && own.state == MemberState::Ready {
-            let state = if stop { MemberState::Draining } else { own.state };
-            self.tell(Event::List(ListNews::Delta(&[Member { state, ..own }])));
+        if changed && own.state == EndpointState::Ready {
+            let state = if stop { EndpointState::Draining } else { own.state };
+            self.tell(Event::EndpointList(EndpointListUpdate::Delta(&[Endpoint { state, ..own }])));
             self.bar(cache);
         }
     }
 
     /// Which cache hosts leave by a list, among those that were in use.
     fn leaving_in(&self, list: &ServerList) -> Told {
-        let said = |line: &&Line| line.member.state != MemberState::Ready;
+        let said = |line: &&Line| line.member.state != EndpointState::Ready;
         let mut leaving: Vec<String> = list.lines.iter().filter(said).map(|line| line.name.clone()).collect();
         if list.full {
             let listed = |name: &str| list.lines.iter().any(|line| line.name == name);
@@ -352,7 +352,7 @@
         }
         // Those that leave now, not those that have been leaving.
         let in_use = |name: &String| {
-            self.servers.get(&cache_id(name)).is_some_and(|member| member.state == MemberState::Ready)
+            self.servers.get(&cache_id(name)).is_some_and(|member| member.state == EndpointState::Ready)
         };
         leaving.retain(in_use);
         Told { index: list.index, hosts: 0, leaving }
@@ -362,7 +362,7 @@
         self.servers.values().filter(|member| !self.is_origin(member)).count()
     }
 
-    fn is_origin(&self, member: &Member) -> bool {
+    fn is_origin(&self, member: &Endpoint) -> bool {
         matches!(self.mode, CacheMode::Aside { origin } if origin == member.kind)
     }
 
@@ -397,7 +397,7 @@
         let answer = self.table.open.get_mut(&id).and_then(Open::end);
         if answer.is_some() {
             self.counters.client_gone.add();
-            self.tell(Event::ClientGone { id });
+            self.tell(Event::ClientDisconnected { id });
             self.table.book(id);
         }
     }
@@ -414,13 +414,13 @@
             self.log_attempt(&end);
             let open = self.is_open(id);
             let settled = self.table.relay(&mut end);
-            if open && settled.closed {
+            if open && settled.request_finished {
                 self.counters.served.add();
             }
             if let Some(sending) = self.table.send_deferred(id) {
                 self.carry(sending);
             }
-            self.tell(Event::Settled(settled));
+            self.tell(Event::AttemptFinished(settled));
             self.table.book(id);
         }
     }
@@ -453,8 +453,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, cache, timeout, lapses } => self.send(id, cache, timeout, lapses),
-            Action::Refuse { id, retry_after } => {
+            Action::Send { id, cache, timeout, send_within } => self.send(id, cache, timeout, send_within),
+            Action::Reject { id, retry_after } => {
                 let after_ms = u64::try_from(retry_after / MS).ok().filter(|ms| *ms > 0);
                 if self.table.answer(id, Answer::Busy { after_ms }) {
                     self.counters.refused.add();
@@ -474,12 +474,12 @@
             Action::Disconnect { cache } => self.pool.close_idle(cache),
             Action::Log(text) => info!("{text}"),
             // Probes answer as not made, so that a module that tries them learns nothing wrong.
-            Action::Probe { cache } => {
-                let (outcome, load) = (Outcome::Moot, Load::default());
-                self.tell(Event::Probed { cache, outcome, elapsed: 0, load });
+            Action::HealthCheck { cache } => {
+                let (outcome, load) = (Outcome::NeverSent, LoadReport::default());
+                self.tell(Event::HealthChecked { cache, outcome, elapsed: 0, load });
             }
             // Balancers share nothing here, and the watch on discovery's agent never ends.
-            Action::Tell { .. } | Action::Subscribe(_) | Action::FetchList => {}
+            Action::SendToPeer { .. } | Action::Watch(_) | Action::PollList => {}
         }
     }
 
@@ -513,7 +513,7 @@
 
     /// Passes a list on: to the pool the addresses, to the module the members.
     fn learn(&mut self, list: ServerList, cached: bool) {
-        let mut members: Vec<Member> = list.lines.iter().map(|line| line.member).collect();
+        let mut members: Vec<Endpoint> = list.lines.iter().map(|line| line.member).collect();
         if list.full {
             let listed = |id: &CacheId| members.iter().any(|member| member.id == *id);
             let left: Vec<CacheId> = self.servers.keys().copied().filter(|id| !listed(id)).collect();
@@ -521,28 +521,29 @@
         }
         list.lines.iter().for_each(|line| self.place(line));
         // Danger: a list that is older than what was heard would have the host used again.
-        let heard =
-            |member: &&mut Member| member.state == MemberState::Ready && self.hearsay.contains(&member.id);
-        members.iter_mut().filter(heard).for_each(|member| member.state = MemberState::Draining);
+        let heard = |member: &&mut Endpoint| {
+            member.state == EndpointState::Ready && self.hearsay.contains(&member.id)
+        };
+        members.iter_mut().filter(heard).for_each(|member| member.state = EndpointState::Draining);
         // With any list it can serve, an old one too: a restart that waited for discovery would serve nobody.
         if !self.servers.is_empty() {
             self.ready.send_replace(true);
         }
-        self.tell(Event::List(match (cached, list.full) {
-            (true, _) => ListNews::Cached(&members),
-            (false, true) => ListNews::Full(&members),
-            (false, false) => ListNews::Delta(&members),
+        self.tell(Event::EndpointList(match (cached, list.full) {
+            (true, _) => EndpointListUpdate::Cached(&members),
+            (false, true) => EndpointListUpdate::Full(&members),
+            (false, false) => EndpointListUpdate::Delta(&members),
         }));
     }
 
     fn place(&mut self, line: &Line) {
         let member = line.member;
-        if member.state == MemberState::Gone {
+        if member.state == EndpointState::Removed {
             return self.delist(member.id);
         }
         let origin = self.is_origin(&member);
         let protocol = if origin { Protocol::Http } else { Protocol::Resp };
-        self.pool.set(member.id, Endpoint { address: line.address, protocol });
+        self.pool.set(member.id, UpstreamTarget { address: line.address, protocol });
         let before = self.servers.insert(member.id, member);
         self.dropped.retain(|other| *other != member.id);
         if before.is_none() {
@@ -556,7 +557,7 @@
             }
         }
         // A process that has started anew knows nothing of connections made before.
-        if before.is_some_and(|before| before.born != member.born) {
+        if before.is_some_and(|before| before.incarnation != member.incarnation) {
             self.pool.close_idle(member.id);
         }
         self.bar(member.id);
@@ -565,7 +566,7 @@
     /// A list lacks a server or calls it gone. Where that alone does not bind the module goes by the server's own outcomes, and
     /// may go on sending: its address stays.
     fn delist(&mut self, id: CacheId) {
-        let stays = |member: &Member| member.state == MemberState::Ready;
+        let stays = |member: &Endpoint| member.state == EndpointState::Ready;
         if !self.dropped_stay_open || !self.servers.get(&id).is_some_and(stays) {
             return self.forget(id);
         }
--- a/crates/stairfront-balancer/src/heartbeat.rs
+++ b/crates/stairfront-balancer/src/heartbeat.rs
@@ -28,11 +28,11 @@
 
 /// What the settings say to the door; a door that is there keeps its seed.
 pub fn door_settings(set: &Settings, seed: u64) -> DoorSettings {
-    let aim = set.classes.iter().map(|class| class.aim).min().unwrap_or(MOST_TARGET * AIM_PART);
+    let aim = set.classes.iter().map(|class| class.latency_objective).min().unwrap_or(MOST_TARGET * AIM_PART);
     DoorSettings {
         target: (aim / AIM_PART).clamp(LEAST_TARGET, MOST_TARGET),
         quotas: set.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
-        worths: set.classes.iter().map(|class| class.worth).collect(),
+        worths: set.classes.iter().map(|class| class.priority_weight).collect(),
         most_advice_ms: set.limits.max_retry_after as f64 / MS as f64,
         seed,
     }
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -11,7 +11,7 @@
 };
 use stairfront_members::{Members, State};
 use stairfront_operations::{Done, Order, Word};
-use stairfront_policy::interface::MemberState;
+use stairfront_policy::interface::EndpointState;
 use stairfront_voters::{Status, Voters};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, JoinHandle};
@@ -344,8 +344,8 @@
             name: name.clone(),
             zone: zone(usize::from(member.zone.0)),
             group: member.cell.0,
-            up: member.state == MemberState::Ready,
-            born_ms: u64::try_from(member.born).unwrap_or(0) / 1000,
+            up: member.state == EndpointState::Ready,
+            born_ms: u64::try_from(member.incarnation).unwrap_or(0) / 1000,
         });
         let mut hosts: Vec<Host> = hosts.collect();
         hosts.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stairfront_policy::interface::{CacheId, Load, Member, Micros, Note, Outcome, Request, RequestId};
+use stairfront_policy::interface::{
+    CacheId, CacheStatus, Endpoint, LoadReport, Micros, Outcome, Request, RequestId,
+};
 use stairfront_settings::Retuned;
 use stairfront_wire::budget::Claim;
 use stairfront_wire::part::LARGEST_WHOLE;
@@ -128,15 +130,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     pub outcome: Outcome,
-    pub note: Note,
-    pub load: Load,
+    pub note: CacheStatus,
+    pub load: LoadReport,
     /// Present if and only if served; a large one follows the end of its attempt in pieces.
     pub value: Option<Bytes>,
 }
 
 impl Verdict {
     pub fn bare(outcome: Outcome) -> Self {
-        Verdict { outcome, note: Note::None, load: Load::default(), value: None }
+        Verdict { outcome, note: CacheStatus::None, load: LoadReport::default(), value: None }
     }
 }
 
@@ -244,7 +246,7 @@
     /// A successor asks what this process knows; from then on it keeps a part of the descriptors alone.
     Snapshot(oneshot::Sender<Snapshot>),
     /// Whoever keeps the plans asks for the cache hosts that are listed.
-    Hosts(oneshot::Sender<Vec<(String, Member)>>),
+    Hosts(oneshot::Sender<Vec<(String, Endpoint)>>),
     /// Other settings, all at once.
     Retune(Box<Retuned>),
     /// There is no other process of this balancer any more.
--- a/crates/stairfront-balancer/src/origin.rs
+++ b/crates/stairfront-balancer/src/origin.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use stairfront_policy::interface::{Load, Note, Outcome};
+use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use stairfront_wire::budget::Budget;
 use stairfront_wire::http::{Body, HttpCodec, HttpError, Request, Response};
 use stairfront_wire::part::Part;
@@ -85,11 +85,11 @@
             503 | 504 if reply.not_started => Outcome::Full,
             500..=599 => Outcome::Errored,
             // Not a word of the origin's: what it meant is not known.
-            _ => return (Verdict::bare(Outcome::Spoilt), false),
+            _ => return (Verdict::bare(Outcome::Malformed), false),
         };
-        let load = reply.load.map_or(Load::default(), |text| load_report(&text, report));
+        let load = reply.load.map_or(LoadReport::default(), |text| load_report(&text, report));
         let value = (outcome == Outcome::Served).then_some(reply.body);
-        (Verdict { outcome, note: Note::None, load, value }, !reply.last)
+        (Verdict { outcome, note: CacheStatus::None, load, value }, !reply.last)
     }
 
     fn is_malformed(error: &HttpError) -> bool {
--- a/crates/stairfront-balancer/src/server_list.rs
+++ b/crates/stairfront-balancer/src/server_list.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use serde::Deserialize;
-use stairfront_policy::interface::{CacheId, Cell, Kind, Member, MemberState, Micros, Zone, MS};
+use stairfront_policy::interface::{CacheId, Cell, Endpoint, EndpointState, Kind, Micros, Zone, MS};
 use stairfront_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
     pub name: String,
-    pub member: Member,
+    pub member: Endpoint,
     pub address: SocketAddr,
 }
 
@@ -84,9 +84,9 @@
     fn read(self, names: &Names) -> Result<Line, ListError> {
         let RawEndpoint { name, address, status, since_ms, .. } = self;
         let state = match status.as_str() {
-            "SERVING" => MemberState::Ready,
-            "DRAINING" => MemberState::Draining,
-            "DELETED" => MemberState::Gone,
+            "SERVING" => EndpointState::Ready,
+            "DRAINING" => EndpointState::Draining,
+            "DELETED" => EndpointState::Removed,
             _ => return Err(ListError::Status { name, status }),
         };
         let Ok(address) = address.parse::<SocketAddr>() else {
@@ -98,10 +98,10 @@
         }
         let zone = position(&names.zones, &self.zone).and_then(|i| u8::try_from(i).ok());
         let kind = position(&names.kinds, &self.kind).and_then(|i| u16::try_from(i).ok());
-        let member = Member {
+        let member = Endpoint {
             id: cache_id(&name),
             state,
-            born: (since_ms * MS as f64) as Micros,
+            incarnation: (since_ms * MS as f64) as Micros,
             zone: Zone(zone.unwrap_or(u8::MAX)),
             cell: Cell(self.group),
             kind: Kind(kind.unwrap_or(u16::MAX)),
--- a/crates/stairfront-balancer/src/stages/relay.rs
+++ b/crates/stairfront-balancer/src/stages/relay.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use stairfront_policy::interface::{RequestId, Settled};
+use stairfront_policy::interface::{AttemptResult, RequestId};
 
 use crate::clock::micros;
 use crate::messages::{Answer, AttemptEnd, Given, Rest};
@@ -26,7 +26,7 @@
     }
 
     /// What the decision module hears; the first value goes to the client and ends the request.
-    pub fn relay(&mut self, end: &mut AttemptEnd) -> Settled {
+    pub fn relay(&mut self, end: &mut AttemptEnd) -> AttemptResult {
         let id = end.attempt.request;
         if let Some(open) = self.open.get_mut(&id) {
             open.out.retain(|out| out.number != end.attempt.number);
@@ -38,14 +38,14 @@
             // Where nobody waits for it any more, its connection sees that and ends.
             self.answer(id, Given { pieces: Some(pieces), ..Given::from(Answer::Large(length)) });
         }
-        Settled {
+        AttemptResult {
             id,
             attempt: end.attempt.number,
             cache: end.cache,
             outcome: end.verdict.outcome,
-            closed: self.open.get(&id).is_none_or(|open| open.answer.is_none()),
+            request_finished: self.open.get(&id).is_none_or(|open| open.answer.is_none()),
             elapsed: micros(end.begun.elapsed()),
-            note: end.verdict.note,
+            cache_status: end.verdict.note,
             load: end.verdict.load,
         }
     }
--- a/crates/stairfront-balancer/src/stages/send.rs
+++ b/crates/stairfront-balancer/src/stages/send.rs
@@ -84,5 +84,11 @@
 }
 
 fn moot(attempt: AttemptId, cache: CacheId) -> AttemptEnd {
-    AttemptEnd { attempt, cache, begun: Instant::now(), verdict: Verdict::bare(Outcome::Moot), rest: None }
+    AttemptEnd {
+        attempt,
+        cache,
+        begun: Instant::now(),
+        verdict: Verdict::bare(Outcome::NeverSent),
+        rest: None,
+    }
 }
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -151,9 +151,9 @@
         tenant,
         key: Some(Key(xxh3_64(&command.key))),
         // No client waits longer than its class allows, whatever it says.
-        expires: now + wait.unwrap_or(rules.deadline).min(rules.deadline),
+        expires_at: now + wait.unwrap_or(rules.deadline).min(rules.deadline),
         write: command.verb == Verb::Set,
-        repeat,
+        retry: repeat,
     })
 }
 
--- a/crates/stairfront-balancer/tests/departures.rs
+++ b/crates/stairfront-balancer/tests/departures.rs
@@ -105,9 +105,11 @@
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Request(_) => self.1.borrow_mut().push("request"),
-            Event::ClientGone { .. } => self.1.borrow_mut().push("client gone"),
-            Event::Settled(settled) if settled.closed => self.1.borrow_mut().push("settled, over"),
-            Event::Settled(_) => self.1.borrow_mut().push("settled, open"),
+            Event::ClientDisconnected { .. } => self.1.borrow_mut().push("client gone"),
+            Event::AttemptFinished(settled) if settled.request_finished => {
+                self.1.borrow_mut().push("settled, over")
+            }
+            Event::AttemptFinished(_) => self.1.borrow_mut().push("settled, open"),
             _ => {}
         }
         self.0.handle(now, event, actions);
@@ -149,7 +151,7 @@
         let (answer, receiver) = oneshot::channel::<Given>();
         let (id, class, tenant, key) = (RequestId(7), ClassId(0), TenantId(0), Some(Key(1)));
         let expires = clock.now() + SECOND;
-        let request = Request { id, class, tenant, key, expires, write: false, repeat: false };
+        let request = Request { id, class, tenant, key, expires_at: expires, write: false, retry: false };
         let word = Bytes::from_static(b"w");
         let command =
             Command { verb: Verb::Get, key: word.clone(), id: word.clone(), info: word, value: None };
--- a/crates/stairfront-balancer/tests/discovery.rs
+++ b/crates/stairfront-balancer/tests/discovery.rs
@@ -9,7 +9,7 @@
 use stairfront_balancer::messages::Input;
 use stairfront_balancer::server_list::{cache_id, RawList};
 use stairfront_balancer::transport::Tcp;
-use stairfront_policy::interface::{Cell, Kind, MemberState, Zone};
+use stairfront_policy::interface::{Cell, EndpointState, Kind, Zone};
 use stairfront_settings::Names;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::spawn_local;
@@ -180,8 +180,8 @@
     let (one, two) = (list.lines[0].member, list.lines[1].member);
     assert_eq!(one.id, cache_id("s-1"));
     assert_eq!((one.zone, one.kind, one.cell), (Zone(1), Kind(1), Cell(3)));
-    assert_eq!((one.state, one.born, one.size), (MemberState::Draining, 1_700_000_000_123_000, 2.0));
-    assert_eq!((two.state, two.born), (MemberState::Ready, 0));
+    assert_eq!((one.state, one.incarnation, one.size), (EndpointState::Draining, 1_700_000_000_123_000, 2.0));
+    assert_eq!((two.state, two.incarnation), (EndpointState::Ready, 0));
     assert_ne!(two.id, one.id);
     assert_eq!((two.zone, two.kind), (Zone(u8::MAX), Kind(u16::MAX)));
 }
--- a/crates/stairfront-balancer/tests/pool.rs
+++ b/crates/stairfront-balancer/tests/pool.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use common::{cache, commands, count, hit, ms, run, Log, Seen, Step};
-use stairfront_balancer::caches::{Endpoint, Pool, PoolLimits, Protocol};
+use stairfront_balancer::caches::{Pool, PoolLimits, Protocol, UpstreamTarget};
 use stairfront_balancer::limits::Memory;
 use stairfront_balancer::messages::{AttemptEnd, AttemptId, Command, Input, Job, PoolNews, Verb};
 use stairfront_balancer::transport::{Network, Tcp};
@@ -80,7 +80,7 @@
         memory: Memory::of(64),
     };
     let mut pool = Pool::new(network, limits, Vec::new(), inbox, Rc::default());
-    pool.set(CACHE, Endpoint { address, protocol: Protocol::Resp });
+    pool.set(CACHE, UpstreamTarget { address, protocol: Protocol::Resp });
     (pool, inputs)
 }
 
@@ -97,7 +97,7 @@
         let over = Rc::clone(&first.over);
         assert!(pool.dispatch(first).is_none());
         over.set(true);
-        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::Moot);
+        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::NeverSent);
         // It lies before the task of the idle connection, and is cancelled; another waits for the socket meanwhile.
         let ((second, cancel), (third, _kept), (fourth, _kept_too)) = (job(2), job(3), job(4));
         let over = Rc::clone(&third.over);
@@ -107,7 +107,7 @@
         cancel.send(()).unwrap();
         over.set(true);
         let ended = ends(&mut pool, &mut inputs).await;
-        assert_eq!(ended.iter().map(|end| end.verdict.outcome).collect::<Vec<_>>(), [Outcome::Moot; 2]);
+        assert_eq!(ended.iter().map(|end| end.verdict.outcome).collect::<Vec<_>>(), [Outcome::NeverSent; 2]);
         assert_eq!(commands(&log, "cache").len(), 0, "nothing was asked for");
         assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::Served);
         assert_eq!(count(&log, &Seen::Opened("cache")), 1, "one connection was enough");
@@ -124,7 +124,7 @@
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         pool.bar(CACHE, true);
-        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::Moot);
+        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::NeverSent);
         // Free again, it is served, and its connection stands idle.
         pool.bar(CACHE, false);
         let (second, _kept) = job(2);
@@ -134,7 +134,7 @@
         let (third, _kept) = job(3);
         assert!(pool.dispatch(third).is_none());
         pool.bar(CACHE, true);
-        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::Moot);
+        assert_eq!(end(&mut pool, &mut inputs).await.verdict.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 1, "only the one that was allowed");
         tokio::time::sleep(ms(20)).await;
         assert_eq!(count(&log, &Seen::Ended("cache")), count(&log, &Seen::Opened("cache")));
@@ -178,7 +178,7 @@
         never.lapses = Some(Instant::now() + ms(50));
         assert!(pool.dispatch(never).is_none());
         let ended = end(&mut pool, &mut inputs).await;
-        assert_eq!(ended.verdict.outcome, Outcome::Moot, "no fault of the server's");
+        assert_eq!(ended.verdict.outcome, Outcome::NeverSent, "no fault of the server's");
         let (mut first, _kept) = job(1);
         first.lapses = Some(Instant::now() + ms(100));
         let second = job(2);
@@ -187,7 +187,7 @@
         std::thread::sleep(ms(120));
         open.send_replace(true);
         let ended = end(&mut pool, &mut inputs).await;
-        assert_eq!(ended.verdict.outcome, Outcome::Moot);
+        assert_eq!(ended.verdict.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 0);
         // One that lies before an idle connection, and one that waits for a socket, likewise.
         let (mut third, _kept) = job(3);
@@ -199,7 +199,7 @@
         while outcomes.len() < 2 {
             outcomes.extend(ends(&mut pool, &mut inputs).await.iter().map(|end| end.verdict.outcome));
         }
-        assert!(outcomes.contains(&Outcome::Moot), "{outcomes:?}");
+        assert!(outcomes.contains(&Outcome::NeverSent), "{outcomes:?}");
         assert_eq!(commands(&log, "cache").len(), 1, "only the one without a window");
     });
 }
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -13,7 +13,7 @@
 use stairfront_balancer::stages::take_in::{take_in, Intake, Taken};
 use stairfront_balancer::terms::Terms;
 use stairfront_policy::interface::{
-    CacheId, Class, ClassId, Limits, Outcome, Request, RequestId, Semantics, Settings, TenantId, MS,
+    CacheId, Class, ClassId, Idempotency, Limits, Outcome, Request, RequestId, Settings, TenantId, MS,
 };
 use stairfront_settings::{HostLimits, Names, Start};
 use tokio::sync::{oneshot, watch};
@@ -33,9 +33,9 @@
         class: ClassId(0),
         tenant: TenantId(0),
         key: None,
-        expires: 0,
+        expires_at: 0,
         write: false,
-        repeat: false,
+        retry: false,
     };
     (Arrival { request, came: 0, command, room: None, answer, over: Rc::default() }, receiver)
 }
@@ -96,7 +96,7 @@
     let refused = loop {
         let mut receiver = admitted(&mut table, id);
         let _job = sent(&mut table, id);
-        assert!(table.relay(&mut large(id)).closed);
+        assert!(table.relay(&mut large(id)).request_finished);
         let given = receiver.try_recv().unwrap();
         if given.answer == Answer::Failed {
             break id;
@@ -117,15 +117,15 @@
     let mut table = Table::new(10, Memory::of(64));
     let mut receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
-    assert!(!table.relay(&mut end(1, 0, Outcome::Miss)).closed);
+    assert!(!table.relay(&mut end(1, 0, Outcome::Miss)).request_finished);
     let _job = sent(&mut table, 1);
     let settled = table.relay(&mut end(1, 1, Outcome::Served));
-    assert_eq!((settled.closed, settled.attempt), (true, 1));
+    assert_eq!((settled.request_finished, settled.attempt), (true, 1));
     assert_eq!(receiver.try_recv().unwrap().answer, Answer::Value(Bytes::from_static(b"v")));
     assert!(!table.answer(RequestId(1), Answer::Failed), "one final answer");
     table.book(RequestId(1));
     assert!(table.open.is_empty());
-    assert!(table.relay(&mut end(1, 2, Outcome::Served)).closed);
+    assert!(table.relay(&mut end(1, 2, Outcome::Served)).request_finished);
 }
 
 #[test]
@@ -137,10 +137,10 @@
     table.book(RequestId(1));
     assert_eq!(table.open.len(), 1);
     match table.send(RequestId(1), CACHE, 500 * MS, None) {
-        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::Moot),
+        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
         _ => panic!("sent after the answer"),
     }
-    assert!(table.relay(&mut end(1, 0, Outcome::TimedOut)).closed);
+    assert!(table.relay(&mut end(1, 0, Outcome::TimedOut)).request_finished);
     table.book(RequestId(1));
     assert!(table.open.is_empty());
 }
@@ -155,7 +155,7 @@
     }
     for id in [1, 7] {
         let sending = table.send(RequestId(id), CACHE, 500 * MS, None);
-        assert!(matches!(sending, Sending::Ended(end) if end.verdict.outcome == Outcome::Moot));
+        assert!(matches!(sending, Sending::Ended(end) if end.verdict.outcome == Outcome::NeverSent));
     }
 }
 
@@ -169,7 +169,7 @@
     assert!(first.cancel.try_recv().is_ok(), "its connection is told to end");
     assert!(matches!(table.send(RequestId(1), CACHE, 500 * MS, None), Sending::Deferred));
     assert!(table.send_deferred(RequestId(1)).is_none(), "it is still out");
-    assert!(!table.relay(&mut end(1, 0, Outcome::Cancelled)).closed);
+    assert!(!table.relay(&mut end(1, 0, Outcome::Cancelled)).request_finished);
     match table.send_deferred(RequestId(1)) {
         Some(Sending::Job(job)) => assert_eq!(job.attempt.number, 1),
         _ => panic!("not sent"),
@@ -187,7 +187,7 @@
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     match table.send_deferred(RequestId(1)) {
         Some(Sending::Ended(end)) => {
-            assert_eq!((end.attempt.number, end.verdict.outcome), (1, Outcome::Moot))
+            assert_eq!((end.attempt.number, end.verdict.outcome), (1, Outcome::NeverSent))
         }
         _ => panic!("sent after the answer"),
     }
@@ -241,11 +241,11 @@
     let clock = Clock::starting_at(0);
     let settings = Settings {
         classes: vec![Class {
-            semantics: Semantics::Free,
-            aim: 250 * MS,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 250 * MS,
             deadline: 1500 * MS,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
             stream: false,
         }],
         limits: Limits { max_retry_after: 1500 * MS, ..Limits::default() },
@@ -305,7 +305,7 @@
     over.set(true);
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     let moot = |sending: Sending| match sending {
-        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::Moot),
+        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
         _ => panic!("sent on"),
     };
     moot(table.send_deferred(RequestId(1)).expect("its turn has come"));
--- a/crates/stairfront-baselines/src/lib.rs
+++ b/crates/stairfront-baselines/src/lib.rs
@@ -6,8 +6,8 @@
 use rustc_hash::FxHashMap;
 use stairfront_balancer::stages::route::Decide;
 use stairfront_policy::interface::{
-    Action, CacheId, CacheMode, Event, ListNews, Member, MemberState, Micros, Outcome, Request, RequestId,
-    Semantics, Settings, Settled, MS,
+    Action, AttemptResult, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event,
+    Idempotency, Micros, Outcome, Request, RequestId, Settings, MS,
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -37,7 +37,7 @@
     choice: Choice,
     set: Settings,
     draws: u64,
-    members: BTreeMap<CacheId, Member>,
+    members: BTreeMap<CacheId, Endpoint>,
     cordoned: BTreeSet<CacheId>,
     inflight: FxHashMap<CacheId, u32>,
     open: FxHashMap<RequestId, Open>,
@@ -49,15 +49,15 @@
         Baseline { choice, set, draws: seed, members, cordoned: BTreeSet::new(), inflight, open }
     }
 
-    fn is_origin(&self, member: &Member) -> bool {
+    fn is_origin(&self, member: &Endpoint) -> bool {
         matches!(self.set.mode, CacheMode::Aside { origin } if origin == member.kind)
     }
 
-    fn list(&mut self, news: ListNews<'_>) {
+    fn list(&mut self, news: EndpointListUpdate<'_>) {
         let (lines, whole) = match news {
-            ListNews::Delta(lines) => (lines, false),
-            ListNews::Full(lines) | ListNews::Cached(lines) => (lines, true),
-            ListNews::Failed => return,
+            EndpointListUpdate::Delta(lines) => (lines, false),
+            EndpointListUpdate::Full(lines) | EndpointListUpdate::Cached(lines) => (lines, true),
+            EndpointListUpdate::Failed => return,
         };
         if whole {
             self.members.clear();
@@ -74,9 +74,9 @@
     }
 
     fn choose(&mut self, open: &Open) -> Option<CacheId> {
-        let ready = |member: &&Member| {
+        let ready = |member: &&Endpoint| {
             let free = !self.is_origin(member) && !self.cordoned.contains(&member.id);
-            member.state == MemberState::Ready && free
+            member.state == EndpointState::Ready && free
         };
         let mut caches: Vec<CacheId> = self.members.values().filter(ready).map(|member| member.id).collect();
         if caches.iter().any(|cache| !open.tried.contains(cache)) {
@@ -104,30 +104,30 @@
     }
 
     fn origin(&self) -> Option<CacheId> {
-        let serves = |member: &&Member| self.is_origin(member) && member.state == MemberState::Ready;
+        let serves = |member: &&Endpoint| self.is_origin(member) && member.state == EndpointState::Ready;
         self.members.values().find(serves).map(|member| member.id)
     }
 
     fn send(&mut self, now: Micros, id: RequestId, to: Option<CacheId>, actions: &mut Vec<Action>) {
         let (Some(to), Some(open)) = (to, self.open.get_mut(&id)) else { return self.give_up(id, actions) };
-        let timeout = open.request.expires - now - 2 * ANSWER_TIME;
-        if timeout <= 0 || open.attempts >= self.set.limits.most_attempts {
+        let timeout = open.request.expires_at - now - 2 * ANSWER_TIME;
+        if timeout <= 0 || open.attempts >= self.set.limits.max_attempts {
             return self.give_up(id, actions);
         }
         open.attempts += 1;
         open.out = Some(to);
         open.tried.push(to);
         *self.inflight.entry(to).or_default() += 1;
-        actions.push(Action::Send { id, cache: to, timeout, lapses: None });
+        actions.push(Action::Send { id, cache: to, timeout, send_within: None });
     }
 
     /// A refusal says that a retry is harmless, so it is one only where nothing may have run.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
         let free = self.set.classes.get(usize::from(open.request.class.0));
-        let free = free.is_some_and(|class| class.semantics == Semantics::Free);
+        let free = free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
         actions.push(match free || !open.ran {
-            true => Action::Refuse { id, retry_after: 0 },
+            true => Action::Reject { id, retry_after: 0 },
             false => Action::Fail { id },
         });
     }
@@ -140,25 +140,25 @@
             _ => self.choose(&open),
         };
         self.open.insert(id, open);
-        let delay = (request.expires - now - ANSWER_TIME).max(0);
+        let delay = (request.expires_at - now - ANSWER_TIME).max(0);
         actions.push(Action::Timer { delay, token: u64::from(id.0) });
         self.send(now, id, to, actions);
     }
 
-    fn settled(&mut self, now: Micros, settled: Settled, actions: &mut Vec<Action>) {
+    fn settled(&mut self, now: Micros, settled: AttemptResult, actions: &mut Vec<Action>) {
         if let Some(inflight) = self.inflight.get_mut(&settled.cache) {
             *inflight = inflight.saturating_sub(1);
         }
         let id = settled.id;
-        if settled.closed || settled.outcome == Outcome::Served {
+        if settled.request_finished || settled.outcome == Outcome::Served {
             self.open.remove(&id);
             return;
         }
         let Some(mut open) = self.open.remove(&id) else { return };
         open.out = None;
-        open.ran |= !settled.outcome.never_ran();
+        open.ran |= !settled.outcome.proves_no_effect();
         let free = self.set.classes.get(usize::from(open.request.class.0));
-        let may_repeat = !open.ran || free.is_some_and(|class| class.semantics == Semantics::Free);
+        let may_repeat = !open.ran || free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
         let to = match settled.outcome {
             Outcome::Miss => self.origin(),
             _ if open.request.write => self.origin(),
@@ -172,15 +172,15 @@
 impl Decide for Baseline {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::List(news) => self.list(news),
+            Event::EndpointList(news) => self.list(news),
             Event::Request(request) => self.request(now, request, actions),
-            Event::Settled(settled) => self.settled(now, settled, actions),
-            Event::ClientGone { id } | Event::Begun { id, .. } => {
+            Event::AttemptFinished(settled) => self.settled(now, settled, actions),
+            Event::ClientDisconnected { id } | Event::ResponseStarted { id, .. } => {
                 self.open.remove(&id);
             }
             Event::Timer { token } => {
                 let id = RequestId(token as u32);
-                let due = |open: &Open| now >= open.request.expires - 2 * ANSWER_TIME;
+                let due = |open: &Open| now >= open.request.expires_at - 2 * ANSWER_TIME;
                 if self.open.get(&id).is_some_and(due) {
                     // What is out may have run.
                     if let Some(open) = self.open.get_mut(&id) {
@@ -189,10 +189,13 @@
                     self.give_up(id, actions);
                 }
             }
-            Event::Retuned { settings, .. } => self.set = settings.clone(),
+            Event::SettingsChanged { settings, .. } => self.set = settings.clone(),
             Event::Cordon { cache, on: true } => drop(self.cordoned.insert(cache)),
             Event::Cordon { cache, on: false } => drop(self.cordoned.remove(&cache)),
-            Event::Probed { .. } | Event::Peer { .. } | Event::Inherited(_) | Event::Ending { .. } => {}
+            Event::HealthChecked { .. }
+            | Event::PeerMessage { .. }
+            | Event::Inherited(_)
+            | Event::ShuttingDown { .. } => {}
         }
     }
 }
--- a/crates/stairfront-policy/src/knowledge.rs
+++ b/crates/stairfront-policy/src/knowledge.rs
@@ -93,7 +93,7 @@
         }
         for known in &known.servers {
             let Some(server) = self.servers.get_mut(&CacheId(known.id)) else { continue };
-            if server.member.born != known.born {
+            if server.member.incarnation != known.born {
                 continue;
             }
             server.keys = known.keys;
@@ -107,8 +107,8 @@
         for KnownPlacement(key, at, seen, held) in known.placements.iter().rev() {
             let Some(cache) = known.servers.get(*at as usize).map(|s| CacheId(s.id)) else { continue };
             let Some(server) = self.servers.get(&cache).filter(|s| s.role == Role::Cache) else { continue };
-            if server.member.born == known.servers[*at as usize].born {
-                let entry = Placement { cache, born: server.member.born, seen: *seen, held: *held };
+            if server.member.incarnation == known.servers[*at as usize].born {
+                let entry = Placement { cache, born: server.member.incarnation, seen: *seen, held: *held };
                 self.table.insert(Key(*key), entry);
                 self.ages.push_back((*seen, Key(*key)));
             }
@@ -128,7 +128,7 @@
     fn of(server: &crate::state::Server) -> Self {
         KnownServer {
             id: server.member.id.0,
-            born: server.member.born,
+            born: server.member.incarnation,
             keys: server.keys,
             faults: server.faults,
             silent: server.silent,
--- a/crates/stairfront-policy/src/policy.rs
+++ b/crates/stairfront-policy/src/policy.rs
@@ -126,13 +126,15 @@
 
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::List(news) => self.on_list(now, news, actions),
+            Event::EndpointList(news) => self.on_list(now, news, actions),
             Event::Request(request) => self.on_request(now, request, actions),
-            Event::Settled(settled) => self.on_settled(now, settled, actions),
+            Event::AttemptFinished(settled) => self.on_settled(now, settled, actions),
             // A streamed answer that has begun is the client's from here.
-            Event::ClientGone { id } | Event::Begun { id, .. } => self.conclude(now, id, false, actions),
+            Event::ClientDisconnected { id } | Event::ResponseStarted { id, .. } => {
+                self.conclude(now, id, false, actions)
+            }
             Event::Timer { token: LIST_TOKEN } if self.subscribed => {}
-            Event::Timer { token: LIST_TOKEN } => actions.push(Action::Subscribe(true)),
+            Event::Timer { token: LIST_TOKEN } => actions.push(Action::Watch(true)),
             Event::Timer { token } if token > u64::from(u32::MAX) => {
                 let (id, attempt) = (RequestId(token as u32), (token >> 32) as u8 - 1);
                 let out = self.pending.get(&id).and_then(|p| p.out).filter(|out| out.attempt == attempt);
@@ -141,9 +143,9 @@
             Event::Timer { token } => self.on_give_up(now, RequestId(token as u32), actions),
             Event::Cordon { cache, on } => self.on_cordon(now, cache, on),
             Event::Inherited(known) => self.inherit(now, known),
-            Event::Retuned { settings, tenants } => self.on_retuned(settings, tenants),
-            Event::Ending { by } => self.on_ending(now, by, actions),
-            Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::SettingsChanged { settings, tenants } => self.on_retuned(settings, tenants),
+            Event::ShuttingDown { by } => self.on_ending(now, by, actions),
+            Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
@@ -164,28 +166,28 @@
     fn on_ending(&mut self, now: Micros, by: Micros, actions: &mut Vec<Action>) {
         self.ends_by = Some(by);
         // In the order of their ids, so that the same events give the same actions.
-        let mut late: Vec<_> = self.pending.values_mut().filter(|p| p.request.expires > by).collect();
+        let mut late: Vec<_> = self.pending.values_mut().filter(|p| p.request.expires_at > by).collect();
         late.sort_unstable_by_key(|p| p.request.id);
         for p in late {
-            (p.request.expires, p.aim_at) = (by, p.aim_at.min(by));
+            (p.request.expires_at, p.aim_at) = (by, p.aim_at.min(by));
             let delay = (by - 2 * self.set.tick - now).max(0);
             actions.push(Action::Timer { delay, token: u64::from(p.request.id.0) });
         }
     }
 
-    fn on_list(&mut self, now: Micros, news: ListNews<'_>, actions: &mut Vec<Action>) {
+    fn on_list(&mut self, now: Micros, news: EndpointListUpdate<'_>, actions: &mut Vec<Action>) {
         let lines = match news {
-            ListNews::Failed => {
+            EndpointListUpdate::Failed => {
                 self.subscribed = false;
                 self.list_failures = (self.list_failures + 1).min(4);
                 return self.ask_later(actions);
             }
-            ListNews::Delta(lines) => {
-                let gone = lines.iter().filter(|line| line.state == MemberState::Gone);
+            EndpointListUpdate::Delta(lines) => {
+                let gone = lines.iter().filter(|line| line.state == EndpointState::Removed);
                 self.doubts(&gone.map(|line| line.id).collect::<Vec<_>>());
                 lines
             }
-            ListNews::Full(lines) | ListNews::Cached(lines) => {
+            EndpointListUpdate::Full(lines) | EndpointListUpdate::Cached(lines) => {
                 self.fleet = lines.len() as f64;
                 let named: BTreeSet<CacheId> = lines.iter().map(|line| line.id).collect();
                 let missing = |s: &&Server| !named.contains(&s.member.id);
@@ -197,9 +199,9 @@
             }
         };
         lines.iter().for_each(|line| self.learn(now, line));
-        self.subscribed = !matches!(news, ListNews::Cached(_));
+        self.subscribed = !matches!(news, EndpointListUpdate::Cached(_));
         self.list_failures = 0;
-        self.servers.retain(|_, s| s.member.state != MemberState::Gone || s.inflight > 0);
+        self.servers.retain(|_, s| s.member.state != EndpointState::Removed || s.inflight > 0);
         self.rebuild_ring();
         self.looked_at = now - LOOK_GAP;
         if !self.started {
@@ -212,27 +214,27 @@
     /// by one. Where only draining binds such a list is doubted: so many do not die in one change of it, and
     /// whoever has died is found out by attempts. A few at once likely have, and come back cold.
     fn doubts(&mut self, leaving: &[CacheId]) {
-        let ready = |s: &&Server| s.member.state == MemberState::Ready;
+        let ready = |s: &&Server| s.member.state == EndpointState::Ready;
         let leave = leaving.iter().filter_map(|id| self.servers.get(id)).filter(ready).count();
         let all = self.servers.values().filter(ready).count();
-        self.doubting = self.set.rules.dropped_stay_open && leave as f64 >= DOUBTED * all as f64;
+        self.doubting = self.set.rules.removal_is_advisory && leave as f64 >= DOUBTED * all as f64;
     }
 
     /// Who drains, or is taken out, has left for good, doubted or not.
     fn delist(&mut self, id: CacheId) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        server.dropped = (self.doubting || server.dropped) && server.member.state == MemberState::Ready;
+        server.dropped = (self.doubting || server.dropped) && server.member.state == EndpointState::Ready;
         if !server.dropped {
-            (server.member.state, server.listed.state) = (MemberState::Gone, MemberState::Gone);
+            (server.member.state, server.listed.state) = (EndpointState::Removed, EndpointState::Removed);
         }
     }
 
     /// Danger: after a mass restart every balancer asks discovery at once and all calls fail, over and over.
     fn ask_later(&mut self, actions: &mut Vec<Action>) {
-        if self.set.discovery == Discovery::Ask {
+        if self.set.discovery == DiscoveryMode::Poll {
             let spread = Micros::from(self.set.balancers) * (SECOND / 2) * (1 << self.list_failures);
             // Danger: past the stated time without a call the balancer counts as told what its list lacks.
-            let most = ASK_PART * self.set.rules.ask_every.max(SECOND) as f64;
+            let most = ASK_PART * self.set.rules.poll_interval.max(SECOND) as f64;
             let delay = self.set.tick + (self.random.unit() * most.min(spread as f64)) as Micros;
             actions.push(Action::Timer { delay, token: LIST_TOKEN });
         }
@@ -240,16 +242,18 @@
 
     /// Danger: discovery knows nothing of cordons. Its news would lift one, or a cache that was restarted
     /// under it would look warm.
-    fn cordoned(&self, listed: &Member) -> Member {
+    fn cordoned(&self, listed: &Endpoint) -> Endpoint {
         match (self.cordons.get(&listed.id), listed.state) {
-            (Some(Cordon::On), MemberState::Ready) => Member { state: MemberState::Draining, ..*listed },
-            (Some(Cordon::Off(at)), _) => Member { born: listed.born.max(*at), ..*listed },
+            (Some(Cordon::On), EndpointState::Ready) => {
+                Endpoint { state: EndpointState::Draining, ..*listed }
+            }
+            (Some(Cordon::Off(at)), _) => Endpoint { incarnation: listed.incarnation.max(*at), ..*listed },
             _ => *listed,
         }
     }
 
     fn on_cordon(&mut self, now: Micros, cache: CacheId, on: bool) {
-        let warm_up = self.set.rules.warm_up;
+        let warm_up = self.set.rules.slow_start_window;
         self.cordons.retain(|_, cordon| !matches!(cordon, Cordon::Off(at) if now - *at > warm_up));
         // Danger: the call back may be repeated, and would make a cache cold that has been in use since.
         if !on && self.cordons.get(&cache) != Some(&Cordon::On) {
@@ -262,13 +266,13 @@
         }
     }
 
-    pub(crate) fn learn(&mut self, now: Micros, listed: &Member) {
+    pub(crate) fn learn(&mut self, now: Micros, listed: &Endpoint) {
         let line = &self.cordoned(listed);
         let origin = matches!(self.set.mode, CacheMode::Aside { origin } if origin == line.kind);
         // An origin is as strong as the fleet that it stands behind is large; a cache is not.
         let scale = if origin { (self.fleet / WINDOW_START).max(1.0) } else { 1.0 };
         // A walk over all of them, for a newcomer alone.
-        let known = self.servers.get(&line.id).is_some_and(|s| line.born <= s.member.born);
+        let known = self.servers.get(&line.id).is_some_and(|s| line.incarnation <= s.member.incarnation);
         let mean = if known { 0 } else { self.mean_keys(line.id) };
         let step = scale / f64::from(self.set.balancers);
         let role = if origin { Role::Origin } else { Role::Cache };
@@ -276,11 +280,11 @@
         let blank = Server { member, role, window, step, cold_at, ..Server::default() };
         let fresh = |inflight| Server { keys: mean, inflight, ..blank };
         let server = self.servers.entry(line.id).or_insert_with(|| fresh(0));
-        if line.state == MemberState::Gone {
+        if line.state == EndpointState::Removed {
             return self.delist(listed.id);
         }
         // Danger: a restarted process comes back empty under its old id; its old keys would flood it.
-        if line.born > server.member.born {
+        if line.incarnation > server.member.incarnation {
             *server = fresh(server.inflight);
         }
         (server.member, server.listed, server.dropped) = (*line, *listed, false);
@@ -298,7 +302,7 @@
 
     /// Danger: a draining or gone cache must get nothing new; it leaves the ring in the same event.
     fn rebuild_ring(&mut self) {
-        let ready = |s: &&Server| s.role == Role::Cache && s.member.state == MemberState::Ready;
+        let ready = |s: &&Server| s.role == Role::Cache && s.member.state == EndpointState::Ready;
         let ids = self.servers.values().filter(ready).map(|s| s.member.id);
         self.ring = ids.map(|id| (point(id.0, RING_SEED), id)).collect();
         self.ring.sort_unstable();
@@ -332,7 +336,8 @@
     fn place(&mut self, now: Micros, key: Key) -> Option<CacheId> {
         if let Some(entry) = self.table.get_mut(&key) {
             let server = self.servers.get(&entry.cache);
-            let stands = |s: &Server| s.member.state == MemberState::Ready && s.member.born == entry.born;
+            let stands =
+                |s: &Server| s.member.state == EndpointState::Ready && s.member.incarnation == entry.born;
             if now - entry.seen < ENTRY_AGE && server.is_some_and(stands) {
                 entry.seen = now;
                 return Some(entry.cache);
@@ -359,14 +364,15 @@
     fn put(&mut self, now: Micros, key: Key, cache: CacheId) {
         if let Some(server) = self.servers.get_mut(&cache) {
             server.keys += 1;
-            self.table.insert(key, Placement { cache, born: server.member.born, seen: now, held: false });
+            self.table
+                .insert(key, Placement { cache, born: server.member.incarnation, seen: now, held: false });
             self.ages.push_back((now, key));
         }
     }
 
     fn unplace(&mut self, key: Key) {
         let Some(old) = self.table.remove(&key) else { return };
-        if let Some(server) = self.servers.get_mut(&old.cache).filter(|s| s.member.born == old.born) {
+        if let Some(server) = self.servers.get_mut(&old.cache).filter(|s| s.member.incarnation == old.born) {
             server.keys -= 1;
         }
     }
@@ -394,8 +400,8 @@
         let p = self.pending.get(&id)?;
         let (key, tried) = (p.request.key.unwrap_or(Key(u64::from(id.0))), p.tried);
         // What is worth more than another class is refused last: before that it may use twice the window.
-        let worth = p.class.worth;
-        let (favoured, mut resort) = (self.set.classes.iter().any(|c| c.worth < worth), None);
+        let worth = p.class.priority_weight;
+        let (favoured, mut resort) = (self.set.classes.iter().any(|c| c.priority_weight < worth), None);
         let placed = self.place(now, key)?;
         let (found, n) = self.candidates(key);
         let others = found[..n].iter().map(|i| self.ring[*i].1).filter(|c| *c != placed);
@@ -475,13 +481,13 @@
     }
 
     fn warm(&self, server: &Server, now: Micros) -> bool {
-        server.member.state == MemberState::Ready && self.warmth(server, now) >= 1.0
+        server.member.state == EndpointState::Ready && self.warmth(server, now) >= 1.0
     }
 
     /// May an ordinary request go there now?
     fn open(&self, server: &Server, now: Micros) -> bool {
         let drawn = || self.cold_tokens(server, now) > self.draw;
-        self.warm(server, now) || server.member.state == MemberState::Ready && drawn()
+        self.warm(server, now) || server.member.state == EndpointState::Ready && drawn()
     }
 
     /// The mean rate sent to a warm cache, and the mean that one of each kind bears: they need a walk over
@@ -503,11 +509,12 @@
 
     /// Fraction of its capacity that a cache surely has by its stated warm-up.
     fn warmth(&self, server: &Server, now: Micros) -> f64 {
-        let (rules, age) = (&self.set.rules, now - server.member.born);
-        if server.role == Role::Origin || server.member.born <= 0 || age >= rules.warm_up {
+        let (rules, age) = (&self.set.rules, now - server.member.incarnation);
+        if server.role == Role::Origin || server.member.incarnation <= 0 || age >= rules.slow_start_window {
             return 1.0;
         }
-        rules.cold_from + (1.0 - rules.cold_from) * (age.max(0) as f64 / rules.warm_up as f64)
+        rules.slow_start_floor
+            + (1.0 - rules.slow_start_floor) * (age.max(0) as f64 / rules.slow_start_window as f64)
     }
 
     /// Danger: a cold cache sent a multiple of its present capacity falls over and stays down. What this
@@ -520,7 +527,8 @@
         let rate = (usual * self.warmth(server, now)).max(trickle) / SECOND as f64;
         // Danger: whole tokens, saved up by each of hundreds of balancers, all go out in one burst. What may
         // be saved is a part of the budget; where that is below one, a request draws for it.
-        let (multiple, span) = (self.set.rules.fall_multiple.max(1.0), self.set.rules.fall.max(SECOND));
+        let (multiple, span) =
+            (self.set.rules.overload_multiple.max(1.0), self.set.rules.overload_window.max(SECOND));
         let most = (COLD_SAVED * multiple * rate * span as f64).min((rate * SECOND as f64 / 2.0).max(1.0));
         (server.cold_tokens + rate * (now - server.cold_at) as f64).min(most)
     }
@@ -534,8 +542,8 @@
     }
 
     fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        let expires = self.ends_by.map_or(request.expires, |by| request.expires.min(by));
-        let request = Request { expires, ..request };
+        let expires = self.ends_by.map_or(request.expires_at, |by| request.expires_at.min(by));
+        let request = Request { expires_at: expires, ..request };
         self.look_over(now);
         self.draw = self.random.unit();
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
@@ -555,7 +563,7 @@
         let Some(class) = self.set.classes.get(usize::from(request.class.0)).copied() else {
             return actions.push(Action::Fail { id: request.id });
         };
-        let (aim_at, most) = (self.aim_at(now, &request, &class), self.set.limits.most_attempts);
+        let (aim_at, most) = (self.aim_at(now, &request, &class), self.set.limits.max_attempts);
         let (stage, out, ran, tried) = (Stage::Cache, None, None, [None; 2]);
         let p = Pending { request, class, most, aim_at, held, stage, sent: 0, out, ran, tried };
         let give_up = self.give_up_at(&p);
@@ -573,18 +581,18 @@
 
     /// When an answer stops being in time; a client's repeat, with other time left, counts from the first.
     fn aim_at(&mut self, now: Micros, request: &Request, class: &Class) -> Micros {
-        let (left, slack) = (request.expires - now, 4 * self.set.tick);
-        let (aim, deadline) = (class.aim, class.deadline);
+        let (left, slack) = (request.expires_at - now, 4 * self.set.tick);
+        let (aim, deadline) = (class.latency_objective, class.deadline);
         let usual = self.usual_left[usize::from(request.class.0)].vote(left, slack, USUAL_VOTES);
         let spent = if usual { 0 } else { (deadline - left).max(0) };
-        (now + aim - spent).min(request.expires)
+        (now + aim - spent).min(request.expires_at)
     }
 
     /// The final answer comes at the latest while it earns something, and two ticks before the client leaves.
     /// A fetch goes on past the aim: its value is stored for the next reader only while its own waits.
     fn give_up_at(&self, p: &Pending) -> Micros {
-        let last = p.request.expires - 2 * self.set.tick;
-        let late = p.class.late_worth > 0.0 && self.set.tail.weight <= 0.0;
+        let last = p.request.expires_at - 2 * self.set.tick;
+        let late = p.class.late_weight > 0.0 && self.set.tail.weight <= 0.0;
         last.min(if late || p.stage == Stage::Fetch { last } else { p.aim_at })
     }
 
@@ -631,26 +639,26 @@
         p.out = Some(Ran { attempt: p.sent, at: now, zone: server.member.zone, cell: server.member.cell });
         p.sent += 1;
         p.tried = [Some(to), p.tried[0]];
-        let timeout = (p.request.expires - 2 * self.set.tick - now).max(self.set.tick);
-        actions.push(Action::Send { id, cache: to, timeout, lapses });
+        let timeout = (p.request.expires_at - 2 * self.set.tick - now).max(self.set.tick);
+        actions.push(Action::Send { id, cache: to, timeout, send_within: lapses });
         let delay = (p.aim_at - now) / 2;
-        let cut = may_cut && p.class.semantics == Semantics::Free;
+        let cut = may_cut && p.class.idempotency == Idempotency::Idempotent;
         if cut && server.silent.value > SILENT_PART && server.busy < BUSY && delay as f64 > server.pace.value
         {
             actions.push(Action::Timer { delay, token: u64::from(p.sent) << 32 | u64::from(id.0) });
         }
     }
 
-    fn on_settled(&mut self, now: Micros, s: Settled, actions: &mut Vec<Action>) {
+    fn on_settled(&mut self, now: Micros, s: AttemptResult, actions: &mut Vec<Action>) {
         self.observe(now, &s, actions);
         self.confirm_delisted(s.cache);
         let noise = self.servers.get(&s.cache).is_some_and(|server| server.faults <= FAULT_ROW);
         if let Some(p) = self.pending.get_mut(&s.id) {
             if let Some(out) = p.out.take_if(|out| out.attempt == s.attempt) {
-                p.ran = p.ran.or(Some(out).filter(|_| !s.outcome.never_ran()));
+                p.ran = p.ran.or(Some(out).filter(|_| !s.outcome.proves_no_effect()));
             }
             // The cache has what was spoilt or lost: asked again it need not fetch, as another would.
-            let lost = matches!(s.outcome, Outcome::Spoilt | Outcome::Reset | Outcome::Cancelled);
+            let lost = matches!(s.outcome, Outcome::Malformed | Outcome::Reset | Outcome::Cancelled);
             p.tried = if lost && noise { [p.tried[1], None] } else { p.tried };
             if s.outcome == Outcome::Served || s.outcome == Outcome::Errored {
                 let entry = p.request.key.and_then(|key| self.table.get_mut(&key));
@@ -659,7 +667,7 @@
                 }
             }
             let late = now > p.aim_at;
-            if s.closed {
+            if s.request_finished {
                 self.press(late || s.outcome != Outcome::Served);
                 self.conclude(now, s.id, s.outcome == Outcome::Served, actions);
             } else {
@@ -694,7 +702,7 @@
     }
 
     fn origin(&self) -> Option<CacheId> {
-        let ready = |s: &&Server| s.role == Role::Origin && s.member.state == MemberState::Ready;
+        let ready = |s: &&Server| s.role == Role::Origin && s.member.state == EndpointState::Ready;
         let least = self.servers.values().filter(ready).min_by_key(|s| (s.inflight, s.member.id));
         least.map(|s| s.member.id)
     }
@@ -735,29 +743,29 @@
             return false;
         }
         let Some(ran) = p.ran else { return true };
-        match p.class.semantics {
-            Semantics::Free => true,
+        match p.class.idempotency {
+            Idempotency::Idempotent => true,
             // Danger: a keyed request outside its group or window would take effect twice.
-            Semantics::Guarded { group, key_ttl } => {
-                group.holds_both((server.member.zone, server.member.cell), (ran.zone, ran.cell))
+            Idempotency::Keyed { scope, key_ttl } => {
+                scope.covers((server.member.zone, server.member.cell), (ran.zone, ran.cell))
                     && now + self.set.tick < ran.at + key_ttl
             }
-            Semantics::SingleShot => false,
+            Idempotency::NotIdempotent => false,
         }
     }
 
     /// Danger: decided inside its window, a guarded repeat may wait for a connection and go out after it.
     fn lapses(&self, now: Micros, p: &Pending) -> Option<Micros> {
-        match (p.class.semantics, p.ran) {
-            (Semantics::Guarded { key_ttl, .. }, Some(ran)) => Some(ran.at + key_ttl - self.set.tick - now),
+        match (p.class.idempotency, p.ran) {
+            (Idempotency::Keyed { key_ttl, .. }, Some(ran)) => Some(ran.at + key_ttl - self.set.tick - now),
             _ => None,
         }
     }
 
     /// Danger: a refusal tells the client that a repeat is harmless.
     fn may_refuse(&self, p: &Pending) -> bool {
-        match p.class.semantics {
-            Semantics::Free | Semantics::Guarded { group: Group::All, .. } => true,
+        match p.class.idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
             _ => p.ran.is_none() && p.out.is_none(),
         }
     }
@@ -765,7 +773,7 @@
     /// The final answer where no server gave one.
     fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(p) = self.pending.get(&id) else { return };
-        let refusal = Action::Refuse { id, retry_after: self.set.limits.max_retry_after };
+        let refusal = Action::Reject { id, retry_after: self.set.limits.max_retry_after };
         actions.push(if self.may_refuse(p) { refusal } else { Action::Fail { id } });
         self.conclude(now, id, false, actions);
     }
@@ -797,9 +805,9 @@
         }
     }
 
-    fn observe(&mut self, now: Micros, s: &Settled, actions: &mut Vec<Action>) {
-        let shortest = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND);
-        let aim = self.pending.get(&s.id).map_or(shortest, |p| p.class.aim);
+    fn observe(&mut self, now: Micros, s: &AttemptResult, actions: &mut Vec<Action>) {
+        let shortest = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(SECOND);
+        let aim = self.pending.get(&s.id).map_or(shortest, |p| p.class.latency_objective);
         let (goal, aside) = (GOAL * aim as f64, self.aside());
         let rare = self.gap() > goal / GOAL;
         let idle = self.servers.get(&s.cache).map_or(0, |server| server.idle);
@@ -813,12 +821,12 @@
         if error && aside {
             server.fault(now, 0);
         }
-        if !matches!(s.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) {
+        if !matches!(s.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent) {
             server.borne.add(now, SENT_SPAN);
         }
         // Danger: fetches past what the origin can do hold up caches, and what they still have. Keys that
         // this balancer has not seen served are likely misses; their late answers show it.
-        let answered = !s.outcome.never_ran() && s.outcome != Outcome::Reset;
+        let answered = !s.outcome.proves_no_effect() && s.outcome != Outcome::Reset;
         if !aside && answered && self.pending.get(&s.id).is_some_and(|p| !p.held) {
             let bad = error || s.outcome != Outcome::Served || s.elapsed > aim;
             self.miss_late.add(now, f64::from(u8::from(bad)), MISS_WEIGHT, TIME_SPAN);
@@ -835,16 +843,16 @@
                 server.busy = s.load.value(&self.set.report, ReportField::Utilization).unwrap_or(UNTOLD);
                 server.silent.add(now, 0.0, ERROR_WEIGHT, TIME_SPAN);
                 // A cache's own fetch says nothing of how crowded the cache is.
-                let own_fetch = s.note == Note::Fetched && server.role == Role::Cache;
+                let own_fetch = s.cache_status == CacheStatus::Fetched && server.role == Role::Cache;
                 if s.outcome == Outcome::Served && !own_fetch {
                     server.timed(now, s.elapsed as f64, goal);
                 }
             }
             // Danger: a bad request is spoilt at each repeat, and any connection breaks now and then.
-            Outcome::Spoilt if again => {}
+            Outcome::Malformed if again => {}
             // The way there lost it, not the server.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset if stale => {}
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::Spoilt => server.fault(now, FAULT_ROW),
+            Outcome::ConnectFailed | Outcome::Reset | Outcome::Malformed => server.fault(now, FAULT_ROW),
             // Danger: who asks a cache once in seconds would lose a request each to find out.
             Outcome::TimedOut if rare => server.timed(now, s.elapsed as f64, goal),
             Outcome::TimedOut | Outcome::Cancelled => {
@@ -852,7 +860,7 @@
                 server.fault(now, SILENT_ROW);
             }
             Outcome::Full | Outcome::Errored => server.cut(now, goal),
-            Outcome::Moot => {}
+            Outcome::NeverSent => {}
         }
         server.inflight = server.inflight.saturating_sub(1);
         self.out = self.out.saturating_sub(u32::from(server.role == Role::Cache));
@@ -879,7 +887,7 @@
     /// Learns after what idle time connections are dropped unseen; whether this attempt may be lost so.
     fn learn_idle(&mut self, now: Micros, idle: Micros, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
         let lost = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset);
-        if idle < IDLE_FLOOR || outcome == Outcome::Moot {
+        if idle < IDLE_FLOOR || outcome == Outcome::NeverSent {
             return false;
         }
         self.idle_row = if lost { self.idle_row + 1 } else { 0 };
@@ -904,7 +912,7 @@
             self.log(now, actions, || format!("shedding over-share traffic {turn}"));
         }
         let excess = self.excess(request.tenant);
-        excess > 0.0 && self.set.over_share_worth < 1.0 && self.random.unit() < excess * level
+        excess > 0.0 && self.set.over_share_weight < 1.0 && self.random.unit() < excess * level
     }
 
     fn excess(&self, tenant: TenantId) -> f64 {
--- a/crates/stairfront-policy/src/state.rs
+++ b/crates/stairfront-policy/src/state.rs
@@ -25,8 +25,8 @@
 #[derive(Default)]
 pub struct Server {
     /// What counts, and what discovery said: they differ under a cordon and after it.
-    pub member: Member,
-    pub listed: Member,
+    pub member: Endpoint,
+    pub listed: Endpoint,
     pub role: Role,
     /// Keys that this balancer has placed here, on this process.
     pub keys: i64,
--- a/crates/stairfront-policy/tests/common/mod.rs
+++ b/crates/stairfront-policy/tests/common/mod.rs
@@ -7,40 +7,47 @@
 
 pub const ORIGIN: CacheId = CacheId(9_000);
 
-pub fn class(semantics: Semantics) -> Class {
-    Class { semantics, aim: 500 * MS, deadline: 1_000 * MS, worth: 1.0, late_worth: 0.0, stream: false }
+pub fn class(semantics: Idempotency) -> Class {
+    Class {
+        idempotency: semantics,
+        latency_objective: 500 * MS,
+        deadline: 1_000 * MS,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        stream: false,
+    }
 }
 
 pub fn settings(mode: CacheMode) -> Settings {
     Settings {
-        me: 0,
+        instance: 0,
         balancers: 3,
         zone: Zone(0),
         tick: 5 * MS,
         mode,
-        discovery: Discovery::Push,
-        classes: vec![class(Semantics::Free)],
+        discovery: DiscoveryMode::Push,
+        classes: vec![class(Idempotency::Idempotent)],
         tenants: vec![],
-        over_share_worth: 1.0,
-        tail: Tail::default(),
+        over_share_weight: 1.0,
+        tail: TailLatency::default(),
         limits: Limits {
-            most_attempts: 4,
-            may_duplicate: false,
+            max_attempts: 4,
+            may_hedge: false,
             may_cancel: true,
             may_probe: true,
-            may_tell: false,
+            may_gossip: false,
             max_retry_after: 700 * MS,
             connect_timeout: 200 * MS,
         },
         rules: Rules {
             answer_slack: 20 * MS,
-            ask_every: 10 * SECOND,
-            stop_sending_within: 500 * MS,
-            dropped_stay_open: false,
-            cold_from: 0.2,
-            warm_up: 10 * SECOND,
-            fall_multiple: 3.0,
-            fall: 2 * SECOND,
+            poll_interval: 10 * SECOND,
+            drain_grace: 500 * MS,
+            removal_is_advisory: false,
+            slow_start_floor: 0.2,
+            slow_start_window: 10 * SECOND,
+            overload_multiple: 3.0,
+            overload_window: 2 * SECOND,
         },
         report: vec![],
         sized: false,
@@ -55,17 +62,25 @@
     settings(CacheMode::Aside { origin: Kind(1) })
 }
 
-pub fn member(id: u64, state: MemberState) -> Member {
+pub fn member(id: u64, state: EndpointState) -> Endpoint {
     let zone = Zone((id % 2) as u8);
-    Member { id: CacheId(id), state, born: 0, zone, cell: Cell((id % 2) as u16), kind: Kind(0), size: 1.0 }
+    Endpoint {
+        id: CacheId(id),
+        state,
+        incarnation: 0,
+        zone,
+        cell: Cell((id % 2) as u16),
+        kind: Kind(0),
+        size: 1.0,
+    }
 }
 
-pub fn ready(ids: impl IntoIterator<Item = u64>) -> Vec<Member> {
-    ids.into_iter().map(|id| member(id, MemberState::Ready)).collect()
+pub fn ready(ids: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
+    ids.into_iter().map(|id| member(id, EndpointState::Ready)).collect()
 }
 
-pub fn with_origin(mut list: Vec<Member>) -> Vec<Member> {
-    list.push(Member { kind: Kind(1), ..member(ORIGIN.0, MemberState::Ready) });
+pub fn with_origin(mut list: Vec<Endpoint>) -> Vec<Endpoint> {
+    list.push(Endpoint { kind: Kind(1), ..member(ORIGIN.0, EndpointState::Ready) });
     list
 }
 
@@ -79,14 +94,14 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, list: &[Member]) -> Rig {
+    pub fn new(settings: Settings, list: &[Endpoint]) -> Rig {
         Rig::seeded(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: &[Member], seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, list: &[Endpoint], seed: u64) -> Rig {
         let policy = Policy::new(settings, seed);
         let mut rig = Rig { policy, now: 100 * SECOND, out: vec![], sent: BTreeMap::new(), next: 0 };
-        rig.event(Event::List(ListNews::Cached(list)));
+        rig.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
         rig
     }
 
@@ -116,7 +131,15 @@
         let id = RequestId(self.next);
         let (key, expires) = (Some(Key(key)), self.now + 1_000 * MS);
         let (class, tenant) = (ClassId(class), TenantId(tenant));
-        self.event(Event::Request(Request { id, class, tenant, key, expires, write, repeat: false }));
+        self.event(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            key,
+            expires_at: expires,
+            write,
+            retry: false,
+        }));
         id
     }
 
@@ -125,8 +148,17 @@
         let sends = &self.sent[&id.0];
         let (attempt, cache) = (sends.len() as u8 - 1, sends[sends.len() - 1]);
         let closed = outcome == Outcome::Served;
-        let (elapsed, note, load) = (20 * MS, Note::Hit, Load::default());
-        self.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }))
+        let (elapsed, note, load) = (20 * MS, CacheStatus::Hit, LoadReport::default());
+        self.event(Event::AttemptFinished(AttemptResult {
+            id,
+            attempt,
+            cache,
+            outcome,
+            request_finished: closed,
+            elapsed,
+            cache_status: note,
+            load,
+        }))
     }
 
     /// Asks for a key and has it served; tells by whom.
@@ -142,13 +174,13 @@
 
     pub fn finals(&self, id: RequestId) -> usize {
         let is_final =
-            |a: &&Action| matches!(a, Action::Refuse { id: i, .. } | Action::Fail { id: i } if *i == id);
+            |a: &&Action| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i } if *i == id);
         self.out.iter().filter(is_final).count()
     }
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/stairfront-policy/tests/cordons.rs
+++ b/crates/stairfront-policy/tests/cordons.rs
@@ -28,19 +28,19 @@
     let mut rig = Rig::new(through(), &ready(0..4));
     assert!(used(&mut rig, 0..100) > 0);
     cordon(&mut rig, true);
-    let restarted = Member { born: rig.now, ..member(OUT.0, MemberState::Ready) };
-    let gone = [member(OUT.0, MemberState::Gone)];
+    let restarted = Endpoint { incarnation: rig.now, ..member(OUT.0, EndpointState::Ready) };
+    let gone = [member(OUT.0, EndpointState::Removed)];
     let news = [
-        ListNews::Delta(&[]),
-        ListNews::Delta(&[restarted]),
-        ListNews::Delta(&gone),
-        ListNews::Delta(&[restarted]),
-        ListNews::Full(&ready([0, 2, 3])),
-        ListNews::Full(&ready(0..4)),
-        ListNews::Failed,
+        EndpointListUpdate::Delta(&[]),
+        EndpointListUpdate::Delta(&[restarted]),
+        EndpointListUpdate::Delta(&gone),
+        EndpointListUpdate::Delta(&[restarted]),
+        EndpointListUpdate::Full(&ready([0, 2, 3])),
+        EndpointListUpdate::Full(&ready(0..4)),
+        EndpointListUpdate::Failed,
     ];
     for (i, told) in news.into_iter().enumerate() {
-        rig.event(Event::List(told));
+        rig.event(Event::EndpointList(told));
         assert_eq!(used(&mut rig, 0..100), 0, "after news {i}: {told:?}");
     }
 }
@@ -63,7 +63,7 @@
     cordon(&mut rig, true);
     rig.now += 3 * SECOND;
     cordon(&mut rig, false);
-    rig.event(Event::List(ListNews::Full(&ready(0..4))));
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(&ready(0..4))));
     let cold = used(&mut rig, 1_000..1_100);
     // The call back again does not make it cold once more.
     rig.now += 10 * SECOND;
@@ -77,7 +77,7 @@
 fn called_back_while_it_drains_it_goes_on_draining() {
     let mut rig = Rig::new(through(), &ready(0..4));
     cordon(&mut rig, true);
-    rig.event(Event::List(ListNews::Delta(&[member(OUT.0, MemberState::Draining)])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(OUT.0, EndpointState::Draining)])));
     cordon(&mut rig, false);
     assert_eq!(used(&mut rig, 0..100), 0);
 }
@@ -86,7 +86,7 @@
 fn a_cordon_set_before_the_list_is_known_holds() {
     let mut rig = Rig::new(through(), &[]);
     cordon(&mut rig, true);
-    rig.event(Event::List(ListNews::Full(&ready(0..4))));
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(&ready(0..4))));
     assert_eq!(used(&mut rig, 0..100), 0);
 }
 
--- a/crates/stairfront-policy/tests/ending.rs
+++ b/crates/stairfront-policy/tests/ending.rs
@@ -7,12 +7,21 @@
 #[test]
 fn what_is_open_and_what_still_comes_is_answered_before_the_end() {
     let mut set = through();
-    set.classes = vec![Class { aim: 6 * SECOND, deadline: 6 * SECOND, ..class(Semantics::Free) }];
+    set.classes =
+        vec![Class { latency_objective: 6 * SECOND, deadline: 6 * SECOND, ..class(Idempotency::Idempotent) }];
     let mut rig = Rig::new(set, &ready(1..=6));
     let asked = |rig: &mut Rig, id: u32| {
         let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(u64::from(id))));
         let expires = rig.now + 6 * SECOND;
-        let request = Request { id: RequestId(id), class, tenant, key, expires, write: false, repeat: false };
+        let request = Request {
+            id: RequestId(id),
+            class,
+            tenant,
+            key,
+            expires_at: expires,
+            write: false,
+            retry: false,
+        };
         rig.event(Event::Request(request))
     };
     asked(&mut rig, 1);
@@ -26,7 +35,7 @@
             _ => None,
         })
     };
-    due.extend(timers(rig.event(Event::Ending { by }), now));
+    due.extend(timers(rig.event(Event::ShuttingDown { by }), now));
     let sent = asked(&mut rig, 2);
     let least = |action: &Action| matches!(action, Action::Send { timeout, .. } if now + timeout < by);
     assert!(sent.iter().any(least), "no attempt outlives the process: {sent:?}");
@@ -54,14 +63,14 @@
         let id = rig.ask_as(0, 42, true);
         rig.now += 100 * MS;
         let told = |action: &Action| match action {
-            Action::Send { lapses, .. } => Some(*lapses),
+            Action::Send { send_within, .. } => Some(*send_within),
             _ => None,
         };
         rig.settle(id, outcome).iter().find_map(told).expect("it is sent again")
     };
-    let guarded = Semantics::Guarded { group: Group::All, key_ttl: 300 * MS };
+    let guarded = Idempotency::Keyed { scope: DeduplicationScope::All, key_ttl: 300 * MS };
     let within = lapses(guarded, Outcome::Errored).expect("it may have run");
     assert!(within <= 200 * MS && within > 150 * MS, "{within}");
     assert_eq!(lapses(guarded, Outcome::Full), None, "nothing ran");
-    assert_eq!(lapses(Semantics::Free, Outcome::Errored), None);
+    assert_eq!(lapses(Idempotency::Idempotent, Outcome::Errored), None);
 }
--- a/crates/stairfront-policy/tests/inheritance.rs
+++ b/crates/stairfront-policy/tests/inheritance.rs
@@ -20,7 +20,7 @@
 }
 
 /// A process that has just started with this list and heard of what `before` knows.
-fn successor(before: &Rig, list: &[Member], after: Micros) -> Rig {
+fn successor(before: &Rig, list: &[Endpoint], after: Micros) -> Rig {
     let known = before.policy.knowledge(before.now);
     let mut rig = Rig::seeded(through(), list, 99);
     rig.now = before.now + after;
@@ -42,8 +42,8 @@
 fn a_list_that_says_draining_or_restarted_goes_before_what_was_known() {
     let (before, served) = long_running();
     let mut list = ready(0..6);
-    list[1].state = MemberState::Draining;
-    list[2].born = before.now - SECOND;
+    list[1].state = EndpointState::Draining;
+    list[2].incarnation = before.now - SECOND;
     let mut next = successor(&before, &list, SECOND);
     let (mut drained, mut restarted) = (0, 0);
     for key in served.keys() {
--- a/crates/stairfront-policy/tests/large_fleets.rs
+++ b/crates/stairfront-policy/tests/large_fleets.rs
@@ -8,15 +8,15 @@
 /// The first attempt of a request ends so, long after its aim.
 fn end_late(rig: &mut Rig, id: RequestId, outcome: Outcome) -> Vec<Action> {
     let cache = rig.last_cache(id).expect("sent");
-    let (closed, note, load) = (outcome == Outcome::Served, Note::None, Load::default());
-    rig.event(Event::Settled(Settled {
+    let (closed, note, load) = (outcome == Outcome::Served, CacheStatus::None, LoadReport::default());
+    rig.event(Event::AttemptFinished(AttemptResult {
         id,
         attempt: 0,
         cache,
         outcome,
-        closed,
+        request_finished: closed,
         elapsed: 900 * MS,
-        note,
+        cache_status: note,
         load,
     }))
 }
@@ -110,7 +110,7 @@
 fn of_two_tenants_the_greater_is_not_shed_inside_its_part() {
     for (parts, shed) in [([7, 3], false), ([19, 1], true)] {
         let mut set = through();
-        set.over_share_worth = 0.05;
+        set.over_share_weight = 0.05;
         set.tenants =
             [55.0, 45.0].map(|quota_per_s| Tenant { quota_per_s, share: quota_per_s / 100.0 }).to_vec();
         let mut rig = Rig::new(set, &ready(1..=6));
@@ -184,8 +184,8 @@
 fn where_the_slow_end_counts_a_late_request_is_refused_at_its_aim() {
     for (weight, over) in [(0.0, false), (0.3, true)] {
         let mut set = through();
-        set.classes[0].late_worth = 0.5;
-        set.tail = Tail { weight, borne: 0.01 };
+        set.classes[0].late_weight = 0.5;
+        set.tail = TailLatency { weight, tolerated_fraction: 0.01 };
         let mut rig = Rig::new(set, &ready(1..=6));
         let id = rig.ask(1);
         rig.now += 500 * MS;
--- a/crates/stairfront-policy/tests/placement.rs
+++ b/crates/stairfront-policy/tests/placement.rs
@@ -94,7 +94,7 @@
 #[test]
 fn the_ring_is_the_same_at_every_balancer_whatever_its_seed_and_list_order() {
     let mut other = through();
-    other.me = 2;
+    other.instance = 2;
     let mut list = ready(1..=9);
     let mut a = Rig::new(through(), &list);
     list.reverse();
@@ -128,7 +128,7 @@
 fn a_newcomer_starts_at_the_mean_count_and_takes_only_its_part() {
     let mut rig = Rig::new(through(), &ready(1..=4));
     (1..=400).for_each(|key| assert!(rig.serve(key).0 > 0));
-    rig.event(Event::List(ListNews::Delta(&ready([77]))));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&ready([77]))));
     let taken = (1_001..=1_300).filter(|key| rig.serve(*key) == CacheId(77)).count();
     assert!((1..150).contains(&taken), "from zero it would take nearly all of its candidates' keys: {taken}");
 }
@@ -137,13 +137,13 @@
 fn a_leaving_cache_loses_its_keys_to_the_rest_and_gets_none_when_back_but_anew() {
     let mut rig = Rig::new(through(), &ready(1..=4));
     let before: Vec<_> = (1..=200).map(|key| rig.serve(key)).collect();
-    rig.event(Event::List(ListNews::Delta(&[member(2, MemberState::Gone)])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(2, EndpointState::Removed)])));
     for (key, old) in (1..=200).zip(&before) {
         let now = rig.serve(key);
         assert_ne!(now, CacheId(2));
         assert!(*old == CacheId(2) || now == *old, "key {key} stays where it was");
     }
-    rig.event(Event::List(ListNews::Delta(&ready([2]))));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&ready([2]))));
     assert!((1..=200).all(|key| rig.serve(key) != CacheId(2)), "placements made meanwhile stand");
 }
 
@@ -152,7 +152,10 @@
     let mut rig = Rig::new(through(), &ready(1..=4));
     let old: Vec<u64> = (1..=400).filter(|key| rig.serve(*key) == CacheId(3)).collect();
     let born = rig.now;
-    rig.event(Event::List(ListNews::Delta(&[Member { born, ..member(3, MemberState::Ready) }])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[Endpoint {
+        incarnation: born,
+        ..member(3, EndpointState::Ready)
+    }])));
     let back = old.iter().filter(|key| rig.serve(**key) == CacheId(3)).count();
     assert!(back < old.len(), "its old placements are void: {back} of {}", old.len());
 }
@@ -212,9 +215,12 @@
 fn a_process_that_left_the_list_and_restarted_is_a_new_cache_too() {
     let mut rig = Rig::new(through(), &ready(1..=4));
     let old: Vec<u64> = (1..=400).filter(|key| rig.serve(*key) == CacheId(3)).collect();
-    rig.event(Event::List(ListNews::Delta(&[member(3, MemberState::Gone)])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(3, EndpointState::Removed)])));
     let born = rig.now;
-    rig.event(Event::List(ListNews::Delta(&[Member { born, ..member(3, MemberState::Ready) }])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[Endpoint {
+        incarnation: born,
+        ..member(3, EndpointState::Ready)
+    }])));
     let back = old.iter().filter(|key| rig.serve(**key) == CacheId(3)).count();
     assert!(back < old.len(), "its old placements are void: {back} of {}", old.len());
 }
@@ -223,11 +229,11 @@
 /// past their aim. What the cache says of its cores counts for a while; no word of them, or an old one, moves nothing.
 #[test]
 fn a_cache_that_reports_its_cores_in_use_is_passed_over_for_the_other_owner_for_a_while() {
-    let told = Load { len: 1, values: [0.95, 0.0, 0.0, 0.0] };
+    let told = LoadReport { len: 1, values: [0.95, 0.0, 0.0, 0.0] };
     for (report, load, moves) in [
         (vec![ReportField::Utilization], told, true),
-        (vec![ReportField::Utilization], Load { len: 1, values: [0.6, 0.0, 0.0, 0.0] }, false),
-        (vec![ReportField::Utilization], Load::default(), false),
+        (vec![ReportField::Utilization], LoadReport { len: 1, values: [0.6, 0.0, 0.0, 0.0] }, false),
+        (vec![ReportField::Utilization], LoadReport::default(), false),
         (vec![], told, false),
     ] {
         let mut moved = 0;
@@ -236,8 +242,17 @@
             let placed = rig.serve(key);
             let id = rig.ask(key);
             let (attempt, cache, outcome, closed) = (0, placed, Outcome::Served, true);
-            let (elapsed, note) = (20 * MS, Note::Hit);
-            rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+            let (elapsed, note) = (20 * MS, CacheStatus::Hit);
+            rig.event(Event::AttemptFinished(AttemptResult {
+                id,
+                attempt,
+                cache,
+                outcome,
+                request_finished: closed,
+                elapsed,
+                cache_status: note,
+                load,
+            }));
             let next = rig.ask(key);
             moved += usize::from(rig.last_cache(next) != Some(placed));
             rig.settle(next, Outcome::Served);
--- a/crates/stairfront-policy/tests/protection.rs
+++ b/crates/stairfront-policy/tests/protection.rs
@@ -7,10 +7,10 @@
 
 #[test]
 fn a_draining_or_gone_cache_gets_nothing_in_the_very_same_tick() {
-    for state in [MemberState::Draining, MemberState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut rig = Rig::new(through(), &ready(1..=5));
         (1..100).for_each(|key| assert!(rig.serve(key).0 > 0));
-        rig.event(Event::List(ListNews::Delta(&[member(4, state)])));
+        rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(4, state)])));
         assert!((1..400).all(|key| rig.serve(key) != CacheId(4)), "{state:?}");
     }
 }
@@ -18,7 +18,7 @@
 #[test]
 fn a_full_list_removes_whom_it_does_not_name() {
     let mut rig = Rig::new(through(), &ready(1..=5));
-    rig.event(Event::List(ListNews::Full(&ready([1, 2]))));
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(&ready([1, 2]))));
     assert!((1..200).all(|key| rig.serve(key).0 <= 2));
 }
 
@@ -27,7 +27,7 @@
     let mut rig = Rig::new(through(), &ready(1..=2));
     let id = rig.ask(7);
     let other = 3 - rig.last_cache(id).unwrap().0;
-    rig.event(Event::List(ListNews::Delta(&[member(other, MemberState::Draining)])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(other, EndpointState::Draining)])));
     let actions = rig.settle(id, Outcome::ConnectFailed);
     assert!(!sends(&actions).contains(&CacheId(other)));
 }
@@ -49,7 +49,10 @@
     run(&mut rig, &mut |c, _| *per_cache.entry(c.0).or_default() += 1, 0, 10);
     let warm_rate = 1_000.0 / 4.0 / 10.0;
     let born = rig.now;
-    rig.event(Event::List(ListNews::Delta(&[Member { born, ..member(2, MemberState::Ready) }])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[Endpoint {
+        incarnation: born,
+        ..member(2, EndpointState::Ready)
+    }])));
     let mut cold = vec![0; seconds as usize];
     run(&mut rig, &mut |c, second| cold[second as usize] += usize::from(c == CacheId(2)), 0, seconds);
     (cold, warm_rate)
@@ -73,7 +76,8 @@
 fn a_weak_cold_cache_gets_by_what_warm_ones_of_its_kind_take_on() {
     let weak = |id: u64| id.is_multiple_of(2);
     let kind_of = |id: u64| Kind([0, 2][usize::from(weak(id))]);
-    let list: Vec<Member> = ready(1..=6).into_iter().map(|m| Member { kind: kind_of(m.id.0), ..m }).collect();
+    let list: Vec<Endpoint> =
+        ready(1..=6).into_iter().map(|m| Endpoint { kind: kind_of(m.id.0), ..m }).collect();
     let mut rig = Rig::new(through(), &list);
     // What the weak ones were sent and took on.
     let (mut key, mut sent, mut taken) = (0, 0, 0);
@@ -98,8 +102,8 @@
     });
     assert!(sent > 2 * taken, "{sent} sent, {taken} taken on");
     let born = rig.now;
-    let restarted = Member { born, kind: Kind(2), ..member(4, MemberState::Ready) };
-    rig.event(Event::List(ListNews::Delta(&[restarted])));
+    let restarted = Endpoint { incarnation: born, kind: Kind(2), ..member(4, EndpointState::Ready) };
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[restarted])));
     let mut cold = 0;
     play(&mut rig, 5, &mut |cache, _| cold += u32::from(cache == 4));
     // Over the first five of ten seconds it has 0.4 of its capacity on average.
@@ -111,8 +115,9 @@
 fn with_only_cold_caches_requests_still_get_their_one_answer() {
     let mut rig = Rig::new(through(), &[]);
     let born = rig.now;
-    let list: Vec<_> = (1..=3).map(|id| Member { born, ..member(id, MemberState::Ready) }).collect();
-    rig.event(Event::List(ListNews::Full(&list)));
+    let list: Vec<_> =
+        (1..=3).map(|id| Endpoint { incarnation: born, ..member(id, EndpointState::Ready) }).collect();
+    rig.event(Event::EndpointList(EndpointListUpdate::Full(&list)));
     let ask = |key| {
         rig.now += 100 * MS;
         rig.ask(key)
@@ -141,7 +146,7 @@
     let first = rig.ask(11);
     rig.settle(first, Outcome::Miss);
     let second = rig.ask(11);
-    rig.event(Event::ClientGone { id: first });
+    rig.event(Event::ClientDisconnected { id: first });
     assert_eq!(rig.last_cache(second), Some(ORIGIN));
 }
 
@@ -180,9 +185,18 @@
     for _ in 0..20 {
         let id = out(&rig, &done)[0];
         done.insert(id);
-        let (attempt, cache, outcome, note) = (1, ORIGIN, Outcome::Served, Note::Fetched);
-        let (closed, elapsed, load) = (true, 30 * MS, Load::default());
-        rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+        let (attempt, cache, outcome, note) = (1, ORIGIN, Outcome::Served, CacheStatus::Fetched);
+        let (closed, elapsed, load) = (true, 30 * MS, LoadReport::default());
+        rig.event(Event::AttemptFinished(AttemptResult {
+            id,
+            attempt,
+            cache,
+            outcome,
+            request_finished: closed,
+            elapsed,
+            cache_status: note,
+            load,
+        }));
     }
     let after = out(&rig, &done).len();
     assert!(after > before, "quick fetches open the window: {before} out, then {after}");
@@ -223,7 +237,7 @@
 }
 
 fn subscriptions(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Subscribe(true))).count()
+    actions.iter().filter(|a| matches!(a, Action::Watch(true))).count()
 }
 
 fn list_timer(actions: &[Action]) -> Option<Micros> {
@@ -235,17 +249,17 @@
 #[test]
 fn discovery_is_asked_once_after_a_spread_start_and_again_later_after_a_failure() {
     let mut set = through();
-    set.discovery = Discovery::Ask;
+    set.discovery = DiscoveryMode::Poll;
     let mut rig = Rig::new(set, &ready(1..=3));
     let first = list_timer(&rig.out).expect("asks after the start");
     rig.now += first;
     assert_eq!(subscriptions(&rig.event(Event::Timer { token: u64::MAX })), 1);
-    let failed = rig.event(Event::List(ListNews::Failed));
+    let failed = rig.event(Event::EndpointList(EndpointListUpdate::Failed));
     let again = list_timer(&failed).expect("asks again");
     assert!(subscriptions(&failed) == 0 && again > 0);
     rig.now += again;
     assert_eq!(subscriptions(&rig.event(Event::Timer { token: u64::MAX })), 1);
-    rig.event(Event::List(ListNews::Delta(&[])));
+    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[])));
     assert_eq!(subscriptions(&rig.event(Event::Timer { token: u64::MAX })), 0, "subscribed: nothing to ask");
 }
 
@@ -254,10 +268,10 @@
     let delays: Vec<_> = (0..20)
         .map(|seed| {
             let mut set = through();
-            set.discovery = Discovery::Ask;
+            set.discovery = DiscoveryMode::Poll;
             let mut policy = stairfront_policy::Policy::new(set, seed * 1_000_003);
             let mut out = vec![];
-            policy.handle(0, Event::List(ListNews::Cached(&ready(1..=3))), &mut out);
+            policy.handle(0, Event::EndpointList(EndpointListUpdate::Cached(&ready(1..=3))), &mut out);
             list_timer(&out).unwrap()
         })
         .collect();
@@ -360,7 +374,7 @@
 #[test]
 fn a_class_worth_more_is_refused_last() {
     let mut set = through();
-    set.classes.push(Class { worth: 3.0, ..class(Semantics::Free) });
+    set.classes.push(Class { priority_weight: 3.0, ..class(Idempotency::Idempotent) });
     let mut rig = Rig::new(set, &ready([1]));
     let common = taken(&mut rig, 1..40);
     let mut dear = 0;
@@ -381,7 +395,7 @@
         let id = rig.ask(77);
         assert_eq!(rig.last_cache(id), Some(cache), "round {round}");
         if round % 10 == 5 {
-            assert_eq!(sends(&rig.settle(id, Outcome::Spoilt)), [cache], "it need not be fetched again");
+            assert_eq!(sends(&rig.settle(id, Outcome::Malformed)), [cache], "it need not be fetched again");
         }
         rig.settle(id, Outcome::Served);
     }
@@ -420,7 +434,7 @@
         let id = rig.ask(77);
         while rig.finals(id) == 0 && rig.sent.get(&id.0).is_some_and(|s| s.last() == Some(&cache)) {
             sent += 1;
-            rig.settle(id, Outcome::Spoilt);
+            rig.settle(id, Outcome::Malformed);
         }
         if rig.finals(id) == 0 {
             rig.settle(id, Outcome::Served);
@@ -468,9 +482,18 @@
 
 fn answer(rig: &mut Rig, id: RequestId, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
     let (attempt, cache) = (rig.sent[&id.0].len() as u8 - 1, rig.last_cache(id).unwrap());
-    let load = Load { len: 1, values: [0.3, 0.0, 0.0, 0.0] };
-    let (closed, note) = (outcome == Outcome::Served, Note::Hit);
-    rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }))
+    let load = LoadReport { len: 1, values: [0.3, 0.0, 0.0, 0.0] };
+    let (closed, note) = (outcome == Outcome::Served, CacheStatus::Hit);
+    rig.event(Event::AttemptFinished(AttemptResult {
+        id,
+        attempt,
+        cache,
+        outcome,
+        request_finished: closed,
+        elapsed,
+        cache_status: note,
+        load,
+    }))
 }
 
 #[test]
@@ -548,10 +571,19 @@
         rig.now += 10 * MS;
         while let Some((_, id)) = out.front().copied().filter(|(due, _)| *due <= rig.now) {
             out.pop_front();
-            let load = Load { len: 1, values: [busy, 0.0, 0.0, 0.0] };
+            let load = LoadReport { len: 1, values: [busy, 0.0, 0.0, 0.0] };
             let (attempt, cache, outcome, closed) = (1, ORIGIN, Outcome::Served, true);
-            let (elapsed, note) = (300 * MS, Note::None);
-            rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+            let (elapsed, note) = (300 * MS, CacheStatus::None);
+            rig.event(Event::AttemptFinished(AttemptResult {
+                id,
+                attempt,
+                cache,
+                outcome,
+                request_finished: closed,
+                elapsed,
+                cache_status: note,
+                load,
+            }));
         }
         let id = rig.ask(key);
         rig.settle(id, Outcome::Miss);
--- a/crates/stairfront-policy/tests/retuning.rs
+++ b/crates/stairfront-policy/tests/retuning.rs
@@ -4,37 +4,37 @@
 use common::*;
 use stairfront_policy::interface::*;
 
-fn with(semantics: Semantics, attempts: u8) -> Settings {
+fn with(semantics: Idempotency, attempts: u8) -> Settings {
     let mut set = through();
     set.classes = vec![class(semantics)];
-    set.limits.most_attempts = attempts;
+    set.limits.max_attempts = attempts;
     set
 }
 
 fn retune(rig: &mut Rig, settings: &Settings) {
-    rig.event(Event::Retuned { settings, tenants: &[] });
+    rig.event(Event::SettingsChanged { settings, tenants: &[] });
 }
 
 #[test]
 fn unsafe_that_becomes_safe_is_not_sent_again_while_it_may_have_run() {
-    let mut rig = Rig::new(with(Semantics::SingleShot, 4), &ready(0..4));
+    let mut rig = Rig::new(with(Idempotency::NotIdempotent, 4), &ready(0..4));
     let open = rig.ask(1);
-    retune(&mut rig, &with(Semantics::Free, 4));
+    retune(&mut rig, &with(Idempotency::Idempotent, 4));
     let actions = rig.settle(open, Outcome::Reset);
     assert!(failed(&actions) && sends(&actions).is_empty(), "{actions:?}");
     // One that comes after it goes by the new rules, also when they change back under it.
     let later = rig.ask(1);
-    retune(&mut rig, &with(Semantics::SingleShot, 4));
+    retune(&mut rig, &with(Idempotency::NotIdempotent, 4));
     assert_eq!(sends(&rig.settle(later, Outcome::Reset)).len(), 1);
 }
 
 #[test]
 fn a_keyed_request_stays_bound_to_its_group() {
-    let keyed = Semantics::Guarded { group: Group::Zone, key_ttl: 5 * SECOND };
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Zone, key_ttl: 5 * SECOND };
     let mut rig = Rig::new(with(keyed, 4), &ready(0..4));
     let open = rig.ask(1);
     let first = rig.last_cache(open).unwrap();
-    retune(&mut rig, &with(Semantics::Free, 4));
+    retune(&mut rig, &with(Idempotency::Idempotent, 4));
     for _ in 0..3 {
         let actions = rig.settle(open, Outcome::Reset);
         let again = sends(&actions);
@@ -47,10 +47,10 @@
 
 #[test]
 fn fewer_attempts_than_an_open_request_has_used_end_no_open_request() {
-    let mut rig = Rig::new(with(Semantics::Free, 3), &ready(0..6));
+    let mut rig = Rig::new(with(Idempotency::Idempotent, 3), &ready(0..6));
     let open = rig.ask(1);
     assert_eq!(sends(&rig.settle(open, Outcome::Full)).len(), 1);
-    retune(&mut rig, &with(Semantics::Free, 1));
+    retune(&mut rig, &with(Idempotency::Idempotent, 1));
     assert_eq!(sends(&rig.settle(open, Outcome::Full)).len(), 1, "the third");
     assert!(refused(&rig.settle(open, Outcome::Full)));
     let later = rig.ask(2);
@@ -59,10 +59,14 @@
 
 #[test]
 fn a_new_class_is_served_and_placements_stay() {
-    let mut rig = Rig::new(with(Semantics::Free, 4), &ready(0..6));
+    let mut rig = Rig::new(with(Idempotency::Idempotent, 4), &ready(0..6));
     let before: Vec<CacheId> = (0..100).map(|key| rig.serve(key)).collect();
-    let mut more = with(Semantics::Free, 4);
-    more.classes.push(Class { aim: 100 * MS, deadline: 200 * MS, ..class(Semantics::SingleShot) });
+    let mut more = with(Idempotency::Idempotent, 4);
+    more.classes.push(Class {
+        latency_objective: 100 * MS,
+        deadline: 200 * MS,
+        ..class(Idempotency::NotIdempotent)
+    });
     assert!(failed(&{
         let id = rig.ask_as(1, 7, false);
         rig.out
--- a/crates/stairfront-policy/tests/rules.rs
+++ b/crates/stairfront-policy/tests/rules.rs
@@ -31,7 +31,7 @@
 }
 
 struct Line {
-    member: Member,
+    member: Endpoint,
     /// When this balancer was told that it drains or is gone.
     left: Option<Micros>,
 }
@@ -51,13 +51,13 @@
 }
 
 impl World {
-    fn new(set: Settings, list: &[Member], seed: u64, slow: bool) -> World {
+    fn new(set: Settings, list: &[Endpoint], seed: u64, slow: bool) -> World {
         let policy = Policy::new(set.clone(), seed);
         let lines = list.iter().map(|m| (m.id, Line { member: *m, left: None })).collect();
         let (jobs, now) = (BTreeMap::new(), 100 * SECOND);
         let (timers, probes, faults) = (vec![], vec![], vec![]);
         let mut world = World { set, now, policy, jobs, timers, probes, lines, faults, dice: seed, slow };
-        world.event(Event::List(ListNews::Cached(list)));
+        world.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
         world
     }
 
@@ -87,7 +87,7 @@
     fn judge(&mut self, action: Action) {
         match action {
             Action::Send { id, cache, timeout, .. } => self.judge_send(id, cache, timeout),
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 self.fault_if(!self.may_refuse(id), format!("{id:?} refused though it may have run"));
                 self.end(id);
             }
@@ -100,18 +100,19 @@
                 );
             }
             Action::Timer { delay, token } => self.timers.push((self.now + delay.max(TICK), token)),
-            Action::Probe { cache } => self.probes.push((self.now + 10 * MS, cache)),
+            Action::HealthCheck { cache } => self.probes.push((self.now + 10 * MS, cache)),
             _ => {}
         }
     }
 
-    fn semantics(&self, request: &Request) -> Semantics {
-        self.set.classes[usize::from(request.class.0)].semantics
+    fn semantics(&self, request: &Request) -> Idempotency {
+        self.set.classes[usize::from(request.class.0)].idempotency
     }
 
     /// Attempts that are out or did not prove that they never ran.
     fn may_have_run(&self, job: &Job) -> Vec<Attempt> {
-        let clean = |o| matches!(o, Outcome::Miss | Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let clean =
+            |o| matches!(o, Outcome::Miss | Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent);
         job.attempts.iter().filter(|a| !a.ended.is_some_and(clean)).copied().collect()
     }
 
@@ -123,27 +124,27 @@
         if job.over {
             wrong.push("sent after its end");
         }
-        if job.attempts.iter().any(|a| a.ended.is_none()) && !self.set.limits.may_duplicate {
+        if job.attempts.iter().any(|a| a.ended.is_none()) && !self.set.limits.may_hedge {
             wrong.push("two attempts out");
         }
-        if job.attempts.len() >= usize::from(self.set.limits.most_attempts) {
+        if job.attempts.len() >= usize::from(self.set.limits.max_attempts) {
             wrong.push("too many attempts");
         }
-        let (expires, ran) = (job.request.expires, self.may_have_run(job));
+        let (expires, ran) = (job.request.expires_at, self.may_have_run(job));
         match self.lines.get(&cache) {
             None => wrong.push("to a cache that was never listed"),
-            Some(l) if l.left.is_some_and(|at| now > at + self.set.rules.stop_sending_within) => {
+            Some(l) if l.left.is_some_and(|at| now > at + self.set.rules.drain_grace) => {
                 wrong.push("to a cache that left")
             }
             Some(line) => match self.semantics(&job.request) {
-                Semantics::SingleShot if !ran.is_empty() => wrong.push("single shot sent twice"),
-                Semantics::Guarded { group, key_ttl } => {
+                Idempotency::NotIdempotent if !ran.is_empty() => wrong.push("single shot sent twice"),
+                Idempotency::Keyed { scope, key_ttl } => {
                     for first in &ran {
                         let (a, b) = (&self.lines[&first.cache].member, &line.member);
-                        let same = match group {
-                            Group::All => true,
-                            Group::Zone => a.zone == b.zone,
-                            Group::Cell => a.zone == b.zone && a.cell == b.cell,
+                        let same = match scope {
+                            DeduplicationScope::All => true,
+                            DeduplicationScope::Zone => a.zone == b.zone,
+                            DeduplicationScope::Cell => a.zone == b.zone && a.cell == b.cell,
                         };
                         if !same || now > first.at + key_ttl {
                             wrong.push("keyed repeat outside its group or window");
@@ -177,7 +178,7 @@
     fn may_refuse(&self, id: RequestId) -> bool {
         let Some(job) = self.jobs.get(&id.0) else { return false };
         match self.semantics(&job.request) {
-            Semantics::Free | Semantics::Guarded { group: Group::All, .. } => true,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
             _ => self.may_have_run(job).is_empty(),
         }
     }
@@ -189,7 +190,7 @@
             return self.fault(format!("{id:?} was never given"));
         };
         job.answered += 1;
-        let (again, late) = (job.over, now > job.request.expires + slack);
+        let (again, late) = (job.over, now > job.request.expires_at + slack);
         job.over = true;
         if again || late {
             self.fault(format!("{id:?} answered {}", if again { "twice" } else { "too late" }));
@@ -203,7 +204,8 @@
         let (key, tenant) = (Some(Key(1 + self.roll(40))), TenantId(self.roll(3) as u32));
         let write = self.roll(8) == 0;
         let id = RequestId(id);
-        let request = Request { id, class: ClassId(class), tenant, key, expires, write, repeat: false };
+        let request =
+            Request { id, class: ClassId(class), tenant, key, expires_at: expires, write, retry: false };
         self.jobs.insert(id.0, Job { request, attempts: vec![], over: false, answered: 0 });
         self.event(Event::Request(request));
     }
@@ -214,14 +216,15 @@
         let turn = self.roll(4);
         let Some(line) = self.lines.get_mut(&id).filter(|_| id != ORIGIN) else { return };
         let state =
-            [MemberState::Ready, MemberState::Ready, MemberState::Draining, MemberState::Gone][turn as usize];
+            [EndpointState::Ready, EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
+                [turn as usize];
         line.member.state = state;
-        line.left = if state == MemberState::Ready { None } else { line.left.or(Some(self.now)) };
+        line.left = if state == EndpointState::Ready { None } else { line.left.or(Some(self.now)) };
         if turn == 0 {
-            line.member.born = self.now - SECOND;
+            line.member.incarnation = self.now - SECOND;
         }
         let news = [line.member];
-        self.event(Event::List(ListNews::Delta(&news)));
+        self.event(Event::EndpointList(EndpointListUpdate::Delta(&news)));
     }
 
     /// One tick: what ends or fires now, and clients that leave.
@@ -242,10 +245,15 @@
         self.probes.retain(|(at, _)| *at > now);
         for cache in probed {
             let outcome = if self.roll(2) == 0 { Outcome::Served } else { Outcome::ConnectFailed };
-            self.event(Event::Probed { cache, outcome, elapsed: 10 * MS, load: Load::default() });
+            self.event(Event::HealthChecked {
+                cache,
+                outcome,
+                elapsed: 10 * MS,
+                load: LoadReport::default(),
+            });
         }
         let slack = self.set.rules.answer_slack;
-        let lost = |j: &Job| !j.over && now > j.request.expires + slack;
+        let lost = |j: &Job| !j.over && now > j.request.expires_at + slack;
         let lost: Vec<u32> = self.jobs.iter().filter(|(_, j)| lost(j)).map(|(id, _)| *id).collect();
         for id in lost {
             self.fault(format!("request {id} got no answer in time"));
@@ -262,24 +270,34 @@
         if outcome == Outcome::Served && !job.over {
             (job.over, job.answered) = (true, job.answered + 1);
         }
-        let (closed, note, load) = (job.over, Note::None, Load::default());
+        let (closed, note, load) = (job.over, CacheStatus::None, LoadReport::default());
         let (id, attempt) = (RequestId(id), i as u8);
-        self.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+        self.event(Event::AttemptFinished(AttemptResult {
+            id,
+            attempt,
+            cache,
+            outcome,
+            request_finished: closed,
+            elapsed,
+            cache_status: note,
+            load,
+        }));
     }
 }
 
 fn any_settings(aside_mode: bool, ask: bool, group: u8, probes: bool, tries: u8) -> Settings {
     let mut set = if aside_mode { aside() } else { through() };
-    let group = [Group::All, Group::Zone, Group::Cell][usize::from(group % 3)];
-    let guarded = Semantics::Guarded { group, key_ttl: 250 * MS };
-    set.classes = vec![class(Semantics::Free), class(guarded), class(Semantics::SingleShot)];
-    set.classes[1].late_worth = 0.5;
-    set.classes[2].late_worth = if tries > 3 { 0.5 } else { 0.0 };
-    set.discovery = if ask { Discovery::Ask } else { Discovery::Push };
+    let group =
+        [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][usize::from(group % 3)];
+    let guarded = Idempotency::Keyed { scope: group, key_ttl: 250 * MS };
+    set.classes = vec![class(Idempotency::Idempotent), class(guarded), class(Idempotency::NotIdempotent)];
+    set.classes[1].late_weight = 0.5;
+    set.classes[2].late_weight = if tries > 3 { 0.5 } else { 0.0 };
+    set.discovery = if ask { DiscoveryMode::Poll } else { DiscoveryMode::Push };
     set.limits.may_probe = probes;
-    set.limits.most_attempts = tries;
+    set.limits.max_attempts = tries;
     set.tenants = (0..3).map(|_| Tenant { quota_per_s: 20.0, share: 0.3 }).collect();
-    set.over_share_worth = 0.1;
+    set.over_share_weight = 0.1;
     set
 }
 
--- a/crates/stairfront-policy/tests/scale.rs
+++ b/crates/stairfront-policy/tests/scale.rs
@@ -13,7 +13,8 @@
 fn tier(balancers: u16, mut set: Settings) -> Vec<Rig> {
     set.balancers = balancers;
     let rig = |me| {
-        let mut rig = Rig::seeded(Settings { me, ..set.clone() }, &ready(1..=CACHES), u64::from(me) * 7_919);
+        let mut rig =
+            Rig::seeded(Settings { instance: me, ..set.clone() }, &ready(1..=CACHES), u64::from(me) * 7_919);
         rig.now = 100 * SECOND;
         rig
     };
@@ -29,10 +30,10 @@
     for i in 0..(warm + seconds * SECOND) / step {
         let now = 100 * SECOND + i * step;
         if now == born {
-            let line = [Member { born, ..member(COLD.0, MemberState::Ready) }];
+            let line = [Endpoint { incarnation: born, ..member(COLD.0, EndpointState::Ready) }];
             rigs.iter_mut().for_each(|rig| {
                 rig.now = now;
-                rig.event(Event::List(ListNews::Delta(&line)));
+                rig.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
             });
         }
         let rig = &mut rigs[(i * 101 % i64::from(balancers)) as usize];
@@ -54,11 +55,11 @@
     let rules = through().rules;
     for balancers in [4, 50, 400] {
         let sent = cold_sends(balancers, 8);
-        let span = (rules.fall / (SECOND / 10)) as usize;
+        let span = (rules.overload_window / (SECOND / 10)) as usize;
         for (i, window) in sent.windows(span).enumerate() {
-            let age = i as f64 / 10.0 / (rules.warm_up as f64 / SECOND as f64);
-            let part = rules.cold_from + (1.0 - rules.cold_from) * age;
-            let budget = rules.fall_multiple * part * (LOAD * rules.fall / SECOND) as f64;
+            let age = i as f64 / 10.0 / (rules.slow_start_window as f64 / SECOND as f64);
+            let part = rules.slow_start_floor + (1.0 - rules.slow_start_floor) * age;
+            let budget = rules.overload_multiple * part * (LOAD * rules.overload_window / SECOND) as f64;
             let sum: usize = window.iter().sum();
             assert!((sum as f64) < budget, "{balancers} balancers, from {i}: {sum} of {budget:.0}; {sent:?}");
         }
@@ -80,17 +81,17 @@
 #[test]
 fn a_burst_from_all_balancers_at_once_does_not_push_a_cold_cache_over() {
     let (balancers, mut set) = (400, through());
-    set.rules.warm_up = 60 * SECOND;
+    set.rules.slow_start_window = 60 * SECOND;
     let (rules, mut rigs) = (set.rules.clone(), tier(balancers, set));
     let home = rigs[0].serve(5);
-    let (born, age) = (120 * SECOND, rules.warm_up / 2);
-    let line = [Member { born, ..member(home.0, MemberState::Ready) }];
+    let (born, age) = (120 * SECOND, rules.slow_start_window / 2);
+    let line = [Endpoint { incarnation: born, ..member(home.0, EndpointState::Ready) }];
     for rig in &mut rigs {
         // A request every two seconds, which saves up tokens for the cold cache.
         for i in 0..25 {
             rig.now = born - 20 * SECOND + i * 2 * SECOND;
             if rig.now == born {
-                rig.event(Event::List(ListNews::Delta(&line)));
+                rig.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
             }
             let key = (1_000 * (1 + i as u64)..).find(|key| !may_go_to(*key, home));
             rig.serve(key.expect("keys do not end"));
@@ -104,8 +105,8 @@
     let sent: usize = rigs.iter_mut().map(asks).sum();
     // Each sends half a request a second to ten caches: that much a warm cache has from all of them together.
     let warm = f64::from(balancers) * 0.5 / CACHES as f64;
-    let part = rules.cold_from + (1.0 - rules.cold_from) / 2.0;
-    let budget = rules.fall_multiple * part * warm * (rules.fall / SECOND) as f64;
+    let part = rules.slow_start_floor + (1.0 - rules.slow_start_floor) / 2.0;
+    let budget = rules.overload_multiple * part * warm * (rules.overload_window / SECOND) as f64;
     assert!((sent as f64) < budget, "{sent} at once, {budget:.0} allowed");
     assert!(sent > 0, "but it gets some");
 }
@@ -115,7 +116,7 @@
 #[test]
 fn first_calls_to_discovery_are_spread_and_come_within_the_time_allowed() {
     let mut set = through();
-    set.discovery = Discovery::Ask;
+    set.discovery = DiscoveryMode::Poll;
     let delays = |balancers| -> Vec<Micros> {
         let delay = |rig: &Rig| {
             let timer = |a: &Action| match a {
@@ -129,7 +130,7 @@
     for balancers in [3, 50, 400] {
         let delays = delays(balancers);
         let last = delays.iter().max().copied().unwrap_or(0);
-        assert!(last < set.rules.ask_every * 3 / 4, "{balancers} balancers: the last after {last}");
+        assert!(last < set.rules.poll_interval * 3 / 4, "{balancers} balancers: the last after {last}");
         let first = delays.iter().filter(|d| **d < SECOND).count();
         assert!(
             balancers == 3 || first < delays.len() / 4,
@@ -155,8 +156,17 @@
     assert_eq!(rig.last_cache(id), Some(home));
     rig.now += 900 * MS;
     let (attempt, outcome, closed, elapsed) = (0, Outcome::TimedOut, true, 900 * MS);
-    let (cache, note, load) = (home, Note::None, Load::default());
-    rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+    let (cache, note, load) = (home, CacheStatus::None, LoadReport::default());
+    rig.event(Event::AttemptFinished(AttemptResult {
+        id,
+        attempt,
+        cache,
+        outcome,
+        request_finished: closed,
+        elapsed,
+        cache_status: note,
+        load,
+    }));
     rig.now += 3 * SECOND;
     assert_ne!(rig.serve(5), home, "three answer times later it still rests");
 }
@@ -167,7 +177,7 @@
 fn with_few_requests_only_the_tenant_beyond_its_share_is_shed() {
     let mut set = through();
     set.balancers = 400;
-    set.over_share_worth = 0.05;
+    set.over_share_weight = 0.05;
     set.tenants = (0..4).map(|_| Tenant { quota_per_s: 50.0, share: 0.25 }).collect();
     let mut rig = Rig::new(set, &ready(1..=CACHES));
     let mut shed = [0; 4];
--- a/crates/stairfront-settings/src/lib.rs
+++ b/crates/stairfront-settings/src/lib.rs
@@ -8,8 +8,8 @@
 
 use serde::Deserialize;
 use stairfront_policy::interface::{
-    CacheMode, Class, Discovery, Group, Kind, Limits, Micros, ReportField, Rules, Semantics, Settings, Tail,
-    Tenant, Zone, MS,
+    CacheMode, Class, DeduplicationScope, DiscoveryMode, Idempotency, Kind, Limits, Micros, ReportField,
+    Rules, Settings, TailLatency, Tenant, Zone, MS,
 };
 
 /// What a key of the settings has that it should not have.
@@ -256,25 +256,25 @@
         Err(SettingsError::new(format!("profiles[{i}].{key}"), format!("unknown word {word:?}")))
     };
     let semantics = match raw.semantics.as_str() {
-        "free" => Semantics::Free,
-        "single_shot" => Semantics::SingleShot,
-        "guarded" => Semantics::Guarded {
+        "free" => Idempotency::Idempotent,
+        "single_shot" => Idempotency::NotIdempotent,
+        "guarded" => Idempotency::Keyed {
             key_ttl: us(raw.key_ttl),
-            group: match raw.group.as_str() {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+            scope: match raw.group.as_str() {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 other => return unknown("group", other),
             },
         },
         other => return unknown("semantics", other),
     };
     Ok(Class {
-        semantics,
-        aim: us(raw.aim),
+        idempotency: semantics,
+        latency_objective: us(raw.aim),
         deadline: us(raw.deadline),
-        worth: raw.worth,
-        late_worth: raw.late_worth,
+        priority_weight: raw.worth,
+        late_weight: raw.late_worth,
         stream: raw.stream,
     })
 }
@@ -364,16 +364,19 @@
     fn settings(&self, mode: CacheMode, classes: Vec<Class>) -> Settings {
         let tenant = |t: &RawTenant| Tenant { quota_per_s: t.quota_rps, share: t.share };
         Settings {
-            me: self.me,
+            instance: self.me,
             balancers: self.replicas_of_me.max(1),
             zone: Zone(self.locality),
             tick: us(self.tick),
             mode,
-            discovery: if self.registry_mode == "ask" { Discovery::Ask } else { Discovery::Push },
+            discovery: if self.registry_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push },
             classes,
             tenants: self.tenants.iter().map(tenant).collect(),
-            over_share_worth: self.over_share_worth,
-            tail: Tail { weight: self.score_parts.slow_end, borne: self.score_parts.borne_misses },
+            over_share_weight: self.over_share_worth,
+            tail: TailLatency {
+                weight: self.score_parts.slow_end,
+                tolerated_fraction: self.score_parts.borne_misses,
+            },
             limits: self.caps.limits(),
             rules: self.rules.rules(),
             report: self.report.fields.iter().map(|name| field(name)).collect(),
@@ -385,11 +388,11 @@
 impl RawCaps {
     fn limits(&self) -> Limits {
         Limits {
-            most_attempts: self.most_tries,
-            may_duplicate: self.may_duplicate,
+            max_attempts: self.most_tries,
+            may_hedge: self.may_duplicate,
             may_cancel: self.cancel,
             may_probe: self.probes,
-            may_tell: self.peer_messages,
+            may_gossip: self.peer_messages,
             max_retry_after: if self.retry_after { us(self.max_retry_after) } else { 0 },
             connect_timeout: us(self.connect_timeout),
         }
@@ -400,13 +403,13 @@
     fn rules(&self) -> Rules {
         Rules {
             answer_slack: us(self.answer_slack),
-            ask_every: us(self.ask_every),
-            stop_sending_within: us(self.stop_sending_within),
-            dropped_stay_open: self.dropped_stay_open,
-            cold_from: self.cold_from,
-            warm_up: us(self.warm_up),
-            fall_multiple: self.fall_multiple,
-            fall: us(self.fall),
+            poll_interval: us(self.ask_every),
+            drain_grace: us(self.stop_sending_within),
+            removal_is_advisory: self.dropped_stay_open,
+            slow_start_floor: self.cold_from,
+            slow_start_window: us(self.warm_up),
+            overload_multiple: self.fall_multiple,
+            overload_window: us(self.fall),
         }
     }
 }
--- a/crates/stairfront-settings/src/retune.rs
+++ b/crates/stairfront-settings/src/retune.rs
@@ -54,7 +54,7 @@
         let kept = &in_use.settings;
         let settings = Settings {
             classes,
-            me: kept.me,
+            instance: kept.instance,
             balancers: kept.balancers,
             zone: kept.zone,
             mode: kept.mode,
--- a/crates/stairfront-settings/tests/settings.rs
+++ b/crates/stairfront-settings/tests/settings.rs
@@ -1,6 +1,8 @@
 //! The settings: defaults, units and errors that name the key at fault.
 use serde_json::{json, Value};
-use stairfront_policy::interface::{CacheMode, Discovery, Group, Kind, Semantics, Tail, Zone, MS, SECOND};
+use stairfront_policy::interface::{
+    CacheMode, DeduplicationScope, DiscoveryMode, Idempotency, Kind, TailLatency, Zone, MS, SECOND,
+};
 use stairfront_settings::Start;
 
 fn least() -> Value {
@@ -11,9 +13,9 @@
 fn absent_keys_get_their_defaults() {
     let start = Start::from_value(least()).unwrap();
     let settings = &start.settings;
-    assert_eq!((settings.mode, settings.discovery), (CacheMode::Through, Discovery::Push));
-    assert_eq!((settings.balancers, settings.limits.most_attempts, settings.zone), (1, 1, Zone(0)));
-    assert_eq!((settings.classes[0].worth, settings.classes[0].late_worth), (1.0, 0.0));
+    assert_eq!((settings.mode, settings.discovery), (CacheMode::Through, DiscoveryMode::Push));
+    assert_eq!((settings.balancers, settings.limits.max_attempts, settings.zone), (1, 1, Zone(0)));
+    assert_eq!((settings.classes[0].priority_weight, settings.classes[0].late_weight), (1.0, 0.0));
     assert_eq!((start.host.open_requests, start.host.idle), (20_000, 15 * SECOND));
     assert!(!settings.sized);
 }
@@ -34,10 +36,13 @@
     text["report"] = json!({"fields": ["utilization", "x1"]});
     let start = Start::from_text(&text.to_string()).unwrap();
     let settings = &start.settings;
-    assert_eq!((settings.tick, settings.zone, settings.discovery), (5 * MS, Zone(2), Discovery::Ask));
+    assert_eq!((settings.tick, settings.zone, settings.discovery), (5 * MS, Zone(2), DiscoveryMode::Poll));
     assert_eq!(settings.mode, CacheMode::Aside { origin: Kind(2) });
     assert_eq!(settings.limits.max_retry_after, 1500 * MS);
-    assert_eq!(settings.classes[0].semantics, Semantics::Guarded { group: Group::Zone, key_ttl: 600 * MS });
+    assert_eq!(
+        settings.classes[0].idempotency,
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, key_ttl: 600 * MS }
+    );
     assert_eq!(start.host.idle, 60 * SECOND);
     assert_eq!((start.names.classes, start.names.tenants), (vec!["read".into()], vec!["acme".into()]));
     assert_eq!(start.names.report, ["utilization", "x1"]);
@@ -83,11 +88,11 @@
 fn one_build_reads_each_shape_from_its_settings() {
     let read = |name| Start::from_value(shape(name)).unwrap().settings;
     let [old, through, silent] = SHAPES.map(read);
-    assert_eq!((old.mode, old.discovery), (CacheMode::Aside { origin: Kind(2) }, Discovery::Push));
-    assert_eq!(old.tail, Tail::default(), "what the settings do not weigh does not count");
-    assert_eq!((through.mode, through.discovery), (CacheMode::Through, Discovery::Ask));
+    assert_eq!((old.mode, old.discovery), (CacheMode::Aside { origin: Kind(2) }, DiscoveryMode::Push));
+    assert_eq!(old.tail, TailLatency::default(), "what the settings do not weigh does not count");
+    assert_eq!((through.mode, through.discovery), (CacheMode::Through, DiscoveryMode::Poll));
     assert_eq!((silent.mode, silent.report.len()), (CacheMode::Aside { origin: Kind(1) }, 0));
-    assert_eq!(silent.tail, Tail { weight: 0.3, borne: 0.01 });
+    assert_eq!(silent.tail, TailLatency { weight: 0.3, tolerated_fraction: 0.01 });
 }
 
 /// Danger: a move half done would start, with one shape's fetches and the other's list.
--- a/crates/stairfront-wirehost/src/host.rs
+++ b/crates/stairfront-wirehost/src/host.rs
@@ -3,7 +3,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use rustc_hash::FxHashMap;
-use stairfront_policy::interface::{Action, Event, ListNews, Member, Micros};
+use stairfront_policy::interface::{Action, Endpoint, EndpointListUpdate, Event, Micros};
 use stairfront_policy::Policy;
 use stairfront_settings::Start;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Policy>,
-    sheets: FxHashMap<u16, Vec<Member>>,
+    sheets: FxHashMap<u16, Vec<Endpoint>>,
     actions: Vec<Action>,
 }
 
@@ -62,22 +62,24 @@
                         return Err(FrameError::Field { record, field: "ref", problem });
                     }
                 };
-                Event::List(match scope {
-                    Scope::Delta => ListNews::Delta(lines),
-                    Scope::Full => ListNews::Full(lines),
-                    Scope::Cached => ListNews::Cached(lines),
-                    Scope::Failed => ListNews::Failed,
+                Event::EndpointList(match scope {
+                    Scope::Delta => EndpointListUpdate::Delta(lines),
+                    Scope::Full => EndpointListUpdate::Full(lines),
+                    Scope::Cached => EndpointListUpdate::Cached(lines),
+                    Scope::Failed => EndpointListUpdate::Failed,
                 })
             }
             WireEvent::WorkItem { request, .. } => Event::Request(request),
-            WireEvent::Settled { settled, .. } => Event::Settled(settled),
+            WireEvent::Settled { settled, .. } => Event::AttemptFinished(settled),
             WireEvent::Fired { nonce, .. } => Event::Timer { token: nonce },
-            WireEvent::Withdrawn { id, .. } => Event::ClientGone { id },
-            WireEvent::HeadReceived { id, attempt, .. } => Event::Begun { id, attempt },
+            WireEvent::Withdrawn { id, .. } => Event::ClientDisconnected { id },
+            WireEvent::HeadReceived { id, attempt, .. } => Event::ResponseStarted { id, attempt },
             WireEvent::HealthResult { cache, outcome, elapsed, load, .. } => {
-                Event::Probed { cache, outcome, elapsed, load }
+                Event::HealthChecked { cache, outcome, elapsed, load }
+            }
+            WireEvent::NeighbourSays { author, content, .. } => {
+                Event::PeerMessage { from: author, body: content }
             }
-            WireEvent::NeighbourSays { author, content, .. } => Event::Peer { from: author, body: content },
             WireEvent::Sheet { .. } => return Ok(()),
         };
         let Some(policy) = self.instances.get_mut(&instance) else {
--- a/crates/stairfront-wirehost/src/wire.rs
+++ b/crates/stairfront-wirehost/src/wire.rs
@@ -3,8 +3,8 @@
 use std::io::{self, Read};
 
 use stairfront_policy::interface::{
-    Action, CacheId, Cell, ClassId, Key, Kind, Load, Member, MemberState, Micros, Note, Outcome, Request,
-    RequestId, Settled, TenantId, Zone,
+    Action, AttemptResult, CacheId, CacheStatus, Cell, ClassId, Endpoint, EndpointState, Key, Kind,
+    LoadReport, Micros, Outcome, Request, RequestId, TenantId, Zone,
 };
 
 pub const BATCH_HEADER: usize = 16;
@@ -135,13 +135,13 @@
 pub enum WireEvent<'a> {
     Sheet { sheet: u16, lines: &'a [u8], record: usize },
     WorkItem { instance: u16, request: Request },
-    Settled { instance: u16, settled: Settled },
+    Settled { instance: u16, settled: AttemptResult },
     Fired { instance: u16, nonce: u64 },
     Withdrawn { instance: u16, id: RequestId },
     RosterChange { instance: u16, sheet: u16, version: u32, scope: Scope },
     Boot { instance: u16, seed: u64, params: &'a str },
     HeadReceived { instance: u16, id: RequestId, attempt: u8, cache: CacheId, elapsed: Micros },
-    HealthResult { instance: u16, cache: CacheId, outcome: Outcome, elapsed: Micros, load: Load },
+    HealthResult { instance: u16, cache: CacheId, outcome: Outcome, elapsed: Micros, load: LoadReport },
     Killed { instance: u16 },
     NeighbourSays { instance: u16, author: u32, content: &'a [u8] },
 }
@@ -222,7 +222,7 @@
                 self.error(field, format!("offset {offset}, length {len} outside a tail of {room} bytes"))
             })
     }
-    fn load(&self, at: usize) -> Result<Load, FrameError> {
+    fn load(&self, at: usize) -> Result<LoadReport, FrameError> {
         let len = self.u8(at);
         if len > 4 {
             return Err(self.error("feedback", format!("{len} values, 4 at most")));
@@ -231,13 +231,13 @@
         for (i, value) in values.iter_mut().enumerate().take(len as usize) {
             *value = self.f32(at + 1 + 4 * i);
         }
-        Ok(Load { len, values })
+        Ok(LoadReport { len, values })
     }
     fn outcome(&self, at: usize) -> Result<Outcome, FrameError> {
         Ok(match self.u8(at) {
             0 => Outcome::Served,
             1 => Outcome::Miss,
-            249 => Outcome::Moot,
+            249 => Outcome::NeverSent,
             250 => Outcome::Cancelled,
             251 => Outcome::Reset,
             252 => Outcome::ConnectFailed,
@@ -307,22 +307,22 @@
             class: ClassId(self.u8(7)),
             tenant: TenantId(self.u32(8)),
             key: (key != 0).then_some(Key(key)),
-            expires: self.time(20, "expires")?,
-            repeat: options & 2 != 0,
+            expires_at: self.time(20, "expires")?,
+            retry: options & 2 != 0,
             write: options & 4 != 0,
         })
     }
-    fn settled(&self) -> Result<Settled, FrameError> {
-        Ok(Settled {
+    fn settled(&self) -> Result<AttemptResult, FrameError> {
+        Ok(AttemptResult {
             id: RequestId(self.u32(3)),
             elapsed: self.time(7, "time_taken")?,
-            closed: self.u8(15) != 0,
+            request_finished: self.u8(15) != 0,
             attempt: self.u8(16),
-            note: match self.u8(17) {
-                0 => Note::None,
-                1 => Note::Hit,
-                2 => Note::Fetched,
-                3 => Note::FetchPending,
+            cache_status: match self.u8(17) {
+                0 => CacheStatus::None,
+                1 => CacheStatus::Hit,
+                2 => CacheStatus::Fetched,
+                3 => CacheStatus::FetchPending,
                 other => return Err(self.error("info", format!("unknown note {other}"))),
             },
             outcome: self.outcome(18)?,
@@ -333,19 +333,19 @@
 }
 
 /// Decodes the lines of a `SHEET`.
-pub fn members(lines: &[u8], record: usize, out: &mut Vec<Member>) -> Result<(), FrameError> {
+pub fn members(lines: &[u8], record: usize, out: &mut Vec<Endpoint>) -> Result<(), FrameError> {
     out.clear();
     for bytes in lines.chunks_exact(LINE_SIZE) {
         let line = Record { bytes, index: record };
-        out.push(Member {
+        out.push(Endpoint {
             size: line.f32(0),
             id: line.cache(4),
-            born: line.time(10, "born")?,
+            incarnation: line.time(10, "born")?,
             zone: Zone(line.u8(18)),
             state: match line.u8(19) {
-                0 => MemberState::Gone,
-                1 => MemberState::Ready,
-                2 => MemberState::Draining,
+                0 => EndpointState::Removed,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 other => return Err(line.error("mode", format!("unknown state {other}"))),
             },
             cell: Cell(line.u16(20)),
@@ -388,7 +388,7 @@
                 put_ms(&mut record, 13, *timeout);
                 1
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 record[3..7].copy_from_slice(&id.0.to_le_bytes());
                 put_ms(&mut record, 7, *retry_after);
                 2
@@ -407,7 +407,7 @@
                 record[11..19].copy_from_slice(&token.to_le_bytes());
                 5
             }
-            Action::Probe { cache } => {
+            Action::HealthCheck { cache } => {
                 put_cache(&mut record, 3, *cache);
                 6
             }
@@ -415,7 +415,7 @@
                 put_cache(&mut record, 3, *cache);
                 7
             }
-            Action::Tell { peer, body } => {
+            Action::SendToPeer { peer, body } => {
                 record[3..5].copy_from_slice(&peer.unwrap_or(u16::MAX).to_le_bytes());
                 self.put_tail(&mut record, 5, body);
                 8
@@ -424,11 +424,11 @@
                 self.put_tail(&mut record, 3, text.as_bytes());
                 9
             }
-            Action::Subscribe(on) => {
+            Action::Watch(on) => {
                 record[3] = u8::from(*on);
                 11
             }
-            Action::FetchList => 12,
+            Action::PollList => 12,
         };
         self.records.extend_from_slice(&record);
     }
--- a/crates/stairfront-wirehost/tests/codec.rs
+++ b/crates/stairfront-wirehost/tests/codec.rs
@@ -68,9 +68,9 @@
         class: ClassId(0),
         tenant: TenantId(0),
         key: Some(Key(0x91f0_3b7c_55d2_0a64)),
-        expires: 8_652_250,
+        expires_at: 8_652_250,
         write: false,
-        repeat: false,
+        retry: false,
     };
     assert_eq!(events[0], WireEvent::WorkItem { instance: 3, request });
     assert_eq!(events[1], WireEvent::Fired { instance: 3, nonce: 77 });
@@ -81,7 +81,7 @@
 fn the_pages_reply_of_three_actions() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a91c4);
-    reply.push(3, &Action::Send { id, cache: cache("0a124a072b23"), timeout: 80 * MS, lapses: None });
+    reply.push(3, &Action::Send { id, cache: cache("0a124a072b23"), timeout: 80 * MS, send_within: None });
     reply.push(5, &Action::Timer { delay: 500 * MS, token: 77 });
     reply.push(9, &Action::Log("two servers known".to_string()));
     let mut want = hex("03000000 61000000");
@@ -96,16 +96,16 @@
 fn every_action_stands_at_its_offsets() {
     let (id, host) = (RequestId(0x0e6f2b19), cache("0a9011f2 5423"));
     let cases = [
-        (Action::Refuse { id, retry_after: 250 * MS }, "02 0300 192b6f0e 0000000000406f40"),
+        (Action::Reject { id, retry_after: 250 * MS }, "02 0300 192b6f0e 0000000000406f40"),
         (Action::Fail { id }, "03 0300 192b6f0e"),
         (Action::Cancel { id: RequestId(0x5d3a91c4), attempt: 2 }, "04 0300 c4913a5d 02"),
-        (Action::Probe { cache: host }, "06 0300 0a9011f2 5423"),
+        (Action::HealthCheck { cache: host }, "06 0300 0a9011f2 5423"),
         (Action::Disconnect { cache: host }, "07 0300 0a9011f2 5423"),
-        (Action::Tell { peer: None, body: b"hi 7".to_vec() }, "08 0300 ffff 00000000 04000000"),
-        (Action::Tell { peer: Some(2), body: b"hi 7".to_vec() }, "08 0300 0200 00000000 04000000"),
-        (Action::Subscribe(true), "0b 0300 01"),
-        (Action::Subscribe(false), "0b 0300 00"),
-        (Action::FetchList, "0c 0300"),
+        (Action::SendToPeer { peer: None, body: b"hi 7".to_vec() }, "08 0300 ffff 00000000 04000000"),
+        (Action::SendToPeer { peer: Some(2), body: b"hi 7".to_vec() }, "08 0300 0200 00000000 04000000"),
+        (Action::Watch(true), "0b 0300 01"),
+        (Action::Watch(false), "0b 0300 00"),
+        (Action::PollList, "0c 0300"),
     ];
     for (action, want) in cases {
         let mut reply = Reply::default();
@@ -136,16 +136,16 @@
     );
     let batch = Batch::parse(&bytes).unwrap();
     let events: Vec<_> = batch.events().map(Result::unwrap).collect();
-    let load = Load { len: 3, values: [140.0, 0.62, 1.25, 0.0] };
+    let load = LoadReport { len: 3, values: [140.0, 0.62, 1.25, 0.0] };
     let (id, host) = (RequestId(0x5d3a91c4), cache("0a124a072b23"));
-    let settled = Settled {
+    let settled = AttemptResult {
         id,
         attempt: 0,
         cache: host,
         outcome: Outcome::Served,
-        closed: true,
+        request_finished: true,
         elapsed: 18_500,
-        note: Note::None,
+        cache_status: CacheStatus::None,
         load,
     };
     let probed = cache("0a9011f25423");
@@ -172,19 +172,19 @@
     );
     let mut out = vec![];
     wire::members(&lines, 0, &mut out).unwrap();
-    let first = Member {
+    let first = Endpoint {
         id: cache("0a124a072b23"),
-        state: MemberState::Ready,
-        born: 0,
+        state: EndpointState::Ready,
+        incarnation: 0,
         zone: Zone(0),
         cell: Cell(0),
         kind: Kind(0),
         size: 1.0,
     };
-    let second = Member {
+    let second = Endpoint {
         id: cache("0a9011f25423"),
-        state: MemberState::Draining,
-        born: 6_100_000,
+        state: EndpointState::Draining,
+        incarnation: 6_100_000,
         zone: Zone(1),
         cell: Cell(3),
         kind: Kind(2),
