--- a/crates/stairfront-operations/tests/host_registry.rs
+++ b/crates/stairfront-admin-api/tests/host_registry.rs
@@ -1,5 +1,5 @@
 //! Names are remembered in a bound, and the bound forgets nobody who matters; records are read whole or not at all.
-use stairfront_operations::{record, HostRegistry, Unknown};
+use stairfront_admin_api::{record, HostRegistry, Unknown};
 use stairfront_policy::interface::CacheId;
 
 #[test]
--- a/crates/stairfront-balancer/src/cache_host.rs
+++ b/crates/stairfront-balancer/src/cache_host.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::part::Part;
+use stairfront_codec::resp::{put_bulk, put_number, PartReader, RespError, Value};
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
-use stairfront_wire::budget::Budget;
-use stairfront_wire::part::Part;
-use stairfront_wire::resp::{put_bulk, put_number, PartReader, RespError, Value};
 use tokio_util::codec::{Decoder, Encoder};
 
 use crate::connection::Speech;
--- a/crates/stairfront-balancer/src/caches.rs
+++ b/crates/stairfront-balancer/src/caches.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
+use stairfront_codec::budget::Budget;
 use stairfront_policy::interface::{CacheId, Outcome};
-use stairfront_wire::budget::Budget;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
--- a/crates/stairfront-balancer/src/clients.rs
+++ b/crates/stairfront-balancer/src/clients.rs
@@ -12,9 +12,9 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::{FutureExt, Sink, SinkExt, StreamExt};
+use stairfront_codec::budget::{Budget, Claim};
+use stairfront_codec::resp::{put_bulk, put_line, put_number, shrink, CommandReader, RespError};
 use stairfront_policy::interface::RequestId;
-use stairfront_wire::budget::{Budget, Claim};
-use stairfront_wire::resp::{put_bulk, put_line, put_number, shrink, CommandReader, RespError};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, watch, AcquireError, Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::task::{spawn_local, yield_now};
--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/config.rs
@@ -6,9 +6,9 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use stairfront_members::{RawMembership, DESCRIPTORS};
+use stairfront_membership_agent::{RawMembership, DESCRIPTORS};
+use stairfront_raft_node::{RawAgreement, STORE_DESCRIPTORS};
 use stairfront_settings::{Start, NOT_RETUNED};
-use stairfront_voters::{RawAgreement, STORE_DESCRIPTORS};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::limits::{Memory, Sockets, MOST_SOCKETS};
--- a/crates/stairfront-balancer/src/connection.rs
+++ b/crates/stairfront-balancer/src/connection.rs
@@ -8,10 +8,10 @@
 
 use bytes::Buf;
 use futures_util::{SinkExt, StreamExt};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::part::Part;
+use stairfront_codec::resp::shrink;
 use stairfront_policy::interface::Outcome;
-use stairfront_wire::budget::Budget;
-use stairfront_wire::part::Part;
-use stairfront_wire::resp::shrink;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::codec::{Decoder, Encoder, Framed};
--- a/crates/stairfront-balancer/src/cordon_record.rs
+++ b/crates/stairfront-balancer/src/cordon_record.rs
@@ -2,7 +2,7 @@
 use std::io::{self, ErrorKind, Write as _};
 use std::path::{Path, PathBuf};
 
-use stairfront_operations::record;
+use stairfront_admin_api::record;
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/stairfront-balancer/src/discovery.rs
+++ b/crates/stairfront-balancer/src/discovery.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::http::{Body, HttpCodec, HttpError, Request};
 use stairfront_settings::Names;
-use stairfront_wire::budget::Budget;
-use stairfront_wire::http::{Body, HttpCodec, HttpError, Request};
 use tokio::sync::{mpsc, watch, Notify};
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use rustc_hash::{FxHashMap, FxHashSet};
-use stairfront_members::{Members, Told};
-use stairfront_operations::{Done, HostRegistry, Order, Word};
+use stairfront_admin_api::{Done, HostRegistry, Order, Word};
+use stairfront_membership_agent::{Members, Told};
 use stairfront_overload::Door;
 use stairfront_policy::interface::{
     Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport, Micros,
--- a/crates/stairfront-balancer/src/group.rs
+++ b/crates/stairfront-balancer/src/group.rs
@@ -1,9 +1,9 @@
-//! What the group of balancers has this one do, on its way from the member (`stairfront-members`) to the engine. The
+//! What the group of balancers has this one do, on its way from the member (`stairfront-membership-agent`) to the engine. The
 //! engine hears it as orders and inputs; nobody who serves waits for it.
 use std::rc::Rc;
 
-use stairfront_members::{Members, Turn};
-use stairfront_operations::{Done, Order, Word};
+use stairfront_admin_api::{Done, Order, Word};
+use stairfront_membership_agent::{Members, Turn};
 use tokio::sync::{mpsc, oneshot, Notify};
 
 use crate::handover::Link;
--- a/crates/stairfront-balancer/src/handover.rs
+++ b/crates/stairfront-balancer/src/handover.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
+use stairfront_admin_api::{Done, Order, Word};
 use stairfront_handover::{Message, Parts, LARGEST_PART};
-use stairfront_operations::{Done, Order, Word};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tracing::{debug, info, warn};
 
--- a/crates/stairfront-balancer/src/limits.rs
+++ b/crates/stairfront-balancer/src/limits.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use stairfront_codec::resp::LARGEST_VALUE;
 use stairfront_policy::interface::Settings;
-use stairfront_wire::resp::LARGEST_VALUE;
 
 use crate::clock::duration;
 use crate::operators::MOST_CALLERS;
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
+use stairfront_admin_api::{Done, Order, Word};
 use stairfront_maintenance::{
     Balancer, Command, Fleet, Host, Maintenance, Outcome, Plan, Seen, Stage, View, Waits, What,
 };
-use stairfront_members::{Members, State};
-use stairfront_operations::{Done, Order, Word};
+use stairfront_membership_agent::{Members, State};
 use stairfront_policy::interface::EndpointState;
-use stairfront_voters::{Status, Voters};
+use stairfront_raft_node::{Status, Voters};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{interval, Instant, MissedTickBehavior};
@@ -53,7 +53,7 @@
 #[derive(Default)]
 pub struct Plans(pub Maintenance);
 
-impl stairfront_voters::Machine for Plans {
+impl stairfront_raft_node::Machine for Plans {
     fn apply(&mut self, index: u64, term: u64, order: &[u8]) -> Option<u64> {
         self.0.apply(index, term, order)
     }
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use stairfront_codec::budget::Claim;
+use stairfront_codec::part::LARGEST_WHOLE;
 use stairfront_policy::interface::{
     CacheId, CacheStatus, Endpoint, LoadReport, Micros, Outcome, Request, RequestId,
 };
 use stairfront_settings::Retuned;
-use stairfront_wire::budget::Claim;
-use stairfront_wire::part::LARGEST_WHOLE;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 
 use crate::clock::Instant;
--- a/crates/stairfront-balancer/src/operators.rs
+++ b/crates/stairfront-balancer/src/operators.rs
@@ -1,5 +1,5 @@
 //! The operators' door: an address of its own, HTTP/1.1, one call to a connection. What a call means stands in
-//! `stairfront-operations`; what it changes is done by the engine.
+//! `stairfront-admin-api`; what it changes is done by the engine.
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -8,12 +8,12 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
+use stairfront_admin_api::{Act, Call, CallFault, Done, Order, Scope, Verb, Word};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::http::HttpError;
+use stairfront_codec::http_server::{HttpServerCodec, Received, Reply};
 use stairfront_maintenance::{Plan, What};
-use stairfront_members::{Members, Order as GroupOrder};
-use stairfront_operations::{Act, Call, CallFault, Done, Order, Scope, Verb, Word};
-use stairfront_wire::budget::Budget;
-use stairfront_wire::http::HttpError;
-use stairfront_wire::http_server::{HttpServerCodec, Received, Reply};
+use stairfront_membership_agent::{Members, Order as GroupOrder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::{spawn_local, AbortHandle};
--- a/crates/stairfront-balancer/src/orders.rs
+++ b/crates/stairfront-balancer/src/orders.rs
@@ -1,5 +1,5 @@
 //! Operators' orders on their way from the door to the engine.
-use stairfront_operations::{Done, Order, Word};
+use stairfront_admin_api::{Done, Order, Word};
 use tokio::sync::oneshot;
 
 /// Orders that may wait for the engine, which hears them before anything else.
--- a/crates/stairfront-balancer/src/product.rs
+++ b/crates/stairfront-balancer/src/product.rs
@@ -4,8 +4,8 @@
 
 use serde::Deserialize;
 use serde_json::{json, Value};
-use stairfront_members::RawMembership;
-use stairfront_voters::RawAgreement;
+use stairfront_membership_agent::RawMembership;
+use stairfront_raft_node::RawAgreement;
 use toml::de::{DeTable, DeValue};
 
 /// What is wrong with a file, by its own keys.
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/server.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use stairfront_members::{LedgerFile, Members};
+use stairfront_codec::budget::Budget;
+use stairfront_membership_agent::{LedgerFile, Members};
 use stairfront_policy::interface::Settings;
-use stairfront_voters::{RawAgreement, Voters};
-use stairfront_wire::budget::Budget;
+use stairfront_raft_node::{RawAgreement, Voters};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
+use stairfront_codec::budget::Claim;
 use stairfront_policy::interface::{CacheId, Micros, Request, RequestId};
-use stairfront_wire::budget::Claim;
 use tokio::sync::{oneshot, Semaphore};
 
 use crate::clock::Instant;
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use stairfront_members::Members;
+use stairfront_membership_agent::Members;
 use stairfront_overload::{Arrival, Door, Verdict};
 use stairfront_policy::interface::{ClassId, Key, Micros, Request, RequestId, TenantId, MS};
 use tokio::sync::watch;
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -4,9 +4,9 @@
 use stairfront_balancer::cache_host::CacheCodec;
 use stairfront_balancer::clients::ClientCodec;
 use stairfront_balancer::messages::{Answer, Command, Outgoing, Verb};
-use stairfront_wire::budget::Budget;
-use stairfront_wire::part::Part;
-use stairfront_wire::resp::{Value, LARGEST_BULK};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::part::Part;
+use stairfront_codec::resp::{Value, LARGEST_BULK};
 use tokio_util::codec::{Decoder, Encoder};
 
 const PLENTY: usize = 1 << 24;
--- a/crates/stairfront-balancer/tests/departures.rs
+++ b/crates/stairfront-balancer/tests/departures.rs
@@ -22,11 +22,11 @@
 use stairfront_balancer::stages::take_in::Intake;
 use stairfront_balancer::terms::Terms;
 use stairfront_balancer::transport::Tcp;
+use stairfront_codec::budget::Budget;
 use stairfront_policy::interface::{
     Action, ClassId, Event, Key, Micros, Request, RequestId, TenantId, SECOND,
 };
 use stairfront_policy::Policy;
-use stairfront_wire::budget::Budget;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::spawn_local;
--- a/crates/stairfront-wire/tests/codecs.rs
+++ b/crates/stairfront-codec/tests/codecs.rs
@@ -1,11 +1,11 @@
 //! The codecs by themselves: every split of the input, limits, and any bytes at all.
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
-use stairfront_wire::budget::Budget;
-use stairfront_wire::http::{self, HttpCodec};
-use stairfront_wire::http_server::{HttpServerCodec, Reply};
-use stairfront_wire::part::{Part, LARGEST_WHOLE};
-use stairfront_wire::resp::{
+use stairfront_codec::budget::Budget;
+use stairfront_codec::http::{self, HttpCodec};
+use stairfront_codec::http_server::{HttpServerCodec, Reply};
+use stairfront_codec::part::{Part, LARGEST_WHOLE};
+use stairfront_codec::resp::{
     CommandReader, PartReader, ReplyReader, RespError, Value, LARGEST_BULK, LARGEST_VALUE, ROOMY_BUFFER,
 };
 use tokio_util::codec::{Decoder, Encoder};
--- a/crates/stairfront-models/tests/rules.rs
+++ b/crates/stairfront-emulator/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The checker must see each breach: one good trace that holds, and the same doctored in one place for each.
-use stairfront_models::client::Repeats;
-use stairfront_models::rules::{Answer, Checker, Limits, Report, Seen, Told};
-use stairfront_models::time::{Micros, MS, SECOND};
+use stairfront_emulator::client::Repeats;
+use stairfront_emulator::rules::{Answer, Checker, Limits, Report, Seen, Told};
+use stairfront_emulator::time::{Micros, MS, SECOND};
 
 const ORIGIN: u16 = 9;
 
--- a/crates/stairfront-models/tests/servers.rs
+++ b/crates/stairfront-emulator/tests/servers.rs
@@ -3,13 +3,13 @@
 
 use bytes::Bytes;
 use proptest::prelude::*;
-use stairfront_models::agent::{self, Agent, Line, Status};
-use stairfront_models::cache_host::{
+use stairfront_emulator::agent::{self, Agent, Line, Status};
+use stairfront_emulator::cache_host::{
     is_made_for, Action, Ailments, CacheHost, CacheSettings, Command, ConnId, RepeatGroup, Reply, Ticket,
 };
-use stairfront_models::dice::ServiceTime;
-use stairfront_models::origin::{self, Origin, OriginSettings};
-use stairfront_models::time::{Micros, MS, SECOND};
+use stairfront_emulator::dice::ServiceTime;
+use stairfront_emulator::origin::{self, Origin, OriginSettings};
+use stairfront_emulator::time::{Micros, MS, SECOND};
 
 fn settings() -> CacheSettings {
     CacheSettings {
--- a/crates/stairfront-models/tests/traffic.rs
+++ b/crates/stairfront-emulator/tests/traffic.rs
@@ -1,10 +1,10 @@
 //! Arrivals, clients and scripts of faults: as asked for, and the same twice.
 use std::sync::Arc;
 
-use stairfront_models::arrivals::{Arrival, Arrivals, Burst, HotKey, Popularity, TenantTraffic, Traffic};
-use stairfront_models::client::{ClassSettings, Clients, End, Repeats, RetrySettings};
-use stairfront_models::faults::{Act, Fault, Script, Stage, TimedFault};
-use stairfront_models::time::{MS, SECOND};
+use stairfront_emulator::arrivals::{Arrival, Arrivals, Burst, HotKey, Popularity, TenantTraffic, Traffic};
+use stairfront_emulator::client::{ClassSettings, Clients, End, Repeats, RetrySettings};
+use stairfront_emulator::faults::{Act, Fault, Script, Stage, TimedFault};
+use stairfront_emulator::time::{MS, SECOND};
 
 fn tenant(name: &str, share: f64, times: f64, over_at_s: f64) -> TenantTraffic {
     TenantTraffic { name: name.to_string(), share, times, over_at_s, over_s: 1e9 }
@@ -100,7 +100,7 @@
     assert_eq!(script.steps.len(), 4, "a quarter of eight, slow and well again");
     let lost = lay(timed(Fault::ZoneLost, &["b"], 0.0), 1).unwrap();
     let killed = |script: &Script| {
-        let of = |step: &stairfront_models::faults::Step| match step.act {
+        let of = |step: &stairfront_emulator::faults::Step| match step.act {
             Act::Kill { host } => Some(host),
             _ => None,
         };
--- a/crates/stairfront-membership/tests/forms.rs
+++ b/crates/stairfront-gossip-membership/tests/forms.rs
@@ -2,12 +2,12 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use stairfront_membership::claim::{Claim, Rumour, LARGEST_INCARNATION};
-use stairfront_membership::cordons::{read_record, write_record, Entry, Ledger, Tag, MOST_ENTRIES};
-use stairfront_membership::news::{Hearsay, News, Told, Turn};
-use stairfront_membership::packet::{group_mark, Body, Item, Packet, PacketFault, Sender, Writer};
-use stairfront_membership::table::Table;
-use stairfront_membership::{Membership, Settings, State, Times, SECOND};
+use stairfront_gossip_membership::claim::{Claim, Rumour, LARGEST_INCARNATION};
+use stairfront_gossip_membership::cordons::{read_record, write_record, Entry, Ledger, Tag, MOST_ENTRIES};
+use stairfront_gossip_membership::news::{Hearsay, News, Told, Turn};
+use stairfront_gossip_membership::packet::{group_mark, Body, Item, Packet, PacketFault, Sender, Writer};
+use stairfront_gossip_membership::table::Table;
+use stairfront_gossip_membership::{Membership, Settings, State, Times, SECOND};
 
 const MOST: usize = 1200;
 
@@ -146,7 +146,7 @@
     };
     let done = |core: &mut Membership| {
         core.actions().into_iter().any(|action| match action {
-            stairfront_membership::Action::Send { bytes, .. } => {
+            stairfront_gossip_membership::Action::Send { bytes, .. } => {
                 matches!(Packet::read(group_mark("g"), &bytes, MOST).unwrap().body, Body::Done { .. })
             }
             _ => false,
@@ -200,7 +200,7 @@
         let ping = Body::Ping { seq: 1, to: to.into() };
         core.datagram(1, &packet(group_mark("g"), &sender("b", 5, 6), &ping, &[]));
         let acked = core.actions().into_iter().any(|action| match action {
-            stairfront_membership::Action::Send { bytes, .. } => {
+            stairfront_gossip_membership::Action::Send { bytes, .. } => {
                 matches!(Packet::read(group_mark("g"), &bytes, MOST).unwrap().body, Body::Ack { .. })
             }
             _ => false,
--- a/crates/stairfront-membership/tests/hard_cases.rs
+++ b/crates/stairfront-gossip-membership/tests/hard_cases.rs
@@ -2,11 +2,11 @@
 mod sim;
 
 use sim::{name, whole, Sim, HOST};
-use stairfront_membership::core::Refusal;
-use stairfront_membership::{Standing, State, MS, SECOND};
-use stairfront_models::group::Sign;
-use stairfront_models::group_script::{all_links, border, GroupAct};
-use stairfront_models::links::LinkFault;
+use stairfront_emulator::group::Sign;
+use stairfront_emulator::group_script::{all_links, border, GroupAct};
+use stairfront_emulator::links::LinkFault;
+use stairfront_gossip_membership::core::Refusal;
+use stairfront_gossip_membership::{Standing, State, MS, SECOND};
 
 fn lay(sim: &mut Sim, number: u64, pairs: &[(usize, usize)], fault: LinkFault) {
     sim.act(GroupAct::Lay { number, pairs: pairs.to_vec(), fault });
@@ -250,7 +250,7 @@
 #[test]
 fn a_killed_member_is_failed_at_all_others_in_five_seconds_and_the_cost_does_not_grow_with_the_group() {
     let mut rates = Vec::new();
-    // CI has some; `GROUP_KILLS=60 cargo test --release -p stairfront-membership --test hard_cases` has more, and 300.
+    // CI has some; `GROUP_KILLS=60 cargo test --release -p stairfront-gossip-membership --test hard_cases` has more, and 300.
     let more: Option<usize> = std::env::var("GROUP_KILLS").ok().and_then(|text| text.parse().ok());
     let sizes = match more {
         Some(kills) => vec![(7, kills), (60, kills), (300, kills.min(10))],
--- a/crates/stairfront-membership/tests/scripts.rs
+++ b/crates/stairfront-gossip-membership/tests/scripts.rs
@@ -2,12 +2,12 @@
 mod sim;
 
 use sim::{Sim, HOST};
-use stairfront_membership::SECOND;
-use stairfront_models::dice::Dice;
-use stairfront_models::group::{GroupReport, Sign};
-use stairfront_models::group_script::{Budget, GroupScript, WHOLE_AGAIN};
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::group::{GroupReport, Sign};
+use stairfront_emulator::group_script::{Budget, GroupScript, WHOLE_AGAIN};
+use stairfront_gossip_membership::SECOND;
 
-/// Seeds to play: some in CI, more by `GROUP_SEEDS=1..2000 cargo test --release -p stairfront-membership --test scripts`.
+/// Seeds to play: some in CI, more by `GROUP_SEEDS=1..2000 cargo test --release -p stairfront-gossip-membership --test scripts`.
 fn seeds(usual: std::ops::Range<u64>) -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("GROUP_SEEDS") else { return usual };
     let (from, to) = text.split_once("..").expect("GROUP_SEEDS is FROM..TO");
@@ -30,7 +30,7 @@
     sim.until_whole(WHOLE_AGAIN + SECOND);
     let observer = std::mem::replace(
         &mut sim.observer,
-        stairfront_models::group::GroupObserver::new(Vec::new(), Default::default()),
+        stairfront_emulator::group::GroupObserver::new(Vec::new(), Default::default()),
     );
     let report = observer.finish(sim.now);
     (script, report, sim)
--- a/crates/stairfront-membership/tests/sim/mod.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/mod.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-use stairfront_membership::cordons::Entry;
-use stairfront_membership::{Action, Membership, Micros, Settings, State, Times, MS, SECOND};
-use stairfront_models::dice::Dice;
-use stairfront_models::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
-use stairfront_models::group_script::{GroupAct, GroupScript};
-use stairfront_models::links::{LinkFault, Links, Passage};
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
+use stairfront_emulator::group_script::{GroupAct, GroupScript};
+use stairfront_emulator::links::{LinkFault, Links, Passage};
+use stairfront_gossip_membership::cordons::Entry;
+use stairfront_gossip_membership::{Action, Membership, Micros, Settings, State, Times, MS, SECOND};
 
 const TICK: Micros = 50 * MS;
 const LOOK: Micros = 200 * MS;
--- a/crates/stairfront-handover/src/message.rs
+++ b/crates/stairfront-handover/src/message.rs
@@ -1,6 +1,6 @@
 //! One message to a packet: a byte that says which, then its fields as JSON, or bytes as they are.
 use serde::{Deserialize, Serialize};
-use stairfront_operations::{Done, Order, Word};
+use stairfront_admin_api::{Done, Order, Word};
 
 /// Raised when old and new would misunderstand each other; the new one then starts as if there were no old one.
 const VERSION: u32 = 1;
--- a/crates/stairfront-handover/tests/messages.rs
+++ b/crates/stairfront-handover/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Packets between two processes that may not be of one version.
+use stairfront_admin_api::{Done, Order, Word};
 use stairfront_handover::{Message, PacketFault, Parts, LARGEST_KNOWLEDGE, LARGEST_PACKET, LARGEST_PART};
-use stairfront_operations::{Done, Order, Word};
 
 #[test]
 fn what_is_sent_is_what_is_read() {
--- a/crates/stairfront-lab/src/experiment.rs
+++ b/crates/stairfront-lab/src/experiment.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use stairfront_models::arrivals::Traffic;
-use stairfront_models::cache_host::CacheSettings;
-use stairfront_models::client::{ClassSettings, Repeats, RetrySettings};
-use stairfront_models::faults::{Mark, Script, Stage, Step, TimedFault};
-use stairfront_models::origin::OriginSettings;
-use stairfront_models::time::{from_ms, Micros};
+use stairfront_emulator::arrivals::Traffic;
+use stairfront_emulator::cache_host::CacheSettings;
+use stairfront_emulator::client::{ClassSettings, Repeats, RetrySettings};
+use stairfront_emulator::faults::{Mark, Script, Stage, Step, TimedFault};
+use stairfront_emulator::origin::OriginSettings;
+use stairfront_emulator::time::{from_ms, Micros};
 
 use crate::fleet::{FleetPlan, HostPlan};
 use crate::load::{self, Habits};
@@ -379,7 +379,7 @@
             json!({"name": class.name, "semantics": semantics, "group": "all", "key_ttl": cache.keyed_ms,
                    "aim": class.aim_ms, "deadline": class.deadline_ms, "worth": class.worth})
         };
-        let tenant = |tenant: &stairfront_models::arrivals::TenantTraffic| json!({"name": tenant.name, "quota_rps": rate * tenant.share, "share": tenant.share});
+        let tenant = |tenant: &stairfront_emulator::arrivals::TenantTraffic| json!({"name": tenant.name, "quota_rps": rate * tenant.share, "share": tenant.share});
         let mode = match cache.fetch {
             Some(_) => json!({"mode": "through"}),
             None => json!({"mode": "aside", "origin_kind": 1}),
--- a/crates/stairfront-lab/src/fleet.rs
+++ b/crates/stairfront-lab/src/fleet.rs
@@ -10,12 +10,12 @@
 
 use rustc_hash::FxHashMap;
 use serde_json::Value;
-use stairfront_models::agent::{Agent, Line, Status};
-use stairfront_models::cache_host::{Ailments, CacheHost, CacheSettings, RepeatGroup};
-use stairfront_models::faults::Act;
-use stairfront_models::origin::{Origin, OriginSettings};
-use stairfront_models::rules::Seen;
-use stairfront_models::time::Micros;
+use stairfront_emulator::agent::{Agent, Line, Status};
+use stairfront_emulator::cache_host::{Ailments, CacheHost, CacheSettings, RepeatGroup};
+use stairfront_emulator::faults::Act;
+use stairfront_emulator::origin::{Origin, OriginSettings};
+use stairfront_emulator::rules::Seen;
+use stairfront_emulator::time::Micros;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
--- a/crates/stairfront-lab/src/lib.rs
+++ b/crates/stairfront-lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The rig: stand-in servers and clients on loopback sockets round the models of `stairfront-models`, balancer
+//! The rig: stand-in servers and clients on loopback sockets round the models of `stairfront-emulator`, balancer
 //! processes between them, experiments that compare variants, and their reports.
 //!
 //! It runs balancers as processes and knows none of their code, so that any build can be a variant. Beside the
--- a/crates/stairfront-lab/src/live.rs
+++ b/crates/stairfront-lab/src/live.rs
@@ -1,7 +1,7 @@
 //! Figures of a run while it goes on, for a table that a person watches.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stairfront_models::client::End;
+use stairfront_emulator::client::End;
 
 /// Counted since the last look; shared by all threads of a run.
 #[derive(Debug, Default)]
--- a/crates/stairfront-lab/src/pack.rs
+++ b/crates/stairfront-lab/src/pack.rs
@@ -1,6 +1,6 @@
 //! The processes of a group in an experiment: started, stopped, paused, restarted without their disk, doubled; asked for
 //! their account of the group and, as operators do, for cordons. What they say goes to the observer
-//! (`stairfront_models::group`) beside what was really done to them.
+//! (`stairfront_emulator::group`) beside what was really done to them.
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fs;
@@ -14,13 +14,13 @@
 use nix::sys::signal::Signal;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use stairfront_models::dice::Dice;
-use stairfront_models::faults::Act as FleetAct;
-use stairfront_models::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
-use stairfront_models::group_script::{Budget, GroupAct, GroupScript, TimedTrouble};
-use stairfront_models::links::LinkFault;
-use stairfront_models::rules::Seen;
-use stairfront_models::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::faults::Act as FleetAct;
+use stairfront_emulator::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
+use stairfront_emulator::group_script::{Budget, GroupAct, GroupScript, TimedTrouble};
+use stairfront_emulator::links::LinkFault;
+use stairfront_emulator::rules::Seen;
+use stairfront_emulator::time::{from_ms, to_ms, Micros, MS, SECOND};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
--- a/crates/stairfront-lab/src/process.rs
+++ b/crates/stairfront-lab/src/process.rs
@@ -12,7 +12,7 @@
 use nix::unistd::Pid;
 use serde::Serialize;
 use serde_json::Value;
-use stairfront_models::dice::Dice;
+use stairfront_emulator::dice::Dice;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
--- a/crates/stairfront-lab/src/relay.rs
+++ b/crates/stairfront-lab/src/relay.rs
@@ -1,6 +1,6 @@
 //! What stands between the processes of a group: each advertises an address of the relay, which passes on what comes to
 //! it. It knows nothing of what it carries. Whose a packet is it tells by its source, since each process has a loopback
-//! address of its own; what happens to it the links' model says (`stairfront_models::links`).
+//! address of its own; what happens to it the links' model says (`stairfront_emulator::links`).
 use std::cell::RefCell;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use stairfront_models::dice::Dice;
-use stairfront_models::links::{LinkFault, Links, Passage};
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::links::{LinkFault, Links, Passage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
--- a/crates/stairfront-lab/src/run.rs
+++ b/crates/stairfront-lab/src/run.rs
@@ -14,11 +14,11 @@
 use nix::sys::signal::Signal;
 use serde::Serialize;
 use serde_json::{json, Value};
-use stairfront_models::arrivals::TenantTraffic;
-use stairfront_models::dice::Dice;
-use stairfront_models::faults::{Act, Mark, Step};
-use stairfront_models::rules::{Limits, Report, Seen};
-use stairfront_models::time::{from_ms, to_ms, Micros, SECOND};
+use stairfront_emulator::arrivals::TenantTraffic;
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::faults::{Act, Mark, Step};
+use stairfront_emulator::rules::{Limits, Report, Seen};
+use stairfront_emulator::time::{from_ms, to_ms, Micros, SECOND};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, sleep_until};
 
--- a/crates/stairfront-lab/src/services.rs
+++ b/crates/stairfront-lab/src/services.rs
@@ -5,14 +5,14 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use rustc_hash::FxHashMap;
-use stairfront_models::agent::{self, Agent, Status};
-use stairfront_models::cache_host::{self, CacheHost, Command, ConnId, Reply, Ticket};
-use stairfront_models::origin::{self, Origin};
-use stairfront_models::rules::{Seen, Told};
-use stairfront_models::time::Micros;
-use stairfront_wire::budget::Budget;
-use stairfront_wire::http_server::{HttpServerCodec, Received, Reply as HttpReply};
-use stairfront_wire::resp::{put_bulk, put_line, put_null, put_number, CommandReader};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::http_server::{HttpServerCodec, Received, Reply as HttpReply};
+use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandReader};
+use stairfront_emulator::agent::{self, Agent, Status};
+use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnId, Reply, Ticket};
+use stairfront_emulator::origin::{self, Origin};
+use stairfront_emulator::rules::{Seen, Told};
+use stairfront_emulator::time::Micros;
 use tokio_util::codec::Encoder;
 
 use crate::station::{Post, Service};
--- a/crates/stairfront-lab/src/stand_in.rs
+++ b/crates/stairfront-lab/src/stand_in.rs
@@ -7,11 +7,11 @@
 
 use bytes::BytesMut;
 use rustc_hash::FxHashMap;
-use stairfront_models::agent::{Agent, Line, Status};
-use stairfront_models::cache_host::{CacheHost, CacheSettings, RepeatGroup};
-use stairfront_models::origin::{Origin, OriginSettings};
-use stairfront_models::time::from_ms;
-use stairfront_wire::resp::{put_bulk, put_number};
+use stairfront_codec::resp::{put_bulk, put_number};
+use stairfront_emulator::agent::{Agent, Line, Status};
+use stairfront_emulator::cache_host::{CacheHost, CacheSettings, RepeatGroup};
+use stairfront_emulator::origin::{Origin, OriginSettings};
+use stairfront_emulator::time::from_ms;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
--- a/crates/stairfront-lab/src/tally.rs
+++ b/crates/stairfront-lab/src/tally.rs
@@ -1,8 +1,8 @@
 //! What clients got: counts by class and tenant, latencies from when a request was to be sent, and both over time.
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use stairfront_models::client::{Ask, End};
-use stairfront_models::time::Micros;
+use stairfront_emulator::client::{Ask, End};
+use stairfront_emulator::time::Micros;
 
 use crate::tape::INTERVAL;
 
--- a/crates/stairfront-lab/src/tape.rs
+++ b/crates/stairfront-lab/src/tape.rs
@@ -2,8 +2,8 @@
 use std::sync::mpsc::{Receiver, Sender};
 
 use serde::Serialize;
-use stairfront_models::rules::{Checker, Limits, Report, Seen};
-use stairfront_models::time::{Micros, SECOND};
+use stairfront_emulator::rules::{Checker, Limits, Report, Seen};
+use stairfront_emulator::time::{Micros, SECOND};
 
 use crate::clock::RunClock;
 use crate::live::Live;
--- a/crates/stairfront-lab/tests/crossed_ends.rs
+++ b/crates/stairfront-lab/tests/crossed_ends.rs
@@ -6,13 +6,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use stairfront_emulator::arrivals::Traffic;
+use stairfront_emulator::client::{ClassSettings, RetrySettings};
+use stairfront_emulator::rules::Seen;
+use stairfront_emulator::time::SECOND;
 use stairfront_lab::clock::RunClock;
 use stairfront_lab::live::Live;
 use stairfront_lab::load::{run, Front, Habits, LoadPlan};
-use stairfront_models::arrivals::Traffic;
-use stairfront_models::client::{ClassSettings, RetrySettings};
-use stairfront_models::rules::Seen;
-use stairfront_models::time::SECOND;
 
 /// Ends of connections that a run is to see.
 const ENOUGH: u64 = 30;
--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -6,14 +6,14 @@
 //! `PLANS_SEEDS=1..10001 cargo test --release -p stairfront-maintenance --test network` plays more.
 use std::collections::{BTreeMap, BTreeSet};
 
-use stairfront_agreement::council::Council;
-use stairfront_agreement::{
-    Envelope, HardState, Log, Message, Micros, Payload, Ready, Recovered, Settings, Voter, MS, SECOND,
-};
+use stairfront_emulator::dice::Dice;
 use stairfront_maintenance::{
     Balancer, Command, DoneBy, Fleet, Host, Maintenance, Plan, Seen, Stage, Stay, What,
 };
-use stairfront_models::dice::Dice;
+use stairfront_raft::council::Council;
+use stairfront_raft::{
+    Envelope, HardState, Log, Message, Micros, Payload, Ready, Recovered, Settings, Voter, MS, SECOND,
+};
 
 const STEP: Micros = 10 * MS;
 const VOTERS: usize = 3;
--- a/crates/stairfront-maintenance/tests/plans.rs
+++ b/crates/stairfront-maintenance/tests/plans.rs
@@ -2,10 +2,10 @@
 //! here from the steps that were settled, not by the state's own word.
 use std::collections::{BTreeMap, BTreeSet};
 
+use stairfront_emulator::dice::Dice;
 use stairfront_maintenance::{
     Balancer, Command, DoneBy, Fleet, Host, Machine, Maintenance, Plan, Seen, Stage, Stay, What,
 };
-use stairfront_models::dice::Dice;
 
 fn fleet(hosts: usize, zones: usize, balancers: usize) -> Fleet {
     let host = |i: usize| Host {
--- a/crates/stairfront-members/src/config.rs
+++ b/crates/stairfront-membership-agent/src/config.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use stairfront_membership::settings::{Fault, Settings, Times, MS};
+use stairfront_gossip_membership::settings::{Fault, Settings, Times, MS};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/stairfront-members/src/driver.rs
+++ b/crates/stairfront-membership-agent/src/driver.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stairfront_membership::core::Refusal;
-use stairfront_membership::packet::LARGEST_DATAGRAM;
-use stairfront_membership::report::{Progress, Report};
-use stairfront_membership::{Action, Membership, Micros, Settings, Standing, State, Told};
+use stairfront_gossip_membership::core::Refusal;
+use stairfront_gossip_membership::packet::LARGEST_DATAGRAM;
+use stairfront_gossip_membership::report::{Progress, Report};
+use stairfront_gossip_membership::{Action, Membership, Micros, Settings, Standing, State, Told};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
--- a/crates/stairfront-members/src/lib.rs
+++ b/crates/stairfront-membership-agent/src/lib.rs
@@ -1,5 +1,5 @@
 //! One member of a group of balancers, on sockets: it carries datagrams, streams, times and a record to the core in
-//! `stairfront-membership` and does what that says. It decides nothing.
+//! `stairfront-gossip-membership` and does what that says. It decides nothing.
 //!
 //! It owns the two sockets of its address, the streams of full exchanges (4 each way at most) and the file that keeps
 //! the group's cordons. Others hold a `Members` and never wait for it, but an operator's order and a start.
@@ -11,5 +11,5 @@
 pub use config::RawMembership;
 pub use driver::{Members, Order, Turn, DESCRIPTORS};
 pub use record::LedgerFile;
-pub use stairfront_membership::report::{Progress, Report};
-pub use stairfront_membership::{Standing, State, Told};
+pub use stairfront_gossip_membership::report::{Progress, Report};
+pub use stairfront_gossip_membership::{Standing, State, Told};
--- a/crates/stairfront-members/src/record.rs
+++ b/crates/stairfront-membership-agent/src/record.rs
@@ -2,8 +2,8 @@
 use std::io::{self, ErrorKind, Write as _};
 use std::path::{Path, PathBuf};
 
-use stairfront_membership::cordons::{read_record, write_record};
-use stairfront_membership::{Entry, Ledger};
+use stairfront_gossip_membership::cordons::{read_record, write_record};
+use stairfront_gossip_membership::{Entry, Ledger};
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/stairfront-members/src/streams.rs
+++ b/crates/stairfront-membership-agent/src/streams.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use stairfront_membership::packet::LARGEST_EXCHANGE;
+use stairfront_gossip_membership::packet::LARGEST_EXCHANGE;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
--- a/crates/stairfront-voters/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stairfront_agreement::council::{Council, Envelope, OrderRefusal};
-use stairfront_agreement::{Index, Message, Micros, Payload, Ready, Recovered, Settings, Voter};
-use stairfront_members::Members;
+use stairfront_membership_agent::Members;
+use stairfront_raft::council::{Council, Envelope, OrderRefusal};
+use stairfront_raft::{Index, Message, Micros, Payload, Ready, Recovered, Settings, Voter};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
--- a/crates/stairfront-voters/src/lib.rs
+++ b/crates/stairfront-raft-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! One voter of the agreement (`stairfront-agreement`), or one balancer that only learns: it stores on a thread of its own,
-//! sends over the membership (`stairfront-members`), and hands what is settled to a machine, in order. It decides nothing.
+//! One voter of the agreement (`stairfront-raft`), or one balancer that only learns: it stores on a thread of its own,
+//! sends over the membership (`stairfront-membership-agent`), and hands what is settled to a machine, in order. It decides nothing.
 //!
 //! It owns the store's file and thread. A stalled disk stalls the voter's words, never the balancer's requests.
 mod config;
--- a/crates/stairfront-voters/src/store.rs
+++ b/crates/stairfront-raft-node/src/store.rs
@@ -6,7 +6,7 @@
 use redb::{Database, ReadableTable, StorageBackend, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use stairfront_agreement::{Entry, HardState, Index, Log, Ready, Recovered, Snapshot, Voter};
+use stairfront_raft::{Entry, HardState, Index, Log, Ready, Recovered, Snapshot, Voter};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// By name: who this is, what must not be forgotten, the snapshot.
--- a/crates/stairfront-voters/tests/store.rs
+++ b/crates/stairfront-raft-node/tests/store.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 
 use redb::StorageBackend;
-use stairfront_agreement::{Entry, HardState, Payload, Ready, Recovered, Snapshot, Voter};
-use stairfront_models::dice::Dice;
-use stairfront_voters::{Store, StoreFault};
+use stairfront_emulator::dice::Dice;
+use stairfront_raft::{Entry, HardState, Payload, Ready, Recovered, Snapshot, Voter};
+use stairfront_raft_node::{Store, StoreFault};
 
 /// A disk that forgets, when it loses power, what was not synced: some of those writes, or the end of one.
 #[derive(Debug, Default)]
--- a/crates/stairfront-agreement/tests/council.rs
+++ b/crates/stairfront-raft/tests/council.rs
@@ -2,12 +2,12 @@
 //! as another, orders of any member are settled once.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use stairfront_agreement::council::Council;
-use stairfront_agreement::message::Body;
-use stairfront_agreement::{
+use stairfront_emulator::dice::Dice;
+use stairfront_raft::council::Council;
+use stairfront_raft::message::Body;
+use stairfront_raft::{
     Envelope, HardState, Log, Message, Micros, Payload, Recovered, Settings, Voter, Word, MS, SECOND,
 };
-use stairfront_models::dice::Dice;
 
 const TICK: Micros = 50 * MS;
 
--- a/crates/stairfront-agreement/tests/every_order.rs
+++ b/crates/stairfront-raft/tests/every_order.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use stairfront_agreement::{
+use stairfront_raft::{
     Entry, HardState, Index, Log, Message, Micros, Node, Payload, Ready, Recovered, Settings, Snapshot,
     Voter, SECOND,
 };
--- a/crates/stairfront-agreement/tests/rules.rs
+++ b/crates/stairfront-raft/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Single rules, each by the shortest exchange that would break it; drawn schedules meet some of them once in thousands.
-use stairfront_agreement::message::Body;
-use stairfront_agreement::{
+use stairfront_raft::message::Body;
+use stairfront_raft::{
     Entry, HardState, Index, Log, Message, Node, Payload, Recovered, Refusal, Settings, Snapshot, Voter,
     SECOND,
 };
--- a/crates/stairfront-agreement/tests/simulation.rs
+++ b/crates/stairfront-raft/tests/simulation.rs
@@ -3,13 +3,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use stairfront_agreement::{
+use stairfront_emulator::dice::Dice;
+use stairfront_emulator::group_script::border;
+use stairfront_emulator::links::{LinkFault, Links};
+use stairfront_raft::{
     Entry, HardState, Index, Log, Message, Micros, Node, Payload, Ready, Recovered, Settings, Snapshot,
     Voter, MS, SECOND,
 };
-use stairfront_models::dice::Dice;
-use stairfront_models::group_script::border;
-use stairfront_models::links::{LinkFault, Links};
 
 const TICK: Micros = 20 * MS;
 /// Entries behind which a voter makes a snapshot.
@@ -393,7 +393,7 @@
     world
 }
 
-/// CI has some; `AGREEMENT_SEEDS=1..10000 cargo test --release -p stairfront-agreement` has more.
+/// CI has some; `AGREEMENT_SEEDS=1..10000 cargo test --release -p stairfront-raft` has more.
 #[test]
 fn one_history_whatever_crashes_is_cut_off_or_comes_back_with_nothing() {
     let seeds = match std::env::var("AGREEMENT_SEEDS") {
--- a/crates/stairfront-wirehost/src/main.rs
+++ b/crates/stairfront-simulator-adapter/src/main.rs
@@ -2,8 +2,8 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-use stairfront_wirehost::host::Host;
-use stairfront_wirehost::wire::{self, FrameError};
+use stairfront_simulator_adapter::host::Host;
+use stairfront_simulator_adapter::wire::{self, FrameError};
 
 fn run() -> Result<(), FrameError> {
     let mut input = io::stdin().lock();
--- a/crates/stairfront-wirehost/tests/codec.rs
+++ b/crates/stairfront-simulator-adapter/tests/codec.rs
@@ -1,8 +1,8 @@
 //! The wire, byte by byte: the protocol page's examples, every record at its offsets, and broken input.
 use proptest::prelude::*;
 use stairfront_policy::interface::*;
-use stairfront_wirehost::host::Host;
-use stairfront_wirehost::wire::{self, Batch, FrameError, Reply, Scope, WireEvent};
+use stairfront_simulator_adapter::host::Host;
+use stairfront_simulator_adapter::wire::{self, Batch, FrameError, Reply, Scope, WireEvent};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
--- a/crates/stairfront/src/door.rs
+++ b/crates/stairfront/src/door.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use stairfront_wire::budget::Budget;
-use stairfront_wire::http::{Body, HttpCodec, Request};
+use stairfront_codec::budget::Budget;
+use stairfront_codec::http::{Body, HttpCodec, Request};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
--- a/crates/stairfront/src/members.rs
+++ b/crates/stairfront/src/members.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use stairfront_members::Report;
+use stairfront_membership_agent::Report;
 use tokio::time::sleep;
 
 use crate::command_line::MembersArguments;
@@ -58,7 +58,7 @@
     }
     out.flush()?;
     let quiet = report.roster_differs.is_empty() && !report.namesake;
-    Ok(quiet && report.standing == stairfront_members::Standing::Whole)
+    Ok(quiet && report.standing == stairfront_membership_agent::Standing::Whole)
 }
 
 pub fn table(report: &Report) -> String {
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -1,10 +1,10 @@
 //! Stand-in servers from the command line.
 use std::process::ExitCode;
 
+use stairfront_emulator::cache_host::CacheSettings;
+use stairfront_emulator::dice::ServiceTime;
+use stairfront_emulator::origin::OriginSettings;
 use stairfront_lab::stand_in::{line, serve, StandIn};
-use stairfront_models::cache_host::CacheSettings;
-use stairfront_models::dice::ServiceTime;
-use stairfront_models::origin::OriginSettings;
 
 use crate::{command_line, FAULTY};
 
