--- a/crates/stairfront-admin-api/src/call.rs
+++ b/crates/stairfront-admin-api/src/call.rs
@@ -109,7 +109,10 @@
         if path == MAINTENANCE {
             return wants(method, "POST").map(|()| Call::Plan { dry_run: false });
         }
-        if let Some(verb) = path.strip_prefix(MAINTENANCE).and_then(|rest| rest.strip_prefix('/')) {
+        if let Some(verb) = path
+            .strip_prefix(MAINTENANCE)
+            .and_then(|rest| rest.strip_prefix('/'))
+        {
             wants(method, "POST")?;
             if verb == "dry-run" {
                 return Ok(Call::Plan { dry_run: true });
@@ -132,10 +135,17 @@
 }
 
 fn act(verb: Verb, target: &str) -> Result<Act, CallFault> {
-    let query = target.split('#').next().unwrap_or_default().split_once('?').map_or("", |(_, query)| query);
+    let query = target
+        .split('#')
+        .next()
+        .unwrap_or_default()
+        .split_once('?')
+        .map_or("", |(_, query)| query);
     let value = |key: &'static str| -> Result<Option<String>, CallFault> {
-        let mut found =
-            query.split('&').filter_map(|pair| pair.split_once('=')).filter(|(name, _)| *name == key);
+        let mut found = query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .filter(|(name, _)| *name == key);
         match (found.next(), found.next()) {
             (None, _) => Ok(None),
             (Some((_, value)), None) => name_of(value).map(Some).ok_or(CallFault::Value(key)),
@@ -162,8 +172,15 @@
 
 /// Danger: a scope with a slip in it, taken for none, would leave the host in use at all others.
 fn scope_of(target: &str) -> Result<Scope, CallFault> {
-    let query = target.split('#').next().unwrap_or_default().split_once('?').map_or("", |(_, query)| query);
-    let mut scopes = query.split('&').filter(|pair| pair.split('=').next() == Some("scope"));
+    let query = target
+        .split('#')
+        .next()
+        .unwrap_or_default()
+        .split_once('?')
+        .map_or("", |(_, query)| query);
+    let mut scopes = query
+        .split('&')
+        .filter(|pair| pair.split('=').next() == Some("scope"));
     match (scopes.next(), scopes.next()) {
         (None, _) => Ok(Scope::Own),
         (Some("scope=group"), None) => Ok(Scope::Group),
@@ -172,7 +189,9 @@
 }
 
 fn wants(method: &str, wanted: &'static str) -> Result<(), CallFault> {
-    (method == wanted).then_some(()).ok_or(CallFault::Method(wanted))
+    (method == wanted)
+        .then_some(())
+        .ok_or(CallFault::Method(wanted))
 }
 
 /// A path segment with its percent signs resolved; none if it cannot be a name.
@@ -184,8 +203,9 @@
             let (digits, tail) = rest.split_at_checked(2)?;
             rest = tail;
             // Danger: a sign parses as part of a number.
-            let digits =
-                std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
+            let digits = std::str::from_utf8(digits)
+                .ok()
+                .filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
             u8::from_str_radix(digits, 16).ok()?
         } else {
             *first
--- a/crates/stairfront-admin-api/src/host_registry.rs
+++ b/crates/stairfront-admin-api/src/host_registry.rs
@@ -39,7 +39,9 @@
         // Danger: a long day of new ids would push out one that is listed again, or cordoned, and its operators would
         // be told that it was never listed.
         while self.past.len() > MOST_PAST {
-            let Some(oldest) = self.past.pop_front() else { return };
+            let Some(oldest) = self.past.pop_front() else {
+                return;
+            };
             let kept = is_live(oldest) || self.is_cordoned(oldest) || self.past.contains(&oldest);
             if !kept {
                 self.known.remove(&oldest);
@@ -113,7 +115,10 @@
     }
 
     pub fn all_out(&self) -> impl Iterator<Item = CacheId> + '_ {
-        let held = self.held.keys().filter(|id| !self.cordoned.contains_key(*id));
+        let held = self
+            .held
+            .keys()
+            .filter(|id| !self.cordoned.contains_key(*id));
         self.cordoned.keys().chain(held).copied()
     }
 
--- a/crates/stairfront-admin-api/src/order.rs
+++ b/crates/stairfront-admin-api/src/order.rs
@@ -43,9 +43,16 @@
     /// What has become of an order that two processes of one balancer were given.
     pub fn and(self, other: Done) -> Done {
         match (self, other) {
-            (Done::Use { open, sent }, Done::Use { open: more, sent: other }) => {
-                Done::Use { open: open + more, sent: sent + other }
-            }
+            (
+                Done::Use { open, sent },
+                Done::Use {
+                    open: more,
+                    sent: other,
+                },
+            ) => Done::Use {
+                open: open + more,
+                sent: sent + other,
+            },
             (known @ Done::Use { .. }, _) | (_, known @ Done::Use { .. }) => known,
             (Done::NotRecorded, _) | (_, Done::NotRecorded) => Done::NotRecorded,
             (Done::Held, _) | (_, Done::Held) => Done::Held,
--- a/crates/stairfront-balancer/src/cache_host.rs
+++ b/crates/stairfront-balancer/src/cache_host.rs
@@ -112,20 +112,31 @@
         Value::Null => (Outcome::Miss, None),
         _ => return None,
     };
-    Some(Verdict { outcome, note, load, value })
+    Some(Verdict {
+        outcome,
+        note,
+        load,
+        value,
+    })
 }
 
 /// `BUSY` or `ERR failed`, perhaps with a load report behind a space. Danger: a line that only begins like `BUSY` would
 /// pass for proof that nothing ran.
 fn error_reply(line: &[u8], report: &[String]) -> Option<Verdict> {
-    let forms = [(&b"BUSY"[..], Outcome::Full), (b"ERR failed", Outcome::Errored)];
+    let forms = [
+        (&b"BUSY"[..], Outcome::Full),
+        (b"ERR failed", Outcome::Errored),
+    ];
     forms.into_iter().find_map(|(form, outcome)| {
         let load = match line.strip_prefix(form)? {
             [] => LoadReport::default(),
             [b' ', text @ ..] if is_report(text, report) => load_report(text, report),
             _ => return None,
         };
-        Some(Verdict { load, ..Verdict::bare(outcome) })
+        Some(Verdict {
+            load,
+            ..Verdict::bare(outcome)
+        })
     })
 }
 
--- a/crates/stairfront-balancer/src/caches.rs
+++ b/crates/stairfront-balancer/src/caches.rs
@@ -55,7 +55,12 @@
 
 impl Host {
     fn at(endpoint: UpstreamTarget) -> Self {
-        Host { endpoint, epoch: 0, barred: Rc::default(), idle: Vec::new() }
+        Host {
+            endpoint,
+            epoch: 0,
+            barred: Rc::default(),
+            idle: Vec::new(),
+        }
     }
 }
 
@@ -150,25 +155,32 @@
     /// Whether nothing new may be begun at a server. Danger: a job may lie before a connection's task, or wait for a
     /// connection that is still coming up, long after its server began to drain.
     pub fn bar(&mut self, cache: CacheId, barred: bool) {
-        let Some(host) = self.hosts.get(&cache) else { return };
+        let Some(host) = self.hosts.get(&cache) else {
+            return;
+        };
         if barred && !host.barred.replace(true) {
             self.close_idle(cache);
         } else if !barred && host.barred.get() {
             // Those that saw the old one stay barred: their attempts were decided under it.
-            self.hosts.entry(cache).and_modify(|host| host.barred = Rc::default());
+            self.hosts
+                .entry(cache)
+                .and_modify(|host| host.barred = Rc::default());
         }
     }
 
     /// Attempts at a host that have not ended: on a connection, or waiting for one.
     pub fn in_use(&self, cache: CacheId) -> u64 {
-        let busy = |connection: &&Connection| connection.cache == cache && connection.idle_since.is_none();
+        let busy =
+            |connection: &&Connection| connection.cache == cache && connection.idle_since.is_none();
         let busy = self.connections.values().filter(busy).count();
         (busy + self.waiting.iter().filter(|job| job.cache == cache).count()) as u64
     }
 
     /// Closes what stands idle now and, as they end their attempts, the connections in use.
     pub fn close_idle(&mut self, cache: CacheId) {
-        let Some(host) = self.hosts.get_mut(&cache) else { return };
+        let Some(host) = self.hosts.get_mut(&cache) else {
+            return;
+        };
         host.epoch += 1;
         for connection in std::mem::take(&mut host.idle) {
             self.close(connection);
@@ -181,16 +193,29 @@
     }
 
     /// Other times from now on; a connection that stands idle keeps the limit that it began with.
-    pub fn retune(&self, connect_timeout: Duration, servers_idle_limit: Duration, stall_limit: Duration) {
+    pub fn retune(
+        &self,
+        connect_timeout: Duration,
+        servers_idle_limit: Duration,
+        stall_limit: Duration,
+    ) {
         self.common.connect_timeout.set(connect_timeout);
-        self.common.idle_limit.set(servers_idle_limit.mul_f64(IDLE_PART));
+        self.common
+            .idle_limit
+            .set(servers_idle_limit.mul_f64(IDLE_PART));
         self.common.stall_limit.set(stall_limit);
     }
 
     /// Leaves half of the connections to a successor; more, if so many are in use, stay here. Returns how many stay.
     pub fn share(&mut self) -> usize {
-        let in_use = self.connections.values().filter(|c| c.idle_since.is_none()).count();
-        self.most = (self.most_alone / 2).max(in_use).min(self.most_alone - self.most_alone / 4);
+        let in_use = self
+            .connections
+            .values()
+            .filter(|c| c.idle_since.is_none())
+            .count();
+        self.most = (self.most_alone / 2)
+            .max(in_use)
+            .min(self.most_alone - self.most_alone / 4);
         self.make_room();
         self.most
     }
@@ -233,14 +258,24 @@
         let resting = self.rest_until.is_some_and(|until| now < until) && room;
         // The one used last is first, or the last of those that have rested.
         let rested = |connections: &FxHashMap<ConnectionId, Connection>, id: &ConnectionId| {
-            let since = connections.get(id).and_then(|connection| connection.idle_since);
+            let since = connections
+                .get(id)
+                .and_then(|connection| connection.idle_since);
             !resting || since.is_none_or(|since| now >= since + REST)
         };
-        while let Some(i) = host.idle.iter().rposition(|id| rested(&self.connections, id)) {
+        while let Some(i) = host
+            .idle
+            .iter()
+            .rposition(|id| rested(&self.connections, id))
+        {
             let id = host.idle.remove(i);
-            let Some(connection) = self.connections.get_mut(&id) else { continue };
+            let Some(connection) = self.connections.get_mut(&id) else {
+                continue;
+            };
             connection.idle_since = None;
-            let Some(jobs) = &connection.jobs else { continue };
+            let Some(jobs) = &connection.jobs else {
+                continue;
+            };
             match jobs.try_send(job) {
                 Ok(()) => return None,
                 // Its task is just ending; the attempt goes to another connection.
@@ -250,7 +285,10 @@
         if self.connections.len() < self.most {
             self.open(job);
         } else {
-            self.new_waits.push((job.attempt, job.connect_limit(self.common.connect_timeout.get())));
+            self.new_waits.push((
+                job.attempt,
+                job.connect_limit(self.common.connect_timeout.get()),
+            ));
             self.waiting.push_back(job);
             self.make_room();
         }
@@ -261,7 +299,9 @@
     /// server, and all of them would rest. It was never issued.
     pub fn give_up_waiting(&mut self, attempt: AttemptId) -> Option<AttemptEnd> {
         let i = self.waiting.iter().position(|job| job.attempt == attempt)?;
-        self.waiting.remove(i).map(|job| job.end(Verdict::bare(Outcome::NeverSent)))
+        self.waiting
+            .remove(i)
+            .map(|job| job.end(Verdict::bare(Outcome::NeverSent)))
     }
 
     /// Books what a connection tells; ends of attempts go into `ends`.
@@ -272,7 +312,12 @@
                 self.keep(connection, ends);
             }
             PoolNews::Begun { end } => ends.extend([end]),
-            PoolNews::Closed { connection, end, unsent, surplus } => {
+            PoolNews::Closed {
+                connection,
+                end,
+                unsent,
+                surplus,
+            } => {
                 ends.extend(end);
                 if surplus {
                     self.rest_until = Some(Instant::now() + REST_MEMORY);
@@ -289,24 +334,38 @@
 
     fn serve_waiting(&mut self, ends: &mut impl Extend<AttemptEnd>) {
         while self.connections.len() < self.most {
-            let Some(job) = self.waiting.pop_front() else { break };
+            let Some(job) = self.waiting.pop_front() else {
+                break;
+            };
             ends.extend(self.dispatch(job));
         }
         self.make_room();
     }
 
     fn open(&mut self, job: Job) {
-        let Some(host) = self.hosts.get(&job.cache) else { return };
+        let Some(host) = self.hosts.get(&job.cache) else {
+            return;
+        };
         let id = ConnectionId(self.next);
         self.next += 1;
         let (sender, jobs) = mpsc::channel(1);
-        let connection =
-            Connection { cache: job.cache, epoch: host.epoch, idle_since: None, jobs: Some(sender) };
+        let connection = Connection {
+            cache: job.cache,
+            epoch: host.epoch,
+            idle_since: None,
+            jobs: Some(sender),
+        };
         self.connections.insert(id, connection);
         self.common.counters.server_connections_opened.add();
         self.common.counters.server_connections_open.add();
         let (address, barred) = (host.endpoint.address, Rc::clone(&host.barred));
-        let task = Task { id, address, barred, common: Rc::clone(&self.common), jobs };
+        let task = Task {
+            id,
+            address,
+            barred,
+            common: Rc::clone(&self.common),
+            jobs,
+        };
         match host.endpoint.protocol {
             Protocol::Resp => spawn_local(task.run::<CacheCodec>(job)),
             Protocol::Http => spawn_local(task.run::<OriginCodec>(job)),
@@ -315,9 +374,16 @@
 
     /// A connection that has ended its attempt is kept, used by one that waits, or closed.
     fn keep(&mut self, id: ConnectionId, ends: &mut impl Extend<AttemptEnd>) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let host = self.hosts.get_mut(&connection.cache).filter(|host| host.epoch == connection.epoch);
-        let Some(host) = host else { return self.close(id) };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let host = self
+            .hosts
+            .get_mut(&connection.cache)
+            .filter(|host| host.epoch == connection.epoch);
+        let Some(host) = host else {
+            return self.close(id);
+        };
         connection.idle_since = Some(Instant::now());
         host.idle.push(id);
         let cache = connection.cache;
@@ -341,8 +407,13 @@
     /// the limit. This walks all of them, but only while the limit is reached.
     fn make_room(&mut self) {
         while self.closing < self.waiting.len() + self.connections.len().saturating_sub(self.most) {
-            let idle = self.connections.iter().filter_map(|(id, c)| Some((c.idle_since?, *id, c.cache)));
-            let Some((_, id, cache)) = idle.min_by_key(|(since, ..)| *since) else { return };
+            let idle = self
+                .connections
+                .iter()
+                .filter_map(|(id, c)| Some((c.idle_since?, *id, c.cache)));
+            let Some((_, id, cache)) = idle.min_by_key(|(since, ..)| *since) else {
+                return;
+            };
             if let Some(host) = self.hosts.get_mut(&cache) {
                 host.idle.retain(|other| *other != id);
             }
--- a/crates/stairfront-balancer/src/clients.rs
+++ b/crates/stairfront-balancer/src/clients.rs
@@ -108,7 +108,11 @@
 
 impl Crowd {
     fn ring(&self) {
-        let bell = if self.silents.get() > 0 { &self.silent } else { &self.idle };
+        let bell = if self.silents.get() > 0 {
+            &self.silent
+        } else {
+            &self.idle
+        };
         bell.notify_one();
     }
 
@@ -167,7 +171,11 @@
 }
 
 /// Takes connections from the old process for as long as any come.
-async fn adopt<T: Stream>(mut handed: mpsc::Receiver<Handed>, context: Rc<Context>, tasks: TaskTracker) {
+async fn adopt<T: Stream>(
+    mut handed: mpsc::Receiver<Handed>,
+    context: Rc<Context>,
+    tasks: TaskTracker,
+) {
     while let Some(one) = handed.recv().await {
         let hold = match context.elsewhere.get().checked_sub(1) {
             Some(left) => {
@@ -182,7 +190,10 @@
         };
         match Came::<T>::adopt(one) {
             Ok(came) => {
-                let place = Slot { spare: false, _hold: hold };
+                let place = Slot {
+                    spare: false,
+                    _hold: hold,
+                };
                 spawn_local(tasks.track_future(run_connection(came, Rc::clone(&context), place)));
             }
             Err(problem) => warn!("a connection of the old process is lost: {problem}"),
@@ -200,11 +211,18 @@
     most: usize,
     handed: mpsc::Receiver<Handed>,
 ) {
-    let (places, spares) = (Arc::clone(&context.places), Arc::new(Semaphore::new(MOST_SPARE)));
+    let (places, spares) = (
+        Arc::clone(&context.places),
+        Arc::new(Semaphore::new(MOST_SPARE)),
+    );
     let tasks = TaskTracker::new();
     let mut phase = context.phase.clone();
     let mut patience = PLACE_WAIT;
-    let adopting = spawn_local(adopt::<L::Stream>(handed, Rc::clone(&context), tasks.clone()));
+    let adopting = spawn_local(adopt::<L::Stream>(
+        handed,
+        Rc::clone(&context),
+        tasks.clone(),
+    ));
     // A successor accepts all that come from now on.
     while !phase.borrow().hands_over() {
         let accepted = tokio::select! {
@@ -222,7 +240,11 @@
                 }
                 let place = take_place(&places, &spares, &context.crowd, patience).await;
                 let Ok(place) = place else { break };
-                patience = if place.spare { (patience / 2).max(LEAST_PLACE_WAIT) } else { PLACE_WAIT };
+                patience = if place.spare {
+                    (patience / 2).max(LEAST_PLACE_WAIT)
+                } else {
+                    PLACE_WAIT
+                };
                 let connection = run_connection(came, Rc::clone(&context), place);
                 spawn_local(tasks.track_future(connection));
             }
@@ -247,12 +269,24 @@
 
 impl<T: Stream> Came<T> {
     fn new(socket: T) -> Self {
-        Came { socket, used: false, unread: Vec::new() }
+        Came {
+            socket,
+            used: false,
+            unread: Vec::new(),
+        }
     }
 
     fn adopt(handed: Handed) -> io::Result<Self> {
-        let Handed { socket, used, unread } = handed;
-        Ok(Came { socket: T::adopt(socket)?, used, unread })
+        let Handed {
+            socket,
+            used,
+            unread,
+        } = handed;
+        Ok(Came {
+            socket: T::adopt(socket)?,
+            used,
+            unread,
+        })
     }
 }
 
@@ -264,7 +298,10 @@
     crowd: &Crowd,
     patience: Duration,
 ) -> Result<Slot, AcquireError> {
-    let own = |permit| Slot { spare: false, _hold: Hold::Permit(permit) };
+    let own = |permit| Slot {
+        spare: false,
+        _hold: Hold::Permit(permit),
+    };
     if let Ok(permit) = Arc::clone(places).try_acquire_owned() {
         return Ok(own(permit));
     }
@@ -330,7 +367,9 @@
         match answer {
             Answer::Value(value) => put_bulk(dst, &value),
             Answer::Large(length) => put_number(dst, b'$', length),
-            Answer::Busy { after_ms: Some(ms) } => put_line(dst, b'-', format!("BUSY {ms}").as_bytes()),
+            Answer::Busy { after_ms: Some(ms) } => {
+                put_line(dst, b'-', format!("BUSY {ms}").as_bytes())
+            }
             Answer::Busy { after_ms: None } => put_line(dst, b'-', b"BUSY"),
             Answer::Failed => put_line(dst, b'-', b"ERR failed"),
             Answer::Pong => put_line(dst, b'+', b"PONG"),
@@ -435,29 +474,53 @@
 /// Gives a connection to the process that takes over, with what was read of the next command, and its place back. Where
 /// that fails it stays: what was read of it is owed an answer here.
 async fn hand_over<T: Stream>(connection: Connection<T>) -> Result<Slot, Option<Connection<T>>> {
-    let Connection { wire, context, standing, place, answered, .. } = connection;
+    let Connection {
+        wire,
+        context,
+        standing,
+        place,
+        answered,
+        ..
+    } = connection;
     let used = matches!(standing, Standing::Used);
     let FramedParts { io, read_buf, .. } = wire.into_parts();
-    let Ok(socket) = io.release() else { return Err(None) };
-    let handed = Handed { socket, used, unread: read_buf.to_vec() };
+    let Ok(socket) = io.release() else {
+        return Err(None);
+    };
+    let handed = Handed {
+        socket,
+        used,
+        unread: read_buf.to_vec(),
+    };
     match context.successor.hand_over(&handed).await {
         Ok(()) => {
             context.counters.client_connections_handed.add();
             Ok(place)
         }
         Err(problem) => {
-            warn!("a connection could not be handed over, and is served to its end here: {problem}");
+            warn!(
+                "a connection could not be handed over, and is served to its end here: {problem}"
+            );
             let came = Came::<T>::adopt(handed).map_err(|_| None)?;
             let kept = Connection::new(came, context, place);
-            Err(Some(Connection { stays: true, answered, ..kept }))
+            Err(Some(Connection {
+                stays: true,
+                answered,
+                ..kept
+            }))
         }
     }
 }
 
 impl<T: Stream> Connection<T> {
     fn new(came: Came<T>, context: Rc<Context>, place: Slot) -> Self {
-        let Came { socket, used, unread } = came;
-        let mut parts = FramedParts::new::<Answer>(socket, ClientCodec::new(&context.budget, &context.large));
+        let Came {
+            socket,
+            used,
+            unread,
+        } = came;
+        let mut parts =
+            FramedParts::new::<Answer>(socket, ClientCodec::new(&context.budget, &context.large));
         parts.read_buf = BytesMut::with_capacity(READ_BUFFER.max(unread.len()));
         parts.read_buf.extend_from_slice(&unread);
         parts.write_buf = BytesMut::new();
@@ -497,7 +560,10 @@
             if let (true, Some(end)) = (idle, self.last) {
                 return end;
             }
-            let (used, spare) = (matches!(self.standing, Standing::Used), self.spare_until.is_some());
+            let (used, spare) = (
+                matches!(self.standing, Standing::Used),
+                self.spare_until.is_some(),
+            );
             let handing = !self.stays && phase.borrow().hands_over();
             if self.stays && idle && self.leaving.is_none() {
                 self.leaving = Some(Leaving::Whole);
@@ -508,8 +574,10 @@
             }
             // What has not been read the successor reads; of a command that is too large to move, the rest.
             let waiting = self.waits_for_room();
-            let reading =
-                self.last.is_none() && self.owed.len() < MOST_OPEN && !(handing && movable) && !waiting;
+            let reading = self.last.is_none()
+                && self.owed.len() < MOST_OPEN
+                && !(handing && movable)
+                && !waiting;
             // Read from, a connection tells its end by itself.
             let watched = !idle && !reading;
             if !waiting {
@@ -517,7 +585,8 @@
             }
             // A command that has begun to come is not cut off, up to the end of its time.
             let whole = self.wire.read_buffer().is_empty();
-            let leaving = idle && (self.leaving == Some(Leaving::Cut) || self.leaving.is_some() && whole);
+            let leaving =
+                idle && (self.leaving == Some(Leaving::Cut) || self.leaving.is_some() && whole);
             let staying = idle && self.leaving.is_none();
             let quiet_until = self.quiet_until();
             tokio::select! {
@@ -618,7 +687,9 @@
         let half = read > 0;
         match (&self.standing, self.half_since) {
             _ if self.spare_until.is_some() => self.leaving = Some(Leaving::Whole),
-            (Standing::New, _) => self.standing = Standing::Silent(Silent::new(&self.context.crowd)),
+            (Standing::New, _) => {
+                self.standing = Standing::Silent(Silent::new(&self.context.crowd))
+            }
             // It may have begun just now, and has its time from here.
             (Standing::Used, None) if half => self.half_since = Some(Instant::now()),
             _ => {
@@ -632,7 +703,10 @@
     fn is_spare(&mut self) -> bool {
         if self.place.spare {
             if let Ok(permit) = Arc::clone(&self.context.places).try_acquire_owned() {
-                self.place = Slot { spare: false, _hold: Hold::Permit(permit) };
+                self.place = Slot {
+                    spare: false,
+                    _hold: Hold::Permit(permit),
+                };
                 self.spare_until = None;
             }
         }
@@ -641,7 +715,8 @@
 
     /// A large command at the front has no room yet.
     fn waits_for_room(&self) -> bool {
-        self.no_room.is_some_and(|bytes| self.context.large.left() < bytes)
+        self.no_room
+            .is_some_and(|bytes| self.context.large.left() < bytes)
     }
 
     /// Asks the kernel itself, as the last thing before a close. Danger: on a small part of a core much time can pass
@@ -660,7 +735,8 @@
             Some(Err(RespError::Malformed(problem))) => {
                 debug!("malformed input: {problem}");
                 self.context.counters.malformed.add();
-                self.owed.push_back(Owed::Ready(Answer::Error("ERR Protocol error")));
+                self.owed
+                    .push_back(Owed::Ready(Answer::Error("ERR Protocol error")));
                 self.last = Some(End::Said);
                 Ok(())
             }
@@ -685,7 +761,9 @@
             && self.owed.len() < MOST_OPEN
             && !self.waits_for_room()
         {
-            let Some(command) = self.wire.next().now_or_never() else { return Ok(()) };
+            let Some(command) = self.wire.next().now_or_never() else {
+                return Ok(());
+            };
             self.hear(command).await?;
         }
         Ok(())
@@ -700,13 +778,22 @@
     }
 
     /// The same up to a large value, whose pieces are returned once its head is written.
-    async fn write_some(&mut self, given: Option<Given>) -> Result<Option<mpsc::Receiver<Piece>>, RespError> {
+    async fn write_some(
+        &mut self,
+        given: Option<Given>,
+    ) -> Result<Option<mpsc::Receiver<Piece>>, RespError> {
         let (mut next, mut rooms, mut large) = (given, Vec::new(), None);
         let limit = self.patience();
-        while let Some(Given { answer, room, pieces }) = next.take().or_else(|| self.ready()) {
+        while let Some(Given {
+            answer,
+            room,
+            pieces,
+        }) = next.take().or_else(|| self.ready())
+        {
             // What values take is given back once they are written.
             rooms.extend(room);
-            self.while_there(limit, Sink::<Answer>::poll_ready).await??;
+            self.while_there(limit, Sink::<Answer>::poll_ready)
+                .await??;
             self.wire.start_send_unpin(answer)?;
             if let Some(pieces) = pieces {
                 large = Some(pieces);
@@ -716,7 +803,8 @@
         if self.wire.write_buffer().is_empty() {
             return Ok(large);
         }
-        self.while_there(limit, Sink::<Answer>::poll_flush).await??;
+        self.while_there(limit, Sink::<Answer>::poll_flush)
+            .await??;
         (self.quiet_since, self.answered) = (Instant::now(), true);
         shrink(self.wire.write_buffer_mut());
         Ok(large)
@@ -753,10 +841,17 @@
         // As long as its server may take for the next one.
         let limit = large_patience(self.patience());
         loop {
-            match self.while_there(limit, |_, cx| pieces.poll_recv(cx)).await? {
+            match self
+                .while_there(limit, |_, cx| pieces.poll_recv(cx))
+                .await?
+            {
                 Some(Piece::Bytes(bytes)) => self.write_piece(bytes).await?,
                 Some(Piece::End) => return self.write_piece(Bytes::from_static(b"\r\n")).await,
-                None => return Err(RespError::Malformed("a large value was not brought to its end")),
+                None => {
+                    return Err(RespError::Malformed(
+                        "a large value was not brought to its end",
+                    ))
+                }
             }
         }
     }
@@ -812,12 +907,26 @@
                 self.spare_until = Some(Instant::now() + SPARE_LIMIT);
                 Owed::Ready(Answer::Busy { after_ms: None })
             }
-            Taken::Request { command, mut request } => {
+            Taken::Request {
+                command,
+                mut request,
+            } => {
                 request.id = context.new_id();
                 let (sender, answer) = oneshot::channel();
                 let (came, over) = (context.intake.clock.now(), Rc::default());
-                let awaited = Awaited { id: request.id, answer, over: Rc::clone(&over) };
-                let arrival = Arrival { request, came, command, room, answer: sender, over };
+                let awaited = Awaited {
+                    id: request.id,
+                    answer,
+                    over: Rc::clone(&over),
+                };
+                let arrival = Arrival {
+                    request,
+                    came,
+                    command,
+                    room,
+                    answer: sender,
+                    over,
+                };
                 context.inbox.send(Input::Arrived(arrival)).await?;
                 Owed::Awaited(awaited)
             }
@@ -853,7 +962,13 @@
 
     /// Tells the engine of the requests whose client has left.
     async fn abandon(&mut self) {
-        let id = |owed: Owed| if let Owed::Awaited(awaited) = &owed { Some(awaited.id) } else { None };
+        let id = |owed: Owed| {
+            if let Owed::Awaited(awaited) = &owed {
+                Some(awaited.id)
+            } else {
+                None
+            }
+        };
         // All of them are over before the first waits for room to be told of.
         let gone: Vec<RequestId> = self.owed.drain(..).filter_map(id).collect();
         for id in gone {
@@ -867,7 +982,9 @@
 async fn next_answer(owed: &mut VecDeque<Owed>) -> Given {
     match owed.front_mut() {
         // A request that the engine dropped unanswered has failed.
-        Some(Owed::Awaited(awaited)) => (&mut awaited.answer).await.unwrap_or(Given::from(Answer::Failed)),
+        Some(Owed::Awaited(awaited)) => (&mut awaited.answer)
+            .await
+            .unwrap_or(Given::from(Answer::Failed)),
         // Those that are ready have been written before.
         Some(Owed::Ready(_)) | None => std::future::pending().await,
     }
--- a/crates/stairfront-balancer/src/clock.rs
+++ b/crates/stairfront-balancer/src/clock.rs
@@ -15,13 +15,18 @@
 impl Clock {
     pub fn start() -> Self {
         // A machine whose clock stands before 1970 counts from 1970.
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         Clock::starting_at(micros(unix))
     }
 
     /// A clock that shows this Unix time now.
     pub fn starting_at(unix: Micros) -> Self {
-        Clock { unix, start: Instant::now() }
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/config.rs
@@ -28,12 +28,24 @@
     #[error("{OPERATORS}: {address:?} is not an address and a port")]
     Operators { address: String },
     #[error("{path}: {problem}")]
-    File { path: String, problem: std::io::Error },
+    File {
+        path: String,
+        problem: std::io::Error,
+    },
     #[error("{path}: {key}: {problem}")]
-    Key { path: String, key: String, problem: String },
+    Key {
+        path: String,
+        key: String,
+        problem: String,
+    },
     /// A key whose line is known.
     #[error("{path}:{line}: {key}: {problem}")]
-    Line { path: String, line: usize, key: String, problem: String },
+    Line {
+        path: String,
+        line: usize,
+        key: String,
+        problem: String,
+    },
 }
 
 #[derive(Deserialize)]
@@ -57,7 +69,10 @@
 impl Raw {
     /// Descriptors that are neither clients' nor servers': those of the membership, and of a voter's store.
     fn aside(&self) -> usize {
-        let store = self.agreement.as_ref().and_then(|agreement| agreement.store.as_ref());
+        let store = self
+            .agreement
+            .as_ref()
+            .and_then(|agreement| agreement.store.as_ref());
         self.membership.as_ref().map_or(0, |_| DESCRIPTORS) + store.map_or(0, |_| STORE_DESCRIPTORS)
     }
 }
@@ -96,7 +111,11 @@
         let mut config = Self::from_file(&env::var(CONFIG).map_err(|_| ConfigError::NoPath)?)?;
         // It goes before the file, so that two processes can share one during an upgrade.
         if let Ok(address) = env::var(OPERATORS) {
-            config.operators = Some(address.parse().map_err(|_| ConfigError::Operators { address })?);
+            config.operators = Some(
+                address
+                    .parse()
+                    .map_err(|_| ConfigError::Operators { address })?,
+            );
         }
         Ok(config)
     }
@@ -104,7 +123,10 @@
     pub fn from_file(path: &str) -> Result<Self, ConfigError> {
         match fs::read_to_string(path) {
             Ok(text) => Self::from_text(path, &text),
-            Err(problem) => Err(ConfigError::File { path: path.to_string(), problem }),
+            Err(problem) => Err(ConfigError::File {
+                path: path.to_string(),
+                problem,
+            }),
         }
     }
 
@@ -131,25 +153,40 @@
         if let (Some(raw), true) = (raw, problems.is_empty()) {
             problems.extend(Self::build(path, whole, raw).err());
         }
-        problems.into_iter().map(|(key, problem)| origin.fault(key, problem)).collect()
+        problems
+            .into_iter()
+            .map(|(key, problem)| origin.fault(key, problem))
+            .collect()
     }
 
     /// The file in the platform's form, and where each of its keys came from.
     fn whole(path: &str, text: &str) -> Result<(Value, Origin), ConfigError> {
         if path.ends_with(".toml") {
             let whole = product::read(text).map_err(|fault| product_fault(path, text, fault))?;
-            return Ok((whole, Origin { path: path.to_string(), toml: Some(text.to_string()) }));
+            return Ok((
+                whole,
+                Origin {
+                    path: path.to_string(),
+                    toml: Some(text.to_string()),
+                },
+            ));
         }
-        let origin = Origin { path: path.to_string(), toml: None };
+        let origin = Origin {
+            path: path.to_string(),
+            toml: None,
+        };
         // Read into its types first: an error of theirs names the key and the line.
-        serde_path_to_error::deserialize::<_, Raw>(&mut serde_json::Deserializer::from_str(text)).map_err(
-            |e| {
-                // Broken syntax has no key, and its problem tells line and column.
-                let key = e.path().to_string();
-                origin.fault(if key == "?" { "syntax".into() } else { key }, e.inner().to_string())
-            },
-        )?;
-        let whole = serde_json::from_str(text).map_err(|e| origin.fault(".".into(), e.to_string()))?;
+        serde_path_to_error::deserialize::<_, Raw>(&mut serde_json::Deserializer::from_str(text))
+            .map_err(|e| {
+            // Broken syntax has no key, and its problem tells line and column.
+            let key = e.path().to_string();
+            origin.fault(
+                if key == "?" { "syntax".into() } else { key },
+                e.inner().to_string(),
+            )
+        })?;
+        let whole =
+            serde_json::from_str(text).map_err(|e| origin.fault(".".into(), e.to_string()))?;
         Ok((whole, origin))
     }
 
@@ -161,10 +198,18 @@
         };
         let mut problems = Vec::new();
         let faults = Start::faults(raw.settings.clone());
-        problems.extend(faults.into_iter().map(|e| (format!("settings.{}", e.key), e.problem)));
+        problems.extend(
+            faults
+                .into_iter()
+                .map(|e| (format!("settings.{}", e.key), e.problem)),
+        );
         if let Some(membership) = &raw.membership {
             let faults = membership.faults(&raw.name);
-            problems.extend(faults.into_iter().map(|(key, problem)| (format!("membership.{key}"), problem)));
+            problems.extend(
+                faults
+                    .into_iter()
+                    .map(|(key, problem)| (format!("membership.{key}"), problem)),
+            );
             let allowed = &raw.settings["caps"]["peer_messages"];
             if *allowed != Value::Bool(true) {
                 let problem =
@@ -174,18 +219,36 @@
             }
         }
         if let Some(agreement) = &raw.agreement {
-            let roster = raw.membership.as_ref().map(|membership| &membership.roster[..]);
+            let roster = raw
+                .membership
+                .as_ref()
+                .map(|membership| &membership.roster[..]);
             let faults = agreement.faults(roster);
-            problems.extend(faults.into_iter().map(|(key, problem)| (format!("agreement.{key}"), problem)));
+            problems.extend(
+                faults
+                    .into_iter()
+                    .map(|(key, problem)| (format!("agreement.{key}"), problem)),
+            );
         }
         let aside = raw.aside();
         let limits = [
-            ("limits.sockets", raw.limits.sockets.unwrap_or(MOST_SOCKETS), Sockets::FEWEST + aside),
-            ("limits.memory_mb", raw.limits.memory_mb.unwrap_or(Memory::USUAL_MB), Memory::FEWEST_MB),
+            (
+                "limits.sockets",
+                raw.limits.sockets.unwrap_or(MOST_SOCKETS),
+                Sockets::FEWEST + aside,
+            ),
+            (
+                "limits.memory_mb",
+                raw.limits.memory_mb.unwrap_or(Memory::USUAL_MB),
+                Memory::FEWEST_MB,
+            ),
         ];
         for (key, given, fewest) in limits {
             if given < fewest {
-                problems.push((key.to_string(), format!("{given} is too few, {fewest} at least")));
+                problems.push((
+                    key.to_string(),
+                    format!("{given} is too few, {fewest} at least"),
+                ));
             }
         }
         (Some(raw), problems)
@@ -193,8 +256,8 @@
 
     fn build(path: &str, mut whole: Value, raw: Raw) -> Result<Self, (String, String)> {
         let aside = raw.aside();
-        let start =
-            Start::from_value(raw.settings).map_err(|e| (format!("settings.{}", e.key), e.problem))?;
+        let start = Start::from_value(raw.settings)
+            .map_err(|e| (format!("settings.{}", e.key), e.problem))?;
         let list = raw.known.read(&start.names);
         let known = list.map_err(|e| ("known.endpoints".to_string(), e.to_string()))?;
         if let Some(keys) = whole.as_object_mut() {
@@ -229,10 +292,17 @@
     /// A fault of a key of the platform's form, named as it stands in the file.
     fn fault(&self, key: String, problem: String) -> ConfigError {
         let path = self.path.clone();
-        let Some(text) = &self.toml else { return ConfigError::Key { path, key, problem } };
+        let Some(text) = &self.toml else {
+            return ConfigError::Key { path, key, problem };
+        };
         let key = product::own_key(&key);
         match product::line_of(text, &key) {
-            Some(line) => ConfigError::Line { path, line, key, problem },
+            Some(line) => ConfigError::Line {
+                path,
+                line,
+                key,
+                problem,
+            },
             None => ConfigError::Key { path, key, problem },
         }
     }
@@ -241,7 +311,12 @@
 fn product_fault(path: &str, text: &str, fault: product::Fault) -> ConfigError {
     let (path, product::Fault { key, problem, line }) = (path.to_string(), fault);
     match line.or_else(|| product::line_of(text, &key)) {
-        Some(line) => ConfigError::Line { path, line, key, problem },
+        Some(line) => ConfigError::Line {
+            path,
+            line,
+            key,
+            problem,
+        },
         None => ConfigError::Key { path, key, problem },
     }
 }
@@ -261,11 +336,19 @@
     /// Danger: a file that lacks a key which this one has was cut or lost in editing; taken over it would have that key
     /// at its default, which nobody has asked for. A TOML file is written by hand and may leave out what it likes.
     pub fn is_followed_by(&self, new: Config) -> Result<Config, ConfigError> {
-        let lacking = if self.path.ends_with(".toml") { None } else { lacking("", &self.text, &new.text) };
+        let lacking = if self.path.ends_with(".toml") {
+            None
+        } else {
+            lacking("", &self.text, &new.text)
+        };
         match lacking {
             Some(key) => {
                 let problem = "missing, though the configuration in use has it".to_string();
-                Err(ConfigError::Key { path: new.path, key, problem })
+                Err(ConfigError::Key {
+                    path: new.path,
+                    key,
+                    problem,
+                })
             }
             None => Ok(new),
         }
@@ -279,7 +362,11 @@
 fn lacking(path: &str, old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(olds), Value::Object(news)) => olds.iter().find_map(|(key, old)| {
-            let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+            let path = if path.is_empty() {
+                key.clone()
+            } else {
+                format!("{path}.{key}")
+            };
             match news.get(key) {
                 Some(new) => lacking(&path, old, new),
                 None => Some(path).filter(|_| !OPTIONAL.contains(&key.as_str())),
@@ -292,7 +379,9 @@
                 .iter()
                 .filter(|(key, _)| olds.iter().all(|old| old.get(key).is_some()));
             let common: Value = common.map(|(key, _)| (key.clone(), Value::Null)).collect();
-            news.iter().enumerate().find_map(|(i, new)| lacking(&format!("{path}[{i}]"), &common, new))
+            news.iter()
+                .enumerate()
+                .find_map(|(i, new)| lacking(&format!("{path}[{i}]"), &common, new))
         }
         _ => None,
     }
@@ -308,8 +397,13 @@
     };
     let added = news.keys().filter(|key| !olds.contains_key(*key));
     for key in olds.keys().chain(added) {
-        let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-        let of = |keys: &serde_json::Map<String, Value>| keys.get(key).cloned().unwrap_or(Value::Null);
+        let path = if path.is_empty() {
+            key.clone()
+        } else {
+            format!("{path}.{key}")
+        };
+        let of =
+            |keys: &serde_json::Map<String, Value>| keys.get(key).cloned().unwrap_or(Value::Null);
         differing(path, &of(olds), &of(news), paths);
     }
 }
--- a/crates/stairfront-balancer/src/connection.rs
+++ b/crates/stairfront-balancer/src/connection.rs
@@ -19,7 +19,9 @@
 
 use crate::clock::{sleep_until, timeout, timeout_at, Instant};
 use crate::counters::Counters;
-use crate::messages::{AttemptEnd, ConnectionId, Input, Job, Outgoing, Piece, PoolNews, Rest, Verdict};
+use crate::messages::{
+    AttemptEnd, ConnectionId, Input, Job, Outgoing, Piece, PoolNews, Rest, Verdict,
+};
 use crate::transport::{Network, Stream, Unread};
 
 /// Pieces of a large value that wait for its client.
@@ -78,15 +80,23 @@
         let mut wire = match self.connect::<S>(&mut job).await {
             Ok(wire) => wire,
             Err(outcome) => {
-                let outcome = if job.has_lapsed() { Outcome::NeverSent } else { outcome };
-                return self.closed(Some(job.end(Verdict::bare(outcome))), None).await;
+                let outcome = if job.has_lapsed() {
+                    Outcome::NeverSent
+                } else {
+                    outcome
+                };
+                return self
+                    .closed(Some(job.end(Verdict::bare(outcome))), None)
+                    .await;
             }
         };
         loop {
             if self.barred.get() {
                 // The socket goes first, as always; not a byte of the attempt was written.
                 drop(wire);
-                return self.closed(Some(job.end(Verdict::bare(Outcome::NeverSent))), None).await;
+                return self
+                    .closed(Some(job.end(Verdict::bare(Outcome::NeverSent))), None)
+                    .await;
             }
             // The server may count from here at the earliest: its answer, or this loop, may have been late.
             let used = Instant::now();
@@ -99,8 +109,14 @@
                 Exchanged::Over(verdict, reusable) => (Some(job.end(verdict)), reusable),
                 Exchanged::Begun(verdict, length) => {
                     let (pieces, coming) = mpsc::channel(MOST_PIECES);
-                    let rest = Some(Rest { length, pieces: coming });
-                    let end = AttemptEnd { rest, ..job.end(verdict) };
+                    let rest = Some(Rest {
+                        length,
+                        pieces: coming,
+                    });
+                    let end = AttemptEnd {
+                        rest,
+                        ..job.end(verdict)
+                    };
                     self.tell(PoolNews::Begun { end }).await;
                     (None, pass_on(&mut wire, &pieces, &self.common).await)
                 }
@@ -117,7 +133,11 @@
                 drop(wire);
                 return self.closed_with(end, None, more).await;
             }
-            self.tell(PoolNews::Idle { connection: self.id, end }).await;
+            self.tell(PoolNews::Idle {
+                connection: self.id,
+                end,
+            })
+            .await;
             let until = used + self.common.idle_limit.get();
             let next = self.next_job(&mut wire, until).await;
             let quiet = is_quiet(&wire);
@@ -154,7 +174,11 @@
     }
 
     /// The next attempt for this connection; none if it has ended, stood idle too long or is to close.
-    async fn next_job<S: Speech>(&mut self, wire: &mut Framed<N::Stream, S>, until: Instant) -> Option<Job> {
+    async fn next_job<S: Speech>(
+        &mut self,
+        wire: &mut Framed<N::Stream, S>,
+        until: Instant,
+    ) -> Option<Job> {
         tokio::select! {
             biased;
             // The end of the connection, or bytes that nobody asked for: either way it is of no more use.
@@ -169,7 +193,13 @@
 
     async fn closed_with(self, end: Option<AttemptEnd>, unsent: Option<Job>, surplus: bool) {
         let (connection, unsent) = (self.id, unsent.map(Box::new));
-        self.tell(PoolNews::Closed { connection, end, unsent, surplus }).await;
+        self.tell(PoolNews::Closed {
+            connection,
+            end,
+            unsent,
+            surplus,
+        })
+        .await;
     }
 
     async fn tell(&self, news: PoolNews) {
@@ -229,7 +259,13 @@
         let (piece, reusable) = match part {
             Part::Piece(bytes) => (Piece::Bytes(bytes), None),
             Part::Done(reply) => match S::verdict(reply, &common.report) {
-                (Verdict { outcome: Outcome::Served, .. }, reusable) => (Piece::End, Some(reusable)),
+                (
+                    Verdict {
+                        outcome: Outcome::Served,
+                        ..
+                    },
+                    reusable,
+                ) => (Piece::End, Some(reusable)),
                 // What stands behind the value belongs to no answer: the value may be wrong as well.
                 _ => break,
             },
@@ -257,7 +293,10 @@
     <S as Decoder>::Error: std::fmt::Display + 'static,
 {
     let left = job.give_up.saturating_duration_since(Instant::now());
-    let outgoing = Outgoing { command: job.command.clone(), left_ms: left.as_millis() as u64 };
+    let outgoing = Outgoing {
+        command: job.command.clone(),
+        left_ms: left.as_millis() as u64,
+    };
     let whole_by = job.whole_by();
     let mut written = false;
     let talk = async {
@@ -266,7 +305,9 @@
             wire.send(outgoing).await?;
             if let Some(value) = apart {
                 let socket = wire.get_mut();
-                socket.write_all_buf(&mut Buf::chain(value, S::BEHIND)).await?;
+                socket
+                    .write_all_buf(&mut Buf::chain(value, S::BEHIND))
+                    .await?;
                 socket.flush().await?;
             }
             Ok::<(), <S as Encoder<Outgoing>>::Error>(())
@@ -289,7 +330,13 @@
             }
             Some(Ok(Part::Begun(length, reply))) => {
                 let (verdict, _) = S::verdict(reply, report);
-                Exchanged::Begun(Verdict { value: None, ..verdict }, length)
+                Exchanged::Begun(
+                    Verdict {
+                        value: None,
+                        ..verdict
+                    },
+                    length,
+                )
             }
             // No reader yields these first.
             Some(Ok(Part::Piece(_) | Part::Done(_))) => {
@@ -297,7 +344,11 @@
             }
             Some(Err(problem)) => {
                 debug!("reply not read: {problem}");
-                let outcome = if S::is_malformed(&problem) { Outcome::Malformed } else { Outcome::Reset };
+                let outcome = if S::is_malformed(&problem) {
+                    Outcome::Malformed
+                } else {
+                    Outcome::Reset
+                };
                 Exchanged::Over(Verdict::bare(outcome), false)
             }
             None => Exchanged::Over(Verdict::bare(Outcome::Reset), false),
@@ -310,6 +361,10 @@
         () = sleep_until(job.give_up) => Outcome::TimedOut,
     };
     // What was never written whole never ran.
-    let outcome = if !written && outcome == Outcome::TimedOut { Outcome::ConnectFailed } else { outcome };
+    let outcome = if !written && outcome == Outcome::TimedOut {
+        Outcome::ConnectFailed
+    } else {
+        outcome
+    };
     Exchanged::Over(Verdict::bare(outcome), false)
 }
--- a/crates/stairfront-balancer/src/cordon_record.rs
+++ b/crates/stairfront-balancer/src/cordon_record.rs
@@ -13,13 +13,18 @@
 impl CordonRecord {
     /// In this folder, under a name that belongs to the balancer called `balancer` alone.
     pub fn within(folder: Option<&Path>, balancer: &str) -> Self {
-        let file = format!("stairfront-cordons-{:016x}.json", xxh3_64(balancer.as_bytes()));
+        let file = format!(
+            "stairfront-cordons-{:016x}.json",
+            xxh3_64(balancer.as_bytes())
+        );
         CordonRecord(folder.map(|folder| folder.join(file)))
     }
 
     /// The names on record. Danger: a torn or foreign file must not keep a balancer from starting.
     pub fn read(&self) -> Vec<String> {
-        let Some(path) = &self.0 else { return Vec::new() };
+        let Some(path) = &self.0 else {
+            return Vec::new();
+        };
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(problem) if problem.kind() == ErrorKind::NotFound => return Vec::new(),
--- a/crates/stairfront-balancer/src/discovery.rs
+++ b/crates/stairfront-balancer/src/discovery.rs
@@ -135,7 +135,9 @@
     }
 
     async fn keep(&mut self) {
-        let Some(address) = *self.agents.borrow() else { return std::future::pending().await };
+        let Some(address) = *self.agents.borrow() else {
+            return std::future::pending().await;
+        };
         let mut failures = 0;
         loop {
             match self.call(address).await {
@@ -146,7 +148,9 @@
                     failures = 0;
                     // Danger: this may be dropped at any wait, for other news or another agent. With the version put
                     // down before the list is handed on, nobody would ever ask for what it had.
-                    let Ok(room) = self.inbox.reserve().await else { return };
+                    let Ok(room) = self.inbox.reserve().await else {
+                        return;
+                    };
                     (self.hold, self.index) = (HOLD, Some(list.index));
                     room.send(Input::List(list));
                 }
@@ -182,7 +186,9 @@
     fn pause(&mut self, first: Duration, longest: Duration, failures: u32) -> Duration {
         self.draws = self.draws.wrapping_add(1);
         let draw = xxh3_64(&self.draws.to_le_bytes()) as f64 / u64::MAX as f64;
-        let whole = first.saturating_mul(1 << failures.saturating_sub(1).min(8)).min(longest);
+        let whole = first
+            .saturating_mul(1 << failures.saturating_sub(1).min(8))
+            .min(longest);
         whole.mul_f64(0.5 + draw / 2.0)
     }
 
@@ -192,19 +198,33 @@
             none => {
                 let connected = timeout(ANSWER_LIMIT, self.network.connect(address));
                 let socket = connected.await.map_err(|_| CallError::Late)??;
-                none.insert(Framed::new(socket, HttpCodec::new(LARGEST_LIST, &Budget::new(LARGEST_LIST))))
+                none.insert(Framed::new(
+                    socket,
+                    HttpCodec::new(LARGEST_LIST, &Budget::new(LARGEST_LIST)),
+                ))
             }
         };
         let (target, limit) = match self.index {
             Some(index) => {
-                let target = format!("/api/targets?from={index}&hold_ms={}", self.hold.as_millis());
+                let target = format!(
+                    "/api/targets?from={index}&hold_ms={}",
+                    self.hold.as_millis()
+                );
                 (target, self.hold + ANSWER_LIMIT)
             }
             None => ("/api/targets".to_string(), ANSWER_LIMIT),
         };
         let host = Bytes::from(address.to_string());
-        wire.send(Request { method: "GET", target, headers: vec![("Host", host)], body: Body::None }).await?;
-        let answer = timeout(limit, wire.next()).await.map_err(|_| CallError::Late)?;
+        wire.send(Request {
+            method: "GET",
+            target,
+            headers: vec![("Host", host)],
+            body: Body::None,
+        })
+        .await?;
+        let answer = timeout(limit, wire.next())
+            .await
+            .map_err(|_| CallError::Late)?;
         let response = answer.ok_or(CallError::Ended)??;
         if response.last {
             self.wire = None;
@@ -212,15 +232,17 @@
         if response.status != 200 {
             return Err(CallError::Status(response.status));
         }
-        let raw: RawList =
-            serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(&response.body))
-                .map_err(|e| CallError::Json(e.to_string()))?;
+        let raw: RawList = serde_path_to_error::deserialize(
+            &mut serde_json::Deserializer::from_slice(&response.body),
+        )
+        .map_err(|e| CallError::Json(e.to_string()))?;
         let list = raw.read(&self.names)?;
         match self.index {
             // Changes of versions that are older than the list in hand say nothing of it.
-            Some(index) if !list.full && list.index < index => {
-                Err(CallError::Back { index, told: list.index })
-            }
+            Some(index) if !list.full && list.index < index => Err(CallError::Back {
+                index,
+                told: list.index,
+            }),
             _ => Ok(list),
         }
     }
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -10,8 +10,8 @@
 use stairfront_membership_agent::{Members, Told};
 use stairfront_overload::Door;
 use stairfront_policy::interface::{
-    Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport, Micros,
-    Outcome, RequestId, Settings, MS,
+    Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
+    Micros, Outcome, RequestId, Settings, MS,
 };
 use stairfront_settings::{Retuned, Start};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -104,12 +104,27 @@
         pool: Pool<N>,
         shared: Shared,
     ) -> Self {
-        let Shared { vitals: Vitals { clock, door, counters }, ready, record, terms, members, origin } =
-            shared;
+        let Shared {
+            vitals:
+                Vitals {
+                    clock,
+                    door,
+                    counters,
+                },
+            ready,
+            record,
+            terms,
+            members,
+            origin,
+        } = shared;
         let (members, held) = members.unzip();
         let mut registry = HostRegistry::default();
-        held.into_iter().flatten().for_each(|name| registry.hold(cache_id(&name), &name));
-        let Start { mut settings, host, .. } = start;
+        held.into_iter()
+            .flatten()
+            .for_each(|name| registry.hold(cache_id(&name), &name));
+        let Start {
+            mut settings, host, ..
+        } = start;
         // The agent is watched at no cost from the start, whatever the simulator's discovery would ask for.
         settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
         Engine {
@@ -153,15 +168,20 @@
         self.learn(known, true);
         if let Some(members) = &self.members {
             // What others tell of older lists than this one is nothing new.
-            members.told(&Told { index, hosts: self.caches(), leaving: Vec::new() });
+            members.told(&Told {
+                index,
+                hosts: self.caches(),
+                leaving: Vec::new(),
+            });
         }
         if let Some(HandoverState { knowledge, listed }) = inherited {
             info!("took over what the running process knew");
             self.tell(Event::Inherited(&knowledge));
             let servers = &self.servers;
-            listed
-                .into_iter()
-                .for_each(|id| self.registry.inherit(CacheId(id), |other| servers.contains_key(&other)));
+            listed.into_iter().for_each(|id| {
+                self.registry
+                    .inherit(CacheId(id), |other| servers.contains_key(&other))
+            });
         }
         loop {
             tokio::select! {
@@ -188,15 +208,19 @@
     fn hear(&mut self, input: Input) {
         match input {
             Input::Arrived(arrival) => {
-                self.door.borrow_mut().message(self.clock.now() - arrival.came);
+                self.door
+                    .borrow_mut()
+                    .message(self.clock.now() - arrival.came);
                 self.arrived(arrival);
             }
             Input::ClientGone(id) => self.client_gone(id),
             Input::Retune(retuned) => self.retune(&retuned),
             Input::Snapshot(to) => self.snapshot(to),
             Input::Hosts(to) => {
-                let listed =
-                    self.names.iter().filter_map(|(id, name)| Some((name.clone(), *self.servers.get(id)?)));
+                let listed = self
+                    .names
+                    .iter()
+                    .filter_map(|(id, name)| Some((name.clone(), *self.servers.get(id)?)));
                 // Who has left does not need it.
                 let _ = to.send(listed.collect());
             }
@@ -218,7 +242,10 @@
                 let told = self.members.is_some().then(|| self.leaving_in(&list));
                 self.learn(list, false);
                 if let (Some(members), Some(told)) = (&self.members, told) {
-                    members.told(&Told { hosts: self.caches(), ..told });
+                    members.told(&Told {
+                        hosts: self.caches(),
+                        ..told
+                    });
                 }
             }
         }
@@ -227,7 +254,11 @@
 
     /// Takes other settings over in one step, between two requests: the module's and all that follow from them.
     fn retune(&mut self, retuned: &Retuned) {
-        let Retuned { start: Start { settings, host, .. }, tenants, .. } = retuned;
+        let Retuned {
+            start: Start { settings, host, .. },
+            tenants,
+            ..
+        } = retuned;
         let mut settings = settings.clone();
         // The agent is watched at no cost, as at the start.
         settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
@@ -236,19 +267,32 @@
         self.dropped_stay_open = settings.rules.removal_is_advisory;
         self.table.set_most(host.open_requests);
         let stall = stall_limit(&settings);
-        self.pool.retune(duration(settings.limits.connect_timeout), duration(host.idle), stall);
+        self.pool.retune(
+            duration(settings.limits.connect_timeout),
+            duration(host.idle),
+            stall,
+        );
         self.door.borrow_mut().retune(&door_settings(&settings, 0));
-        self.tell(Event::SettingsChanged { settings: &settings, tenants });
+        self.tell(Event::SettingsChanged {
+            settings: &settings,
+            tenants,
+        });
         *self.terms.borrow_mut() = Terms::retuned(self.clock.now(), retuned);
     }
 
     fn snapshot(&mut self, to: oneshot::Sender<Snapshot>) {
         let knowledge = self.policy.knowledge(self.clock.now());
-        let state = HandoverState { knowledge, listed: self.registry.known().map(|id| id.0).collect() };
+        let state = HandoverState {
+            knowledge,
+            listed: self.registry.known().map(|id| id.0).collect(),
+        };
         // Numbers and lists of them alone, which cannot fail; without it the successor learns by itself.
         let state = serde_json::to_vec(&state).unwrap_or_default();
         // A successor that has left meanwhile is told of by its post.
-        let _ = to.send(Snapshot { state, servers: self.pool.share() });
+        let _ = to.send(Snapshot {
+            state,
+            servers: self.pool.share(),
+        });
     }
 
     fn restore_cordons(&mut self) {
@@ -259,7 +303,8 @@
         }
         self.counters.cordoned.set(self.registry.out() as u64);
         let out: Vec<CacheId> = self.registry.all_out().collect();
-        out.into_iter().for_each(|cache| self.tell(Event::Cordon { cache, on: true }));
+        out.into_iter()
+            .for_each(|cache| self.tell(Event::Cordon { cache, on: true }));
     }
 
     fn carry_out_order(&mut self, order: &Order, word: Word) -> Done {
@@ -277,10 +322,19 @@
         let known = match order {
             Order::Cordon(_) => self.registry.cordon(cache, name).is_ok(),
             Order::Uncordon(_) => self.registry.uncordon(cache).is_ok(),
-            Order::Known(_) => return if self.registry.is_known(cache) { Done::Yes } else { Done::Unknown },
+            Order::Known(_) => {
+                return if self.registry.is_known(cache) {
+                    Done::Yes
+                } else {
+                    Done::Unknown
+                }
+            }
             Order::Use(_) => {
                 let sent = self.sent.get(&cache).copied().unwrap_or(0);
-                return Done::Use { open: self.pool.in_use(cache), sent };
+                return Done::Use {
+                    open: self.pool.in_use(cache),
+                    sent,
+                };
             }
             Order::Hold(_) => {
                 self.registry.hold(cache, name);
@@ -307,7 +361,10 @@
             _ => {}
         }
         // Written again at a repeated call too: the first may have failed.
-        match self.record.write(self.registry.cordoned().map(|(_, name)| name)) {
+        match self
+            .record
+            .write(self.registry.cordoned().map(|(_, name)| name))
+        {
             Ok(()) => Done::Yes,
             Err(problem) => {
                 warn!("cordons not recorded, and would be lost with this process: {problem}");
@@ -319,7 +376,10 @@
     /// Has the pool hold back from a server that may get nothing new: what waits for a socket or a connection ends,
     /// and idle connections close. What is under way goes on.
     fn bar(&mut self, cache: CacheId) {
-        let listed = self.servers.get(&cache).is_some_and(|member| member.state == EndpointState::Ready);
+        let listed = self
+            .servers
+            .get(&cache)
+            .is_some_and(|member| member.state == EndpointState::Ready);
         let barred = !listed || self.registry.is_cordoned(cache) || self.hearsay.contains(&cache);
         self.pool.bar(cache, barred);
         if barred {
@@ -334,10 +394,20 @@
             self.hearsay.remove(&cache);
             return;
         };
-        let changed = if stop { self.hearsay.insert(cache) } else { self.hearsay.remove(&cache) };
+        let changed = if stop {
+            self.hearsay.insert(cache)
+        } else {
+            self.hearsay.remove(&cache)
+        };
         if changed && own.state == EndpointState::Ready {
-            let state = if stop { EndpointState::Draining } else { own.state };
-            self.tell(Event::EndpointList(EndpointListUpdate::Delta(&[Endpoint { state, ..own }])));
+            let state = if stop {
+                EndpointState::Draining
+            } else {
+                own.state
+            };
+            self.tell(Event::EndpointList(EndpointListUpdate::Delta(&[
+                Endpoint { state, ..own },
+            ])));
             self.bar(cache);
         }
     }
@@ -345,21 +415,35 @@
     /// Which cache hosts leave by a list, among those that were in use.
     fn leaving_in(&self, list: &ServerList) -> Told {
         let said = |line: &&Line| line.member.state != EndpointState::Ready;
-        let mut leaving: Vec<String> = list.lines.iter().filter(said).map(|line| line.name.clone()).collect();
+        let mut leaving: Vec<String> = list
+            .lines
+            .iter()
+            .filter(said)
+            .map(|line| line.name.clone())
+            .collect();
         if list.full {
             let listed = |name: &str| list.lines.iter().any(|line| line.name == name);
             leaving.extend(self.names.values().filter(|name| !listed(name)).cloned());
         }
         // Those that leave now, not those that have been leaving.
         let in_use = |name: &String| {
-            self.servers.get(&cache_id(name)).is_some_and(|member| member.state == EndpointState::Ready)
+            self.servers
+                .get(&cache_id(name))
+                .is_some_and(|member| member.state == EndpointState::Ready)
         };
         leaving.retain(in_use);
-        Told { index: list.index, hosts: 0, leaving }
+        Told {
+            index: list.index,
+            hosts: 0,
+            leaving,
+        }
     }
 
     fn caches(&self) -> usize {
-        self.servers.values().filter(|member| !self.is_origin(member)).count()
+        self.servers
+            .values()
+            .filter(|member| !self.is_origin(member))
+            .count()
     }
 
     fn is_origin(&self, member: &Endpoint) -> bool {
@@ -408,7 +492,12 @@
             let id = end.attempt.request;
             self.notice_departure(id);
             self.counters.ended(end.verdict.outcome);
-            if self.members.is_some() && self.servers.get(&end.cache).is_some_and(|of| self.is_origin(of)) {
+            if self.members.is_some()
+                && self
+                    .servers
+                    .get(&end.cache)
+                    .is_some_and(|of| self.is_origin(of))
+            {
                 self.origin.ended(end.verdict.outcome);
             }
             self.log_attempt(&end);
@@ -428,16 +517,27 @@
     fn log_attempt(&self, end: &AttemptEnd) {
         if tracing::enabled!(tracing::Level::DEBUG) {
             let open = self.table.open.get(&end.attempt.request);
-            let request =
-                open.map_or(String::new(), |open| String::from_utf8_lossy(&open.command.id).into_owned());
+            let request = open.map_or(String::new(), |open| {
+                String::from_utf8_lossy(&open.command.id).into_owned()
+            });
             let (server, outcome) = (format!("{:012x}", end.cache.0), end.verdict.outcome);
             let ms = end.begun.elapsed().as_millis() as u64;
-            debug!(request, server, ?outcome, attempt = end.attempt.number, ms, "attempt ended");
+            debug!(
+                request,
+                server,
+                ?outcome,
+                attempt = end.attempt.number,
+                ms,
+                "attempt ended"
+            );
         }
     }
 
     fn is_open(&self, id: RequestId) -> bool {
-        self.table.open.get(&id).is_some_and(|open| open.answer.is_some())
+        self.table
+            .open
+            .get(&id)
+            .is_some_and(|open| open.answer.is_some())
     }
 
     fn tell(&mut self, event: Event<'_>) {
@@ -453,7 +553,12 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, cache, timeout, send_within } => self.send(id, cache, timeout, send_within),
+            Action::Send {
+                id,
+                cache,
+                timeout,
+                send_within,
+            } => self.send(id, cache, timeout, send_within),
             Action::Reject { id, retry_after } => {
                 let after_ms = u64::try_from(retry_after / MS).ok().filter(|ms| *ms > 0);
                 if self.table.answer(id, Answer::Busy { after_ms }) {
@@ -476,7 +581,12 @@
             // Probes answer as not made, so that a module that tries them learns nothing wrong.
             Action::HealthCheck { cache } => {
                 let (outcome, load) = (Outcome::NeverSent, LoadReport::default());
-                self.tell(Event::HealthChecked { cache, outcome, elapsed: 0, load });
+                self.tell(Event::HealthChecked {
+                    cache,
+                    outcome,
+                    elapsed: 0,
+                    load,
+                });
             }
             // Balancers share nothing here, and the watch on discovery's agent never ends.
             Action::SendToPeer { .. } | Action::Watch(_) | Action::PollList => {}
@@ -516,7 +626,12 @@
         let mut members: Vec<Endpoint> = list.lines.iter().map(|line| line.member).collect();
         if list.full {
             let listed = |id: &CacheId| members.iter().any(|member| member.id == *id);
-            let left: Vec<CacheId> = self.servers.keys().copied().filter(|id| !listed(id)).collect();
+            let left: Vec<CacheId> = self
+                .servers
+                .keys()
+                .copied()
+                .filter(|id| !listed(id))
+                .collect();
             left.into_iter().for_each(|id| self.delist(id));
         }
         list.lines.iter().for_each(|line| self.place(line));
@@ -524,7 +639,10 @@
         let heard = |member: &&mut Endpoint| {
             member.state == EndpointState::Ready && self.hearsay.contains(&member.id)
         };
-        members.iter_mut().filter(heard).for_each(|member| member.state = EndpointState::Draining);
+        members
+            .iter_mut()
+            .filter(heard)
+            .for_each(|member| member.state = EndpointState::Draining);
         // With any list it can serve, an old one too: a restart that waited for discovery would serve nobody.
         if !self.servers.is_empty() {
             self.ready.send_replace(true);
@@ -542,13 +660,26 @@
             return self.delist(member.id);
         }
         let origin = self.is_origin(&member);
-        let protocol = if origin { Protocol::Http } else { Protocol::Resp };
-        self.pool.set(member.id, UpstreamTarget { address: line.address, protocol });
+        let protocol = if origin {
+            Protocol::Http
+        } else {
+            Protocol::Resp
+        };
+        self.pool.set(
+            member.id,
+            UpstreamTarget {
+                address: line.address,
+                protocol,
+            },
+        );
         let before = self.servers.insert(member.id, member);
         self.dropped.retain(|other| *other != member.id);
         if before.is_none() {
             // The module knows servers by number alone, and so do its log lines.
-            info!("server {:012x} is {} at {}", member.id.0, line.name, line.address);
+            info!(
+                "server {:012x} is {} at {}",
+                member.id.0, line.name, line.address
+            );
         }
         if !origin {
             self.registry.listed(member.id);
--- a/crates/stairfront-balancer/src/group.rs
+++ b/crates/stairfront-balancer/src/group.rs
@@ -31,7 +31,12 @@
                     }
                 }
                 Turn::Hearsay { host, stop } => {
-                    if self.inbox.send(Input::Hearsay { host, stop }).await.is_err() {
+                    if self
+                        .inbox
+                        .send(Input::Hearsay { host, stop })
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -43,9 +48,20 @@
     /// None once the engine has ended. Danger: confirmed before the engine has it, a host would get requests while it is
     /// worked on.
     async fn cordon(&self, host: &str, held: bool) -> Option<()> {
-        let order = if held { Order::Hold(host.to_string()) } else { Order::Release(host.to_string()) };
+        let order = if held {
+            Order::Hold(host.to_string())
+        } else {
+            Order::Release(host.to_string())
+        };
         let (done, is_done) = oneshot::channel();
-        self.orders.send(Ordered { order: order.clone(), word: Word::Vouched, done }).await.ok()?;
+        self.orders
+            .send(Ordered {
+                order: order.clone(),
+                word: Word::Vouched,
+                done,
+            })
+            .await
+            .ok()?;
         let mut all = is_done.await.ok()? == Done::Yes;
         for link in &self.links {
             if let Some(answer) = link.relay(&order, Word::Vouched).await {
--- a/crates/stairfront-balancer/src/handover.rs
+++ b/crates/stairfront-balancer/src/handover.rs
@@ -53,7 +53,11 @@
 
 /// Asks the process that serves now for its listener and what it knows; none where there is no such process, or it is
 /// silent, of another version, or listens elsewhere. Then the new one starts as if it were the first.
-pub async fn ask(path: &Path, name: &str, listen: SocketAddr) -> Option<(TcpListener, Predecessor)> {
+pub async fn ask(
+    path: &Path,
+    name: &str,
+    listen: SocketAddr,
+) -> Option<(TcpListener, Predecessor)> {
     // Nobody there: the usual start.
     let socket = HandoverSocket::connect(path).ok()?;
     match timeout(ANSWER_LIMIT, hear_out(socket, name, listen)).await {
@@ -75,13 +79,22 @@
     listen: SocketAddr,
 ) -> io::Result<(TcpListener, Predecessor)> {
     let odd = |what: &str| io::Error::other(what.to_string());
-    socket.send(&Message::Hello { name: name.to_string() }, None).await?;
+    socket
+        .send(
+            &Message::Hello {
+                name: name.to_string(),
+            },
+            None,
+        )
+        .await?;
     let (clients, servers, listener) = match socket.receive().await? {
         Some((Message::Welcome { clients, servers }, Some(socket))) => {
             (clients, servers, TcpListener::from(socket))
         }
         Some((message, _)) => {
-            return Err(odd(&format!("a welcome with a listener was due, not {message:?}")))
+            return Err(odd(&format!(
+                "a welcome with a listener was due, not {message:?}"
+            )))
         }
         None => return Err(odd("it has ended")),
     };
@@ -104,7 +117,15 @@
     let state = serde_json::from_slice(&state)
         .map_err(|problem| warn!("what the running process knows is not readable here: {problem}"))
         .ok();
-    Ok((listener, Predecessor { socket, clients, servers, state }))
+    Ok((
+        listener,
+        Predecessor {
+            socket,
+            clients,
+            servers,
+            state,
+        },
+    ))
 }
 
 /// One process's end of a handover socket, while there is one.
@@ -134,7 +155,14 @@
         self.waiting.borrow_mut().insert(number, done);
         let asked = async {
             socket
-                .send(&Message::Order { number, order: order.clone(), word }, None)
+                .send(
+                    &Message::Order {
+                        number,
+                        order: order.clone(),
+                        word,
+                    },
+                    None,
+                )
                 .await
                 .map_err(|_| ())?;
             is_done.await.map_err(|_| ())
@@ -152,8 +180,15 @@
     /// the connection would end in the client's face.
     pub async fn hand_over(&self, handed: &Handed) -> io::Result<()> {
         let socket = self.socket().ok_or(io::ErrorKind::NotConnected)?;
-        let message = Message::Connection { used: handed.used, unread: handed.unread.clone() };
-        let sent = timeout(RELAY_LIMIT, socket.send(&message, Some(handed.socket.as_fd()))).await;
+        let message = Message::Connection {
+            used: handed.used,
+            unread: handed.unread.clone(),
+        };
+        let sent = timeout(
+            RELAY_LIMIT,
+            socket.send(&message, Some(handed.socket.as_fd())),
+        )
+        .await;
         sent.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
@@ -176,13 +211,24 @@
                 }
             };
             match (message, beside, handed) {
-                (Message::Order { number, order, word }, ..) => {
+                (
+                    Message::Order {
+                        number,
+                        order,
+                        word,
+                    },
+                    ..,
+                ) => {
                     let (done, is_done) = oneshot::channel();
                     if orders.send(Ordered { order, word, done }).await.is_err() {
                         break;
                     }
                     let Ok(done) = is_done.await else { break };
-                    if socket.send(&Message::Done { number, done }, None).await.is_err() {
+                    if socket
+                        .send(&Message::Done { number, done }, None)
+                        .await
+                        .is_err()
+                    {
                         break;
                     }
                 }
@@ -193,7 +239,15 @@
                     }
                 }
                 (Message::Connection { used, unread }, Some(socket), Some(handed)) => {
-                    if handed.send(Handed { socket, used, unread }).await.is_err() {
+                    if handed
+                        .send(Handed {
+                            socket,
+                            used,
+                            unread,
+                        })
+                        .await
+                        .is_err()
+                    {
                         break;
                     }
                 }
@@ -216,7 +270,13 @@
 
 impl Succession {
     pub async fn run(self) {
-        let Succession { predecessor, link, orders, handed, inbox } = self;
+        let Succession {
+            predecessor,
+            link,
+            orders,
+            handed,
+            inbox,
+        } = self;
         link.keep(predecessor.socket, &orders, Some(&handed)).await;
         info!("the old process has ended; all descriptors are this one's");
         // The engine is gone only when the whole balancer ends.
@@ -283,7 +343,9 @@
     async fn welcome(&self, socket: &HandoverSocket) -> io::Result<()> {
         match socket.receive().await? {
             Some((Message::Hello { name }, _)) if name == self.name => {}
-            Some((message, _)) => return Err(io::Error::other(format!("not a successor: {message:?}"))),
+            Some((message, _)) => {
+                return Err(io::Error::other(format!("not a successor: {message:?}")))
+            }
             None => return Err(io::ErrorKind::UnexpectedEof.into()),
         }
         let (snapshot, taken) = oneshot::channel();
@@ -293,8 +355,15 @@
             .await
             .map_err(|_| io::Error::other("the engine has ended"))?;
         let Snapshot { state, servers } = taken.await.map_err(gone)?;
-        let clients = self.most_clients.saturating_sub(self.places.available_permits());
-        socket.send(&Message::Welcome { clients, servers }, Some(self.listener.as_fd())).await?;
+        let clients = self
+            .most_clients
+            .saturating_sub(self.places.available_permits());
+        socket
+            .send(
+                &Message::Welcome { clients, servers },
+                Some(self.listener.as_fd()),
+            )
+            .await?;
         for message in Parts::of(&state) {
             socket.send(&message, None).await?;
         }
--- a/crates/stairfront-balancer/src/handover_socket.rs
+++ b/crates/stairfront-balancer/src/handover_socket.rs
@@ -19,7 +19,10 @@
 
 /// Where the process that serves as `balancer` hears its successor.
 pub fn path(folder: &Path, balancer: &str) -> PathBuf {
-    folder.join(format!("stairfront-{:016x}.sock", xxh3_64(balancer.as_bytes())))
+    folder.join(format!(
+        "stairfront-{:016x}.sock",
+        xxh3_64(balancer.as_bytes())
+    ))
 }
 
 /// Both ends see the end of the other as the end of the connection.
@@ -36,7 +39,9 @@
 
     fn over(socket: Socket) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        Ok(HandoverSocket(UnixStream::from_std(OwnedFd::from(socket).into())?))
+        Ok(HandoverSocket(UnixStream::from_std(
+            OwnedFd::from(socket).into(),
+        )?))
     }
 
     /// A message goes whole or not at all. `beside` stays open here; the other side gets one of its own.
@@ -49,7 +54,12 @@
             if !descriptors.is_empty() {
                 control.push(SendAncillaryMessage::ScmRights(&descriptors));
             }
-            Ok(sendmsg(&self.0, &[IoSlice::new(&packet)], &mut control, SendFlags::NOSIGNAL)?)
+            Ok(sendmsg(
+                &self.0,
+                &[IoSlice::new(&packet)],
+                &mut control,
+                SendFlags::NOSIGNAL,
+            )?)
         };
         self.0.async_io(Interest::WRITABLE, send).await.map(drop)
     }
@@ -95,11 +105,16 @@
         reach(path, |address| socket.bind(address))?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
-        Ok(HandoverListener(UnixListener::from_std(OwnedFd::from(socket).into())?))
+        Ok(HandoverListener(UnixListener::from_std(
+            OwnedFd::from(socket).into(),
+        )?))
     }
 
     pub async fn accept(&self) -> io::Result<HandoverSocket> {
-        self.0.accept().await.map(|(socket, _)| HandoverSocket(socket))
+        self.0
+            .accept()
+            .await
+            .map(|(socket, _)| HandoverSocket(socket))
     }
 }
 
@@ -114,5 +129,7 @@
     };
     let folder = std::fs::File::open(folder)?;
     let number = std::os::fd::AsRawFd::as_raw_fd(&folder.as_fd());
-    with(&SockAddr::unix(Path::new(&format!("/proc/self/fd/{number}")).join(file))?)
+    with(&SockAddr::unix(
+        Path::new(&format!("/proc/self/fd/{number}")).join(file),
+    )?)
 }
--- a/crates/stairfront-balancer/src/heartbeat.rs
+++ b/crates/stairfront-balancer/src/heartbeat.rs
@@ -23,16 +23,32 @@
 
 /// The door of a balancer with these settings.
 pub fn door(set: &Settings, clock: Clock, seed: u64) -> Rc<RefCell<Door>> {
-    Rc::new(RefCell::new(Door::new(clock.now(), door_settings(set, seed))))
+    Rc::new(RefCell::new(Door::new(
+        clock.now(),
+        door_settings(set, seed),
+    )))
 }
 
 /// What the settings say to the door; a door that is there keeps its seed.
 pub fn door_settings(set: &Settings, seed: u64) -> DoorSettings {
-    let aim = set.classes.iter().map(|class| class.latency_objective).min().unwrap_or(MOST_TARGET * AIM_PART);
+    let aim = set
+        .classes
+        .iter()
+        .map(|class| class.latency_objective)
+        .min()
+        .unwrap_or(MOST_TARGET * AIM_PART);
     DoorSettings {
         target: (aim / AIM_PART).clamp(LEAST_TARGET, MOST_TARGET),
-        quotas: set.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
-        worths: set.classes.iter().map(|class| class.priority_weight).collect(),
+        quotas: set
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_s)
+            .collect(),
+        worths: set
+            .classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .collect(),
         most_advice_ms: set.limits.max_retry_after as f64 / MS as f64,
         seed,
     }
@@ -48,7 +64,11 @@
 
 /// Beats for as long as the balancer runs, and tells the door how late each beat was.
 pub async fn beat(vitals: Vitals) {
-    let Vitals { clock, door, counters } = vitals;
+    let Vitals {
+        clock,
+        door,
+        counters,
+    } = vitals;
     let mut told = false;
     loop {
         let due = Instant::now() + BEAT;
@@ -63,7 +83,10 @@
         counters.taking_permille.set((part * 1000.0) as u64);
         if part < TOLD_BELOW && !told {
             told = true;
-            info!("behind by {} ms, taking {part:.2} of the requests", behind / MS);
+            info!(
+                "behind by {} ms, taking {part:.2} of the requests",
+                behind / MS
+            );
         } else if part >= 1.0 && told {
             told = false;
             info!(
--- a/crates/stairfront-balancer/src/limits.rs
+++ b/crates/stairfront-balancer/src/limits.rs
@@ -58,7 +58,10 @@
         // Clients hold a third of the descriptors at most, connections that they only keep included. Danger: up to that
         // all would be kept ones, and new requests find no connection; so fewer are kept, and servers get the rest.
         let clients = (limit * 5 / 16).min(free / 2);
-        Sockets { clients, servers: free - clients }
+        Sockets {
+            clients,
+            servers: free - clients,
+        }
     }
 }
 
--- a/crates/stairfront-balancer/src/load_report.rs
+++ b/crates/stairfront-balancer/src/load_report.rs
@@ -8,9 +8,18 @@
 /// a figure that no server can have, would be believed; such a report is none.
 pub fn load_report(text: &[u8], fields: &[String]) -> LoadReport {
     let read = |field: &String| {
-        let value = |pair: &'_ [u8]| Some(pair.strip_prefix(field.as_bytes())?.strip_prefix(b"=")?.to_vec());
+        let value = |pair: &'_ [u8]| {
+            Some(
+                pair.strip_prefix(field.as_bytes())?
+                    .strip_prefix(b"=")?
+                    .to_vec(),
+            )
+        };
         let mut values = text.split(|b| *b == b',').filter_map(value);
-        let figure = String::from_utf8(values.next()?).ok()?.parse::<f32>().ok()?;
+        let figure = String::from_utf8(values.next()?)
+            .ok()?
+            .parse::<f32>()
+            .ok()?;
         (values.next().is_none() && figure.is_finite() && figure >= 0.0).then_some(figure)
     };
     let mut load = LoadReport::default();
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -66,7 +66,9 @@
         self.0 = match data {
             [] => Maintenance::default(),
             data => Maintenance::restore(data).unwrap_or_else(|| {
-                warn!("maintenance: a snapshot of the plans cannot be read; they are taken for none");
+                warn!(
+                    "maintenance: a snapshot of the plans cannot be read; they are taken for none"
+                );
                 Maintenance::default()
             }),
         };
@@ -133,14 +135,19 @@
         let of = |now: u64, then: u64| now.saturating_sub(then);
         let (all, served) = (of(self.all, before.all), of(self.served, before.served));
         if all >= FEWEST_JUDGED && (served as f64) < LEAST_SERVED * all as f64 {
-            return Some(format!("under {:.0}% of requests are served at {me}", LEAST_SERVED * 100.0));
+            return Some(format!(
+                "under {:.0}% of requests are served at {me}",
+                LEAST_SERVED * 100.0
+            ));
         }
         let asked = of(self.at_origin, before.at_origin);
         let unserved = of(self.unserved_at_origin, before.unserved_at_origin);
-        let pressed = asked >= FEWEST_AT_ORIGIN && unserved as f64 > (1.0 - LEAST_AT_ORIGIN) * asked as f64;
+        let pressed =
+            asked >= FEWEST_AT_ORIGIN && unserved as f64 > (1.0 - LEAST_AT_ORIGIN) * asked as f64;
         let least = LEAST_AT_ORIGIN * 100.0;
-        pressed
-            .then(|| format!("the origin is pressed: under {least:.0}% of attempts at it are served at {me}"))
+        pressed.then(|| {
+            format!("the origin is pressed: under {least:.0}% of attempts at it are served at {me}")
+        })
     }
 }
 
@@ -182,7 +189,12 @@
 impl Keeper {
     pub fn new(of: Parts) -> Rc<Self> {
         let (leading, waits, told) = Default::default();
-        Rc::new(Keeper { of, leading, waits, told })
+        Rc::new(Keeper {
+            of,
+            leading,
+            waits,
+            told,
+        })
     }
 
     pub async fn run(self: Rc<Self>) {
@@ -209,8 +221,12 @@
             return;
         }
         let machine = self.of.voters.machine();
-        let held: Vec<(String, u64)> =
-            machine.0.held().into_iter().map(|held| (held.host, held.told)).collect();
+        let held: Vec<(String, u64)> = machine
+            .0
+            .held()
+            .into_iter()
+            .map(|held| (held.host, held.told))
+            .collect();
         self.of.members.follow(founding, &held, upto);
         let turn = machine.0.turn_of(&self.of.me);
         if turn != *self.told.borrow() {
@@ -218,7 +234,10 @@
                 Some(Stage::Out) => {
                     info!("maintenance: this balancer may be stopped and started: a plan has its turn")
                 }
-                Some(stage) => info!("maintenance: a plan has this balancer's turn: {}", stage.word()),
+                Some(stage) => info!(
+                    "maintenance: a plan has this balancer's turn: {}",
+                    stage.word()
+                ),
                 None => info!("maintenance: this balancer's turn is over"),
             }
             *self.told.borrow_mut() = turn;
@@ -248,7 +267,9 @@
 
     fn say(&self, to: &str, aside: &Aside) {
         // Texts, numbers and lists of them alone, which cannot fail.
-        self.of.voters.say_aside(to, postcard::to_stdvec(aside).unwrap_or_default());
+        self.of
+            .voters
+            .say_aside(to, postcard::to_stdvec(aside).unwrap_or_default());
     }
 
     /// It is held here, and no attempt is open there in any process of this balancer.
@@ -260,7 +281,15 @@
     async fn used(&self, host: &str) -> Option<(u64, u64)> {
         let order = Order::Use(host.to_string());
         let (done, is_done) = oneshot::channel();
-        self.of.orders.send(Ordered { order: order.clone(), word: Word::Operators, done }).await.ok()?;
+        self.of
+            .orders
+            .send(Ordered {
+                order: order.clone(),
+                word: Word::Operators,
+                done,
+            })
+            .await
+            .ok()?;
         let mut all = is_done.await.ok()?;
         for link in &self.of.links {
             if let Some(answer) = link.relay(&order, Word::Operators).await {
@@ -284,7 +313,9 @@
         if turn == Some(Stage::Told) {
             self.of.voters.hand_over();
         }
-        let Some(mut seen) = self.see().await else { return };
+        let Some(mut seen) = self.see().await else {
+            return;
+        };
         self.ask(&mut seen);
         let (due, waits) = self.of.voters.machine().0.lead(&seen);
         if self.of.voters.leads() != Some(term) {
@@ -297,7 +328,9 @@
         *self.waits.borrow_mut() = Some((Instant::now(), waits.clone()));
         if waiting {
             let others: Vec<String> = self.roster().filter(|name| *name != self.of.me).collect();
-            others.iter().for_each(|name| self.say(name, &Aside::Waits(waits.clone())));
+            others
+                .iter()
+                .for_each(|name| self.say(name, &Aside::Waits(waits.clone())));
         }
     }
 
@@ -324,14 +357,26 @@
                 leading.proposed.insert(key, now);
             }
         }
-        let command = Command { term, ..self.command(&self.of.me, what) };
-        self.of.voters.propose(command.id, command.write(), STEP_LIMIT);
+        let command = Command {
+            term,
+            ..self.command(&self.of.me, what)
+        };
+        self.of
+            .voters
+            .propose(command.id, command.write(), STEP_LIMIT);
     }
 
     fn command(&self, author: &str, what: What) -> Command {
         let at_ms = unix_ms();
         let (via, author) = (self.of.me.clone(), author.to_string());
-        Command { id: self.of.voters.next_id(), at_ms, term: 0, via, author, what }
+        Command {
+            id: self.of.voters.next_id(),
+            at_ms,
+            term: 0,
+            via,
+            author,
+            what,
+        }
     }
 
     /// The fleet as this balancer sees it, and what has come back into use.
@@ -339,7 +384,13 @@
         let (to, hosts) = oneshot::channel();
         self.of.inbox.send(Input::Hosts(to)).await.ok()?;
         let listed = hosts.await.ok()?;
-        let zone = |zone: usize| self.of.zones.get(zone).cloned().unwrap_or_else(|| format!("zone {zone}"));
+        let zone = |zone: usize| {
+            self.of
+                .zones
+                .get(zone)
+                .cloned()
+                .unwrap_or_else(|| format!("zone {zone}"))
+        };
         let hosts = listed.iter().map(|(name, member)| Host {
             name: name.clone(),
             zone: zone(usize::from(member.zone.0)),
@@ -355,7 +406,10 @@
         }
         let report = self.of.members.report();
         let roster: BTreeSet<String> = self.roster().collect();
-        let balancers = report.members.iter().filter(|member| roster.contains(&member.name));
+        let balancers = report
+            .members
+            .iter()
+            .filter(|member| roster.contains(&member.name));
         let balancers: Vec<Balancer> = balancers
             .map(|member| Balancer {
                 name: member.name.clone(),
@@ -368,8 +422,18 @@
             .collect();
         let warm = self.warm(&hosts, &balancers).await;
         let trouble = self.judge_service();
-        let fleet = Fleet { hosts, balancers, trouble };
-        Some(Seen { fleet, me: self.of.me.clone(), now_ms: unix_ms(), warm, ..Seen::default() })
+        let fleet = Fleet {
+            hosts,
+            balancers,
+            trouble,
+        };
+        Some(Seen {
+            fleet,
+            me: self.of.me.clone(),
+            now_ms: unix_ms(),
+            warm,
+            ..Seen::default()
+        })
     }
 
     /// Below a mark over a window; well again only over a whole one.
@@ -394,7 +458,11 @@
     async fn warm(&self, hosts: &[Host], balancers: &[Balancer]) -> Vec<String> {
         let warming: Vec<String> = {
             let machine = self.of.voters.machine();
-            machine.0.at(Stage::Warming).map(|machine| machine.name().to_string()).collect()
+            machine
+                .0
+                .at(Stage::Warming)
+                .map(|machine| machine.name().to_string())
+                .collect()
         };
         if warming.is_empty() {
             let mut leading = self.leading.borrow_mut();
@@ -406,18 +474,29 @@
         if counted_at.is_none_or(|at| at.elapsed() >= COUNT_EVERY) {
             self.leading.borrow_mut().counted_at = Some(Instant::now());
             for host in hosts.iter().filter(|host| host.up) {
-                let Some((_, sent)) = self.used(&host.name).await else { continue };
+                let Some((_, sent)) = self.used(&host.name).await else {
+                    continue;
+                };
                 let mut leading = self.leading.borrow_mut();
                 let known = leading.uses.get(&host.name).copied();
                 let lately = known.map_or(0, |known| sent.saturating_sub(known.sent));
                 leading.uses.insert(
                     host.name.clone(),
-                    Use { sent, lately: if known.is_some() { lately } else { u64::MAX } },
+                    Use {
+                        sent,
+                        lately: if known.is_some() { lately } else { u64::MAX },
+                    },
                 );
             }
         }
         let leading = self.leading.borrow();
-        let counted = |name: &str| leading.uses.get(name).map(|of| of.lately).filter(|of| *of < u64::MAX);
+        let counted = |name: &str| {
+            leading
+                .uses
+                .get(name)
+                .map(|of| of.lately)
+                .filter(|of| *of < u64::MAX)
+        };
         let others: Vec<u64> = hosts
             .iter()
             .filter(|host| host.up && !warming.contains(&host.name))
@@ -439,13 +518,19 @@
             (caches(Stage::Told), caches(Stage::Held))
         };
         let mut leading = self.leading.borrow_mut();
-        let wanted: BTreeSet<(String, u64)> =
-            told.iter().chain(&held).map(|held| (held.host.clone(), held.told)).collect();
+        let wanted: BTreeSet<(String, u64)> = told
+            .iter()
+            .chain(&held)
+            .map(|held| (held.host.clone(), held.told))
+            .collect();
         leading.asked.retain(|key, _| wanted.contains(key));
         leading.quiet.retain(|key, _| wanted.contains(key));
         for held in told {
             let key = (held.host.clone(), held.told);
-            let progress = leading.asked.get(&key).and_then(|order| self.of.members.progress(*order));
+            let progress = leading
+                .asked
+                .get(&key)
+                .and_then(|order| self.of.members.progress(*order));
             match progress {
                 Some(progress) => drop(seen.confirmed.insert(key, progress.confirmed)),
                 // Too many at once: asked later.
@@ -460,8 +545,17 @@
             let key = (held.host.clone(), held.told);
             let quiet = leading.quiet.entry(key.clone()).or_default();
             seen.quiet.insert(key, quiet.iter().cloned().collect());
-            for name in self.of.members.roster().into_iter().filter(|name| !quiet.contains(name)) {
-                let aside = Aside::IsQuiet { host: held.host.clone(), told: held.told };
+            for name in self
+                .of
+                .members
+                .roster()
+                .into_iter()
+                .filter(|name| !quiet.contains(name))
+            {
+                let aside = Aside::IsQuiet {
+                    host: held.host.clone(),
+                    told: held.told,
+                };
                 self.say(&name, &aside);
             }
         }
@@ -500,21 +594,37 @@
         let machine = self.of.voters.machine();
         // Danger: just founded, or just started, each name would be refused as one that nobody knows.
         if machine.0.fleet().hosts.is_empty() {
-            return Err(Problem::Unsettled("nothing is agreed of the fleet yet; ask again".to_string()));
+            return Err(Problem::Unsettled(
+                "nothing is agreed of the fleet yet; ask again".to_string(),
+            ));
         }
-        let order = machine.0.dry_run(plan).map_err(|fault| Problem::Refused(fault.to_string()))?;
+        let order = machine
+            .0
+            .dry_run(plan)
+            .map_err(|fault| Problem::Refused(fault.to_string()))?;
         let rounds = order.len().div_ceil(plan.at_once.max(1) as usize) as u64;
         // What the steps may take before they are called late: known no better before.
         let longest = u64::from(plan.confirm_s) + u64::from(plan.quiet_s) + u64::from(plan.warm_s);
-        let machines = order.iter().map(|machine| machine.name().to_string()).collect();
-        Ok(DryRun { order: machines, rounds, at_most_s: rounds * (longest + u64::from(plan.work_s)) })
+        let machines = order
+            .iter()
+            .map(|machine| machine.name().to_string())
+            .collect();
+        Ok(DryRun {
+            order: machines,
+            rounds,
+            at_most_s: rounds * (longest + u64::from(plan.work_s)),
+        })
     }
 
     /// Brings an operator's command to the one who leads, and waits until it is settled.
     pub async fn command_of(&self, author: &str, what: What) -> Result<Settled, Problem> {
         let command = self.command(author, what);
         let id = command.id;
-        let settled = self.of.voters.order(id, command.write(), COMMAND_LIMIT).await;
+        let settled = self
+            .of
+            .voters
+            .order(id, command.write(), COMMAND_LIMIT)
+            .await;
         let status = self.of.voters.status();
         let outcome: Option<Outcome> = self.of.voters.machine().0.outcome(id).cloned();
         match (settled, outcome) {
@@ -544,7 +654,10 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 pub enum Problem {
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -47,7 +47,11 @@
 
 impl From<Answer> for Given {
     fn from(answer: Answer) -> Self {
-        Given { answer, room: None, pieces: None }
+        Given {
+            answer,
+            room: None,
+            pieces: None,
+        }
     }
 }
 
@@ -85,7 +89,10 @@
 impl Outgoing {
     /// A value that is written behind its command by itself, so that it is not copied first.
     pub fn apart(&self) -> Option<&Bytes> {
-        self.command.value.as_ref().filter(|value| value.len() > LARGEST_WHOLE)
+        self.command
+            .value
+            .as_ref()
+            .filter(|value| value.len() > LARGEST_WHOLE)
     }
 
     /// The list of names and values with `d` telling how long this balancer will wait; all else as it came.
@@ -138,7 +145,12 @@
 
 impl Verdict {
     pub fn bare(outcome: Outcome) -> Self {
-        Verdict { outcome, note: CacheStatus::None, load: LoadReport::default(), value: None }
+        Verdict {
+            outcome,
+            note: CacheStatus::None,
+            load: LoadReport::default(),
+            value: None,
+        }
     }
 }
 
@@ -201,7 +213,8 @@
     /// Until when its last byte has to be written. Danger: the server may have forgotten the attempt before this one by
     /// then, and do the work a second time.
     pub fn whole_by(&self) -> Instant {
-        self.lapses.map_or(self.give_up, |lapses| lapses.min(self.give_up))
+        self.lapses
+            .map_or(self.give_up, |lapses| lapses.min(self.give_up))
     }
 
     /// Its window has closed, which is no fault of the server's.
@@ -210,7 +223,13 @@
     }
 
     pub fn end(&self, verdict: Verdict) -> AttemptEnd {
-        AttemptEnd { attempt: self.attempt, cache: self.cache, begun: self.begun, verdict, rest: None }
+        AttemptEnd {
+            attempt: self.attempt,
+            cache: self.cache,
+            begun: self.begun,
+            verdict,
+            rest: None,
+        }
     }
 }
 
@@ -225,9 +244,7 @@
         end: Option<AttemptEnd>,
     },
     /// The attempt has ended with a large value; the connection is in use until all of it has come.
-    Begun {
-        end: AttemptEnd,
-    },
+    Begun { end: AttemptEnd },
     Closed {
         connection: ConnectionId,
         end: Option<AttemptEnd>,
--- a/crates/stairfront-balancer/src/operators.rs
+++ b/crates/stairfront-balancer/src/operators.rs
@@ -80,11 +80,16 @@
                 oldest.abort();
             }
         }
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            return;
+        };
         let (desk, own_mute, budget) = (desk.clone(), Rc::clone(&mute), Rc::clone(&budget));
         let task = spawn_local(async move {
             let wire = Framed::new(socket, HttpServerCodec::new(LARGEST_BODY, &budget));
-            speak(wire, desk, || own_mute.borrow_mut().retain(|(other, _)| *other != caller)).await;
+            speak(wire, desk, || {
+                own_mute.borrow_mut().retain(|(other, _)| *other != caller)
+            })
+            .await;
             drop(place);
         });
         mute.borrow_mut().push_back((caller, task.abort_handle()));
@@ -128,14 +133,25 @@
         },
         Ok(Call::Plan { dry_run }) => plan(&received.body, dry_run, desk).await,
         Ok(Call::Act(act)) => {
-            let Act { verb, plan, machine, member, why, author } = act;
+            let Act {
+                verb,
+                plan,
+                machine,
+                member,
+                why,
+                author,
+            } = act;
             let what = match verb {
                 Verb::Hold => What::Hold { plan, why },
                 Verb::Resume => What::Resume { plan },
                 Verb::Skip => What::Skip { plan, machine },
                 Verb::Drop => What::Drop { plan },
                 Verb::Done => What::Done { plan, machine },
-                Verb::Force => What::Force { plan, machine, member },
+                Verb::Force => What::Force {
+                    plan,
+                    machine,
+                    member,
+                },
             };
             command(&author, what, desk).await
         }
@@ -155,11 +171,20 @@
 
 /// A plan is read whole and checked against what is agreed of the fleet, before it is told and again as it is settled.
 async fn plan(body: &[u8], dry_run: bool, desk: &Desk) -> Reply {
-    let Some(keeper) = &desk.keeper else { return no(404, "Not Found", NO_AGREEMENT) };
-    let plan: Plan = match serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(body)) {
-        Ok(plan) => plan,
-        Err(fault) => return no(400, "Bad Request", &format!("{}: {}", fault.path(), fault.inner())),
+    let Some(keeper) = &desk.keeper else {
+        return no(404, "Not Found", NO_AGREEMENT);
     };
+    let plan: Plan =
+        match serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(body)) {
+            Ok(plan) => plan,
+            Err(fault) => {
+                return no(
+                    400,
+                    "Bad Request",
+                    &format!("{}: {}", fault.path(), fault.inner()),
+                )
+            }
+        };
     match keeper.dry_run(&plan) {
         Err(Problem::Refused(fault)) => no(409, "Conflict", &fault),
         Err(Problem::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
@@ -169,12 +194,19 @@
 }
 
 async fn command(author: &str, what: What, desk: &Desk) -> Reply {
-    let Some(keeper) = &desk.keeper else { return no(404, "Not Found", NO_AGREEMENT) };
+    let Some(keeper) = &desk.keeper else {
+        return no(404, "Not Found", NO_AGREEMENT);
+    };
     // Danger: a call that lay here while this process slept is from before whatever the others have done since.
-    if let Some(slept) = desk.members.as_ref().and_then(|members| members.stood_still()) {
+    if let Some(slept) = desk
+        .members
+        .as_ref()
+        .and_then(|members| members.stood_still())
+    {
         let slept = slept.as_millis();
-        let problem =
-            format!("this process stood still for {slept} ms, and the call may be as old; ask again");
+        let problem = format!(
+            "this process stood still for {slept} ms, and the call may be as old; ask again"
+        );
         return no(503, "Service Unavailable", &problem);
     }
     let words = format!("{what:?}");
@@ -190,15 +222,31 @@
 
 /// Danger: a yes before the engine has it would have operators restart a cache host that still gets requests.
 async fn order(order: Order, desk: &Desk) -> Reply {
-    match timeout(ORDER_LIMIT, everywhere(&order, desk)).await.ok().flatten() {
+    match timeout(ORDER_LIMIT, everywhere(&order, desk))
+        .await
+        .ok()
+        .flatten()
+    {
         Some(Done::Yes) => {
             info!("operators: {order:?}: yes");
             yes("done\n")
         }
-        Some(Done::Unknown) => no(404, "Not Found", "no cache host of this name was ever listed"),
+        Some(Done::Unknown) => no(
+            404,
+            "Not Found",
+            "no cache host of this name was ever listed",
+        ),
         Some(Done::Use { .. }) => no(500, "Internal Server Error", "not an answer to this call"),
-        Some(Done::Held) => no(409, "Conflict", "the group holds it out; lift that with ?scope=group"),
-        Some(Done::NotRecorded) => no(500, "Internal Server Error", "it holds here, but is not on record"),
+        Some(Done::Held) => no(
+            409,
+            "Conflict",
+            "the group holds it out; lift that with ?scope=group",
+        ),
+        Some(Done::NotRecorded) => no(
+            500,
+            "Internal Server Error",
+            "it holds here, but is not on record",
+        ),
         None => no(503, "Service Unavailable", "not done in time; ask again"),
     }
 }
@@ -206,7 +254,9 @@
 /// An order to the whole group: a yes once every member of the roster has confirmed a cordon, or has left on purpose,
 /// and once a majority has confirmed its end. A no tells who is missing and why; what was ordered goes on being told.
 async fn group_order(host: String, cordon: bool, desk: &Desk) -> Reply {
-    let Some(members) = &desk.members else { return no(404, "Not Found", NO_GROUP) };
+    let Some(members) = &desk.members else {
+        return no(404, "Not Found", NO_GROUP);
+    };
     // Danger: a call that lay here while this process slept is from before whatever the others have done since.
     if let Some(slept) = members.stood_still() {
         let problem = format!(
@@ -217,15 +267,33 @@
     }
     // A name that was never listed here is asked of the engine first: a slip of the pen must not go to all.
     if !members.holds(&host) {
-        match timeout(ORDER_LIMIT, here(Order::Known(host.clone()), Word::Operators, desk)).await {
+        match timeout(
+            ORDER_LIMIT,
+            here(Order::Known(host.clone()), Word::Operators, desk),
+        )
+        .await
+        {
             Ok(Some(Done::Yes)) => {}
-            Ok(Some(_)) => return no(404, "Not Found", "no cache host of this name was ever listed"),
+            Ok(Some(_)) => {
+                return no(
+                    404,
+                    "Not Found",
+                    "no cache host of this name was ever listed",
+                )
+            }
             _ => return no(503, "Service Unavailable", "not done in time; ask again"),
         }
     }
-    match members.order(&GroupOrder { host, cordon }, GROUP_LIMIT).await {
+    match members
+        .order(&GroupOrder { host, cordon }, GROUP_LIMIT)
+        .await
+    {
         Ok(progress) => {
-            let missing: Vec<&str> = progress.missing.iter().map(|missing| missing.name.as_str()).collect();
+            let missing: Vec<&str> = progress
+                .missing
+                .iter()
+                .map(|missing| missing.name.as_str())
+                .collect();
             info!(
                 "operators: for the group: {} {}: {}, missing {missing:?}",
                 if cordon { "cordon" } else { "uncordon" },
@@ -244,7 +312,11 @@
 /// Has this process and, during an upgrade, the other one carry an order out; none if one of them does not answer.
 async fn everywhere(order: &Order, desk: &Desk) -> Option<Done> {
     let own = here(order.clone(), Word::Operators, desk).await?;
-    let word = if own == Done::Unknown { Word::Operators } else { Word::Vouched };
+    let word = if own == Done::Unknown {
+        Word::Operators
+    } else {
+        Word::Vouched
+    };
     let mut all = own;
     for link in &desk.links {
         if let Some(answer) = link.relay(order, word).await {
@@ -275,11 +347,27 @@
 fn json(status: u16, reason: &'static str, value: &impl serde::Serialize) -> Reply {
     // Texts, numbers and lists of them alone, which cannot fail.
     let body = Bytes::from(serde_json::to_vec(value).unwrap_or_default());
-    let headers = vec![("Connection", "close".to_string()), ("Content-Type", "application/json".to_string())];
-    Reply { status, reason, headers, body }
+    let headers = vec![
+        ("Connection", "close".to_string()),
+        ("Content-Type", "application/json".to_string()),
+    ];
+    Reply {
+        status,
+        reason,
+        headers,
+        body,
+    }
 }
 
 fn reply(status: u16, reason: &'static str, body: Bytes) -> Reply {
-    let headers = vec![("Connection", "close".to_string()), ("Content-Type", "text/plain".to_string())];
-    Reply { status, reason, headers, body }
+    let headers = vec![
+        ("Connection", "close".to_string()),
+        ("Content-Type", "text/plain".to_string()),
+    ];
+    Reply {
+        status,
+        reason,
+        headers,
+        body,
+    }
 }
--- a/crates/stairfront-balancer/src/origin.rs
+++ b/crates/stairfront-balancer/src/origin.rs
@@ -48,8 +48,20 @@
             (Verb::Set, Some(length)) => ("PUT", Body::Behind(length)),
             (Verb::Set, None) => ("PUT", Body::Here(command.value.unwrap_or_default())),
         };
-        let headers = vec![("Host", self.host.clone()), ("Request-Id", command.id), ("Request-Info", info)];
-        self.http.encode(Request { method, target: target(&command.key), headers, body }, dst)
+        let headers = vec![
+            ("Host", self.host.clone()),
+            ("Request-Id", command.id),
+            ("Request-Info", info),
+        ];
+        self.http.encode(
+            Request {
+                method,
+                target: target(&command.key),
+                headers,
+                body,
+            },
+            dst,
+        )
     }
 }
 
@@ -76,7 +88,10 @@
     const BEHIND: &'static [u8] = b"";
 
     fn new(address: SocketAddr, largest_value: usize, budget: &Rc<Budget>) -> Self {
-        OriginCodec { http: HttpCodec::new(largest_value, budget), host: Bytes::from(address.to_string()) }
+        OriginCodec {
+            http: HttpCodec::new(largest_value, budget),
+            host: Bytes::from(address.to_string()),
+        }
     }
 
     fn verdict(reply: Response, report: &[String]) -> (Verdict, bool) {
@@ -87,9 +102,19 @@
             // Not a word of the origin's: what it meant is not known.
             _ => return (Verdict::bare(Outcome::Malformed), false),
         };
-        let load = reply.load.map_or(LoadReport::default(), |text| load_report(&text, report));
+        let load = reply
+            .load
+            .map_or(LoadReport::default(), |text| load_report(&text, report));
         let value = (outcome == Outcome::Served).then_some(reply.body);
-        (Verdict { outcome, note: CacheStatus::None, load, value }, !reply.last)
+        (
+            Verdict {
+                outcome,
+                note: CacheStatus::None,
+                load,
+                value,
+            },
+            !reply.last,
+        )
     }
 
     fn is_malformed(error: &HttpError) -> bool {
--- a/crates/stairfront-balancer/src/product.rs
+++ b/crates/stairfront-balancer/src/product.rs
@@ -63,7 +63,11 @@
 
 impl Default for ProductLimits {
     fn default() -> Self {
-        ProductLimits { sockets: 1024, memory_mb: 192, open_requests: 20_000 }
+        ProductLimits {
+            sockets: 1024,
+            memory_mb: 192,
+            open_requests: 20_000,
+        }
     }
 }
 
@@ -78,7 +82,11 @@
 
 impl Default for ProductGroup {
     fn default() -> Self {
-        ProductGroup { balancers: 1, me: 0, peer_messages: None }
+        ProductGroup {
+            balancers: 1,
+            me: 0,
+            peer_messages: None,
+        }
     }
 }
 
@@ -191,12 +199,20 @@
 pub fn read(text: &str) -> Result<Value, Fault> {
     let broken = |e: toml::de::Error| {
         let line = e.span().map(|span| line_at(text, span.start));
-        Fault { key: "syntax".to_string(), problem: e.message().to_string(), line }
+        Fault {
+            key: "syntax".to_string(),
+            problem: e.message().to_string(),
+            line,
+        }
     };
     let reader = toml::Deserializer::parse(text).map_err(broken)?;
     let product: Product = serde_path_to_error::deserialize(reader).map_err(|e| {
         let line = e.inner().span().map(|span| line_at(text, span.start));
-        Fault { key: e.path().to_string(), problem: e.inner().message().to_string(), line }
+        Fault {
+            key: e.path().to_string(),
+            problem: e.inner().message().to_string(),
+            line,
+        }
     })?;
     Ok(product.platform())
 }
@@ -213,10 +229,12 @@
             true => json!({"mode": "through"}),
             false => json!({"mode": "aside", "origin_kind": 1}),
         };
-        let tenant =
-            |t: &ProductTenant| json!({"name": t.name, "quota_rps": t.requests_per_s, "share": t.share});
+        let tenant = |t: &ProductTenant| json!({"name": t.name, "quota_rps": t.requests_per_s, "share": t.share});
         let (retries, rules) = (&self.retries, &self.rules);
-        let may_talk = self.group.peer_messages.unwrap_or(self.membership.is_some());
+        let may_talk = self
+            .group
+            .peer_messages
+            .unwrap_or(self.membership.is_some());
         let mut whole = json!({
             "name": self.name, "listen": self.listen, "seed": self.seed,
             "limits": {"sockets": self.limits.sockets, "memory_mb": self.limits.memory_mb},
@@ -285,9 +303,15 @@
     ("settings.rules.fall_multiple", "rules.fall_multiple"),
     ("settings.rules.fall", "rules.fall_ms"),
     ("settings.rules", "rules"),
-    ("settings.caps.connect_timeout", "retries.connect_timeout_ms"),
+    (
+        "settings.caps.connect_timeout",
+        "retries.connect_timeout_ms",
+    ),
     ("settings.caps.keepalive", "retries.servers_idle_ms"),
-    ("settings.caps.max_retry_after", "retries.max_retry_after_ms"),
+    (
+        "settings.caps.max_retry_after",
+        "retries.max_retry_after_ms",
+    ),
     ("settings.caps.open_cap", "limits.open_requests"),
     ("settings.caps.peer_messages", "group.peer_messages"),
     ("settings.caps", "retries"),
@@ -319,7 +343,9 @@
                 own.push_str(product);
             }
             None if own.starts_with(platform) => {
-                own = format!("{product}{}", &own[platform.len()..]).trim_start_matches('.').to_string();
+                own = format!("{product}{}", &own[platform.len()..])
+                    .trim_start_matches('.')
+                    .to_string();
             }
             _ => {}
         }
@@ -328,13 +354,20 @@
 }
 
 fn line_at(text: &str, place: usize) -> usize {
-    1 + text.bytes().take(place).filter(|byte| *byte == b'\n').count()
+    1 + text
+        .bytes()
+        .take(place)
+        .filter(|byte| *byte == b'\n')
+        .count()
 }
 
 /// The line, from 1, of a key such as `classes[0].aim_ms`; of what holds it where it is missing itself.
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
-    let words = key.split(['.', '[']).map(|word| word.trim_end_matches(']')).filter(|word| !word.is_empty());
+    let words = key
+        .split(['.', '['])
+        .map(|word| word.trim_end_matches(']'))
+        .filter(|word| !word.is_empty());
     let root = DeValue::Table(table.into_inner());
     let (mut line, mut at) = (None, &root);
     for word in words {
--- a/crates/stairfront-balancer/src/reload.rs
+++ b/crates/stairfront-balancer/src/reload.rs
@@ -50,7 +50,14 @@
         counters: Rc<Counters>,
     ) -> Self {
         let in_use = current.start.clone();
-        Reloads { current, in_use, retired: Vec::new(), agent, inbox, counters }
+        Reloads {
+            current,
+            in_use,
+            retired: Vec::new(),
+            agent,
+            inbox,
+            counters,
+        }
     }
 
     pub async fn run(mut self, mut hangups: mpsc::Receiver<()>) {
@@ -63,7 +70,8 @@
 
     /// Danger: half a file, or one with a slip in it, would take a serving balancer down. It keeps what it has.
     async fn reload(&mut self) {
-        let read = Config::from_file(&self.current.path).and_then(|new| self.current.is_followed_by(new));
+        let read =
+            Config::from_file(&self.current.path).and_then(|new| self.current.is_followed_by(new));
         let new = match read {
             Ok(new) => new,
             Err(problem) => {
@@ -72,17 +80,29 @@
             }
         };
         self.counters.reloads.add();
-        let agent = new.discovery.map_or("no discovery".to_string(), |at| format!("discovery at {at}"));
+        let agent = new.discovery.map_or("no discovery".to_string(), |at| {
+            format!("discovery at {at}")
+        });
         info!("configuration read again from {}, {agent}", new.path);
         let waiting = self.current.needs_restart(&new);
         if !waiting.is_empty() {
-            warn!("changed, but taken over only at a restart: {}", waiting.join(", "));
+            warn!(
+                "changed, but taken over only at a restart: {}",
+                waiting.join(", ")
+            );
         }
         self.retune(&new).await;
-        self.agent.send_if_modified(|agent| std::mem::replace(agent, new.discovery) != new.discovery);
+        self.agent
+            .send_if_modified(|agent| std::mem::replace(agent, new.discovery) != new.discovery);
         if new.discovery.is_none() {
             // The engine is gone only when the whole balancer ends.
-            let _ = self.inbox.send(Input::List(ServerList { full: true, ..new.known })).await;
+            let _ = self
+                .inbox
+                .send(Input::List(ServerList {
+                    full: true,
+                    ..new.known
+                }))
+                .await;
         }
         // Compared with what this process was started with, so that a key changed back is not named.
         self.current.discovery = new.discovery;
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/server.rs
@@ -43,12 +43,16 @@
 
 /// Serves on the kernel's sockets until told to stop. `decider` makes the decision module from its settings and a seed.
 pub fn run<D: Decide>(config: Config, decider: impl FnOnce(Settings, u64) -> D) -> io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(LocalSet::new().run_until(async {
         // Caught before the first connection can come, and so before the first +PONG.
         let hangups = reload::catch_hangups()?;
         let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
-        let handover_path = folder.as_deref().map(|folder| handover_socket::path(folder, &config.name));
+        let handover_path = folder
+            .as_deref()
+            .map(|folder| handover_socket::path(folder, &config.name));
         let inherited = match &handover_path {
             Some(path) => handover::ask(path, &config.name, config.listen).await,
             None => None,
@@ -59,7 +63,10 @@
         };
         let operators = match config.operators {
             Some(address) => Some(transport::listen(address).map_err(|problem| {
-                io::Error::new(problem.kind(), format!("ops: cannot listen on {address}: {problem}"))
+                io::Error::new(
+                    problem.kind(),
+                    format!("ops: cannot listen on {address}: {problem}"),
+                )
             })?),
             None => None,
         };
@@ -70,8 +77,10 @@
             let successor = Rc::clone(&successor);
             move || successor.is_up()
         };
-        let (stopping, reloading) =
-            (spawn_local(watch_signals(phase, has_successor)), spawn_local(reload::pass_on(hangups, rung)));
+        let (stopping, reloading) = (
+            spawn_local(watch_signals(phase, has_successor)),
+            spawn_local(reload::pass_on(hangups, rung)),
+        );
         let members = config.membership.as_ref().map(|raw| {
             let record = LedgerFile::within(folder.as_deref(), &raw.group, &config.name);
             Members::new(raw, &config.name, config.seed, record)
@@ -97,7 +106,11 @@
 
 /// Tells the engine once that this process is to end.
 async fn tell_of_the_end(mut phase: watch::Receiver<Phase>, inbox: mpsc::Sender<Input>) {
-    if phase.wait_for(|phase| *phase != Phase::Running).await.is_ok() {
+    if phase
+        .wait_for(|phase| *phase != Phase::Running)
+        .await
+        .is_ok()
+    {
         // The engine is gone only when the whole balancer ends.
         let _ = inbox.send(Input::Ending).await;
     }
@@ -145,14 +158,20 @@
     let (known, start) = (std::mem::take(&mut config.known), config.start.clone());
     let zones = start.names.zones.clone();
     let agreement = config.agreement.clone();
-    let (name, seed, sockets, memory) = (config.name.clone(), config.seed, config.sockets, config.memory);
+    let (name, seed, sockets, memory) = (
+        config.name.clone(),
+        config.seed,
+        config.sockets,
+        config.memory,
+    );
     let (agent, agents) = watch::channel(config.discovery);
     let (inbox, inputs) = mpsc::channel(INBOX);
     let (ready, is_ready) = watch::channel(false);
     let (orders, ordered) = mpsc::channel(orders::MOST_WAITING);
     let counters = Rc::new(Counters::default());
-    let (clients_elsewhere, servers_elsewhere) =
-        predecessor.as_ref().map_or((0, 0), |old| (old.clients, old.servers));
+    let (clients_elsewhere, servers_elsewhere) = predecessor
+        .as_ref()
+        .map_or((0, 0), |old| (old.clients, old.servers));
     let limits = PoolLimits {
         connections: sockets.servers,
         elsewhere: servers_elsewhere,
@@ -161,8 +180,13 @@
         stall_limit: stall_limit(&start.settings),
         memory,
     };
-    let pool =
-        Pool::new(network.clone(), limits, start.names.report.clone(), inbox.clone(), Rc::clone(&counters));
+    let pool = Pool::new(
+        network.clone(),
+        limits,
+        start.names.report.clone(),
+        inbox.clone(),
+        Rc::clone(&counters),
+    );
     let watch = Watch::new(
         network,
         agents,
@@ -176,7 +200,9 @@
     let door = heartbeat::door(&start.settings, clock, seed);
     let lists = inbox.clone();
     let terms = Rc::new(RefCell::new(Terms::of(&start)));
-    let places = Arc::new(Semaphore::new(sockets.clients.saturating_sub(clients_elsewhere)));
+    let places = Arc::new(Semaphore::new(
+        sockets.clients.saturating_sub(clients_elsewhere),
+    ));
     let kept = Rc::new(OnceCell::new());
     let context = Rc::new(Context {
         inbox: inbox.clone(),
@@ -200,7 +226,11 @@
         next_id: Cell::new(0),
     });
     let decider = |settings| decider(settings, seed);
-    let vitals = Vitals { clock, door, counters: Rc::clone(&counters) };
+    let vitals = Vitals {
+        clock,
+        door,
+        counters: Rc::clone(&counters),
+    };
     let record = CordonRecord::within(folder.as_deref(), &name);
     let last_phase = phase.clone();
     let hands_over = move || last_phase.borrow().hands_over();
@@ -209,30 +239,66 @@
     let group = match &members {
         Some(members) => {
             watching.push(spawn_local(Rc::clone(members).run()));
-            Some((Rc::clone(members), members.held_at_start(predecessor.is_none()).await))
+            Some((
+                Rc::clone(members),
+                members.held_at_start(predecessor.is_none()).await,
+            ))
         }
         None => None,
     };
     let origin = Rc::new(OriginUse::default());
-    let shared =
-        Shared { vitals: vitals.clone(), ready, record, terms, members: group, origin: Rc::clone(&origin) };
+    let shared = Shared {
+        vitals: vitals.clone(),
+        ready,
+        record,
+        terms,
+        members: group,
+        origin: Rc::clone(&origin),
+    };
     let engine = Engine::new(start, decider, memory, pool, shared);
-    info!("{name} serves on {} with {} known servers", listener.local_address()?, known.lines.len());
+    info!(
+        "{name} serves on {} with {} known servers",
+        listener.local_address()?,
+        known.lines.len()
+    );
     let reloads = Reloads::new(config, agent, lists, Rc::clone(&counters));
     let beating = heartbeat::beat(vitals);
     watching.push(spawn_local(tell_of_the_end(phase.clone(), inbox.clone())));
-    watching.extend([spawn_local(beating), spawn_local(watch.run()), spawn_local(reloads.run(hangups))]);
+    watching.extend([
+        spawn_local(beating),
+        spawn_local(watch.run()),
+        spawn_local(reloads.run(hangups)),
+    ]);
     if let Some(members) = &members {
         let links = [Rc::clone(&before), Rc::clone(&successor)];
         let (orders, inbox) = (orders.clone(), inbox.clone());
-        let carrier = Carrier { members: Rc::clone(members), orders, inbox, links, ask_agent };
+        let carrier = Carrier {
+            members: Rc::clone(members),
+            orders,
+            inbox,
+            links,
+            ask_agent,
+        };
         watching.push(spawn_local(carrier.run()));
     }
     let keeper = match (&members, agreement) {
-        (Some(members), Some(RawAgreement { voters: names, store })) => {
+        (
+            Some(members),
+            Some(RawAgreement {
+                voters: names,
+                store,
+            }),
+        ) => {
             let group = members.report().group;
             let of = (name.as_str(), group.as_str());
-            let voters = Voters::new(Rc::clone(members), of, &names, store, seed, Plans::default());
+            let voters = Voters::new(
+                Rc::clone(members),
+                of,
+                &names,
+                store,
+                seed,
+                Plans::default(),
+            );
             let keeper = Keeper::new(Parts {
                 voters,
                 members: Rc::clone(members),
@@ -256,7 +322,13 @@
         info!("operators call at {}", listener.local_address()?);
         let links = [Rc::clone(&before), Rc::clone(&successor)];
         let (members, keeper) = (members.clone(), keeper.clone());
-        let desk = Desk { orders: orders.clone(), links, ready: is_ready.clone(), members, keeper };
+        let desk = Desk {
+            orders: orders.clone(),
+            links,
+            ready: is_ready.clone(),
+            members,
+            keeper,
+        };
         watching.push(spawn_local(operators::serve(listener, desk)));
     }
     if let Some(folder) = &folder {
@@ -279,7 +351,13 @@
     if let Some(mut predecessor) = predecessor {
         inherited = predecessor.state.take();
         let orders = orders.clone();
-        let succession = Succession { predecessor, link: before, orders, handed, inbox };
+        let succession = Succession {
+            predecessor,
+            link: before,
+            orders,
+            handed,
+            inbox,
+        };
         watching.push(spawn_local(succession.run()));
     }
     let mut deciding = spawn_local(engine.run(known, inherited, inputs, ordered));
@@ -295,6 +373,9 @@
     watching.iter().for_each(JoinHandle::abort);
     deciding.abort();
     drop(orders);
-    info!("stopped: {}", counters.to_string().trim_end().replace("\r\n", " "));
+    info!(
+        "stopped: {}",
+        counters.to_string().trim_end().replace("\r\n", " ")
+    );
     ended
 }
--- a/crates/stairfront-balancer/src/server_list.rs
+++ b/crates/stairfront-balancer/src/server_list.rs
@@ -2,7 +2,9 @@
 use std::net::SocketAddr;
 
 use serde::Deserialize;
-use stairfront_policy::interface::{CacheId, Cell, Endpoint, EndpointState, Kind, Micros, Zone, MS};
+use stairfront_policy::interface::{
+    CacheId, Cell, Endpoint, EndpointState, Kind, Micros, Zone, MS,
+};
 use stairfront_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -75,14 +77,28 @@
 
 impl RawList {
     pub fn read(self, names: &Names) -> Result<ServerList, ListError> {
-        let lines = self.endpoints.into_iter().map(|raw| raw.read(names)).collect::<Result<_, _>>()?;
-        Ok(ServerList { index: self.index, full: self.snapshot, lines })
+        let lines = self
+            .endpoints
+            .into_iter()
+            .map(|raw| raw.read(names))
+            .collect::<Result<_, _>>()?;
+        Ok(ServerList {
+            index: self.index,
+            full: self.snapshot,
+            lines,
+        })
     }
 }
 
 impl RawEndpoint {
     fn read(self, names: &Names) -> Result<Line, ListError> {
-        let RawEndpoint { name, address, status, since_ms, .. } = self;
+        let RawEndpoint {
+            name,
+            address,
+            status,
+            since_ms,
+            ..
+        } = self;
         let state = match status.as_str() {
             "SERVING" => EndpointState::Ready,
             "DRAINING" => EndpointState::Draining,
@@ -107,6 +123,10 @@
             kind: Kind(kind.unwrap_or(u16::MAX)),
             size: self.weight,
         };
-        Ok(Line { name, member, address })
+        Ok(Line {
+            name,
+            member,
+            address,
+        })
     }
 }
--- a/crates/stairfront-balancer/src/shutdown.rs
+++ b/crates/stairfront-balancer/src/shutdown.rs
@@ -59,7 +59,10 @@
 
 /// Moves the phase on at SIGTERM (or SIGINT, for a person at a terminal).
 /// `has_successor` tells whether another process has the listener.
-pub async fn watch_signals(phase: watch::Sender<Phase>, has_successor: impl Fn() -> bool) -> io::Result<()> {
+pub async fn watch_signals(
+    phase: watch::Sender<Phase>,
+    has_successor: impl Fn() -> bool,
+) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -99,8 +99,19 @@
 
     /// Enters a request that may be sent so often, or answers it at once.
     pub fn admit(&mut self, arrival: Arrival, most_attempts: u8) -> Result<Request, NotAdmitted> {
-        let Arrival { request, command, room, answer, over, .. } = arrival;
-        let large = command.value.as_ref().filter(|_| room.is_some()).map_or(0, Bytes::len);
+        let Arrival {
+            request,
+            command,
+            room,
+            answer,
+            over,
+            ..
+        } = arrival;
+        let large = command
+            .value
+            .as_ref()
+            .filter(|_| room.is_some())
+            .map_or(0, Bytes::len);
         let bytes = command.bytes() - large;
         let problem = if self.ids.contains(&command.id) {
             // Danger: servers know a request by its id alone. A second one under it would count as a second copy, and
--- a/crates/stairfront-balancer/src/stages/relay.rs
+++ b/crates/stairfront-balancer/src/stages/relay.rs
@@ -20,7 +20,10 @@
     fn with_room(&self, value: &Bytes) -> Given {
         let bytes = u32::try_from(value.len()).unwrap_or(u32::MAX);
         match Arc::clone(&self.room).try_acquire_many_owned(bytes) {
-            Ok(room) => Given { room: Some(room), ..Given::from(Answer::Value(value.clone())) },
+            Ok(room) => Given {
+                room: Some(room),
+                ..Given::from(Answer::Value(value.clone()))
+            },
             Err(_) => Given::from(Answer::Failed),
         }
     }
@@ -36,7 +39,13 @@
         }
         if let Some(Rest { length, pieces }) = end.rest.take() {
             // Where nobody waits for it any more, its connection sees that and ends.
-            self.answer(id, Given { pieces: Some(pieces), ..Given::from(Answer::Large(length)) });
+            self.answer(
+                id,
+                Given {
+                    pieces: Some(pieces),
+                    ..Given::from(Answer::Large(length))
+                },
+            );
         }
         AttemptResult {
             id,
--- a/crates/stairfront-balancer/src/stages/route.rs
+++ b/crates/stairfront-balancer/src/stages/route.rs
@@ -26,7 +26,12 @@
 
 /// Hands one event over. Danger: a panic in a decision would end every request in flight; it is logged, what was
 /// decided before it is carried out, and false returned.
-pub fn route(policy: &mut impl Decide, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) -> bool {
+pub fn route(
+    policy: &mut impl Decide,
+    now: Micros,
+    event: Event<'_>,
+    actions: &mut Vec<Action>,
+) -> bool {
     let decided = catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, actions)));
     if decided.is_err() {
         error!("the decision module panicked on {event:?}");
--- a/crates/stairfront-balancer/src/stages/send.rs
+++ b/crates/stairfront-balancer/src/stages/send.rs
@@ -37,10 +37,21 @@
         // Danger: two attempts of one request must not be out at once, and a cancelled one is out until its
         // connection is closed.
         if open.out.iter().any(|out| out.cancel.is_none()) {
-            open.deferred = Some(Deferred { number, cache, timeout, lapses });
+            open.deferred = Some(Deferred {
+                number,
+                cache,
+                timeout,
+                lapses,
+            });
             return Sending::Deferred;
         }
-        Sending::Job(job(open, AttemptId { request, number }, cache, timeout, lapses))
+        Sending::Job(job(
+            open,
+            AttemptId { request, number },
+            cache,
+            timeout,
+            lapses,
+        ))
     }
 
     /// The send that waited for the end of a cancelled attempt.
@@ -49,7 +60,12 @@
         if open.out.iter().any(|out| out.cancel.is_none()) {
             return None;
         }
-        let Deferred { number, cache, timeout, lapses } = open.deferred.take()?;
+        let Deferred {
+            number,
+            cache,
+            timeout,
+            lapses,
+        } = open.deferred.take()?;
         let attempt = AttemptId { request, number };
         // Danger: nothing more may go out for a request that has had its answer meanwhile.
         Some(if open.over.get() {
@@ -76,11 +92,24 @@
     lapses: Option<Instant>,
 ) -> Job {
     let (cancel, cancelled) = oneshot::channel();
-    open.out.push(Out { number: attempt.number, cancel: Some(cancel) });
+    open.out.push(Out {
+        number: attempt.number,
+        cancel: Some(cancel),
+    });
     let sent_at = Instant::now();
     let give_up = sent_at + duration(timeout);
     let (command, over) = (open.command.clone(), Rc::clone(&open.over));
-    Job { attempt, cache, command, sent_at, begun: sent_at, give_up, lapses, cancel: cancelled, over }
+    Job {
+        attempt,
+        cache,
+        command,
+        sent_at,
+        begun: sent_at,
+        give_up,
+        lapses,
+        cancel: cancelled,
+        over,
+    }
 }
 
 fn moot(attempt: AttemptId, cache: CacheId) -> AttemptEnd {
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -43,8 +43,14 @@
 
 impl Intake {
     fn info(&self) -> String {
-        let group = self.members.as_ref().map_or(String::new(), |members| members.figures());
-        let plans = self.keeper.get().map_or(String::new(), |keeper| keeper.figures());
+        let group = self
+            .members
+            .as_ref()
+            .map_or(String::new(), |members| members.figures());
+        let plans = self
+            .keeper
+            .get()
+            .map_or(String::new(), |keeper| keeper.figures());
         format!("{}{group}{plans}", self.counters)
     }
 }
@@ -73,7 +79,9 @@
         b"QUIT" => return Taken::Last(Answer::Ok),
         _ => return reject(intake, UNKNOWN_COMMAND),
     };
-    let Some(command) = command(verb, words) else { return reject(intake, BAD_COMMAND) };
+    let Some(command) = command(verb, words) else {
+        return reject(intake, BAD_COMMAND);
+    };
     match request(&command, intake) {
         Ok(request) => Taken::Request { command, request },
         Err(Turned::Unfit(problem)) => reject(intake, problem),
@@ -95,7 +103,13 @@
     let value = words.next();
     let whole = value.is_some() == (verb == Verb::Set) && words.next().is_none();
     let fit = [&key, &id, &info].iter().all(|word| is_word(word));
-    (whole && fit).then_some(Command { verb, key, id, info, value })
+    (whole && fit).then_some(Command {
+        verb,
+        key,
+        id,
+        info,
+        value,
+    })
 }
 
 /// Danger: a line break or another control character would break out of the HTTP head in which it goes on.
@@ -117,7 +131,11 @@
 
 /// Asked before the key is hashed or anything is entered, so that what is turned away costs little more than its reading.
 fn knock(intake: &Intake, class: ClassId, tenant: TenantId, retry: bool) -> Result<(), Turned> {
-    let arrival = Arrival { tenant: usize::try_from(tenant.0).ok(), class: usize::from(class.0), retry };
+    let arrival = Arrival {
+        tenant: usize::try_from(tenant.0).ok(),
+        class: usize::from(class.0),
+        retry,
+    };
     match intake.door.borrow_mut().ask(arrival) {
         Verdict::Take => Ok(()),
         Verdict::Refuse { after_ms } => Err(Turned::Shed { after_ms }),
@@ -161,6 +179,11 @@
 fn milliseconds(text: &[u8]) -> Option<Micros> {
     // Danger: infinity parses as a number, and so does a sign.
     let digits = text.first().is_some_and(u8::is_ascii_digit);
-    let ms = std::str::from_utf8(text).ok().filter(|_| digits)?.parse::<f64>().ok()?;
-    ms.is_finite().then(|| (ms.min(LONGEST_WAIT_MS as f64) * MS as f64) as Micros)
+    let ms = std::str::from_utf8(text)
+        .ok()
+        .filter(|_| digits)?
+        .parse::<f64>()
+        .ok()?;
+    ms.is_finite()
+        .then(|| (ms.min(LONGEST_WAIT_MS as f64) * MS as f64) as Micros)
 }
--- a/crates/stairfront-balancer/src/terms.rs
+++ b/crates/stairfront-balancer/src/terms.rs
@@ -28,12 +28,22 @@
     }
 
     pub fn retuned(now: Micros, retuned: &Retuned) -> Self {
-        Terms { retired: retuned.retired.clone(), retired_until: now + RETIRED, ..Terms::of(&retuned.start) }
+        Terms {
+            retired: retuned.retired.clone(),
+            retired_until: now + RETIRED,
+            ..Terms::of(&retuned.start)
+        }
     }
 
     /// Of all classes; none where there are none.
     pub fn longest_deadline(&self) -> Duration {
-        duration(self.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+        duration(
+            self.classes
+                .iter()
+                .map(|class| class.deadline)
+                .max()
+                .unwrap_or(0),
+        )
     }
 
     /// A class by the name that a client gives it.
--- a/crates/stairfront-balancer/src/transport.rs
+++ b/crates/stairfront-balancer/src/transport.rs
@@ -106,7 +106,11 @@
 
 /// Listens where another process may listen too: one that hands nothing over must not keep its successor from starting.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
     socket.bind(at)?;
@@ -119,7 +123,12 @@
         match SockRef::from(self).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => Unread::End,
             Ok(_) => Unread::Bytes,
-            Err(problem) if matches!(problem.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Err(problem)
+                if matches!(
+                    problem.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::Interrupted
+                ) =>
+            {
                 Unread::Nothing
             }
             Err(_) => Unread::End,
