--- a/crates/stairfront-baselines/src/lib.rs
+++ b/crates/stairfront-baselines/src/lib.rs
@@ -45,8 +45,17 @@
 
 impl Baseline {
     pub fn new(choice: Choice, set: Settings, seed: u64) -> Self {
-        let (members, inflight, open) = (BTreeMap::new(), FxHashMap::default(), FxHashMap::default());
-        Baseline { choice, set, draws: seed, members, cordoned: BTreeSet::new(), inflight, open }
+        let (members, inflight, open) =
+            (BTreeMap::new(), FxHashMap::default(), FxHashMap::default());
+        Baseline {
+            choice,
+            set,
+            draws: seed,
+            members,
+            cordoned: BTreeSet::new(),
+            inflight,
+            open,
+        }
     }
 
     fn is_origin(&self, member: &Endpoint) -> bool {
@@ -78,7 +87,12 @@
             let free = !self.is_origin(member) && !self.cordoned.contains(&member.id);
             member.state == EndpointState::Ready && free
         };
-        let mut caches: Vec<CacheId> = self.members.values().filter(ready).map(|member| member.id).collect();
+        let mut caches: Vec<CacheId> = self
+            .members
+            .values()
+            .filter(ready)
+            .map(|member| member.id)
+            .collect();
         if caches.iter().any(|cache| !open.tried.contains(cache)) {
             caches.retain(|cache| !open.tried.contains(cache));
         }
@@ -91,25 +105,33 @@
                 // Ties go to whichever comes first after a random one.
                 let first = self.draw(caches.len());
                 caches.rotate_left(first);
-                caches.into_iter().min_by_key(|cache| self.inflight.get(cache).copied().unwrap_or(0))
+                caches
+                    .into_iter()
+                    .min_by_key(|cache| self.inflight.get(cache).copied().unwrap_or(0))
             }
             Choice::OneChoice => {
                 let point = |value: u64| xxh3_64_with_seed(&value.to_le_bytes(), 7);
                 let at = open.request.key.map_or(0, |key| point(key.0));
                 caches.sort_by_key(|cache| point(cache.0));
-                let owner = caches.iter().position(|cache| point(cache.0) >= at).unwrap_or(0);
+                let owner = caches
+                    .iter()
+                    .position(|cache| point(cache.0) >= at)
+                    .unwrap_or(0);
                 caches.get(owner).copied()
             }
         }
     }
 
     fn origin(&self) -> Option<CacheId> {
-        let serves = |member: &&Endpoint| self.is_origin(member) && member.state == EndpointState::Ready;
+        let serves =
+            |member: &&Endpoint| self.is_origin(member) && member.state == EndpointState::Ready;
         self.members.values().find(serves).map(|member| member.id)
     }
 
     fn send(&mut self, now: Micros, id: RequestId, to: Option<CacheId>, actions: &mut Vec<Action>) {
-        let (Some(to), Some(open)) = (to, self.open.get_mut(&id)) else { return self.give_up(id, actions) };
+        let (Some(to), Some(open)) = (to, self.open.get_mut(&id)) else {
+            return self.give_up(id, actions);
+        };
         let timeout = open.request.expires_at - now - 2 * ANSWER_TIME;
         if timeout <= 0 || open.attempts >= self.set.limits.max_attempts {
             return self.give_up(id, actions);
@@ -118,12 +140,19 @@
         open.out = Some(to);
         open.tried.push(to);
         *self.inflight.entry(to).or_default() += 1;
-        actions.push(Action::Send { id, cache: to, timeout, send_within: None });
+        actions.push(Action::Send {
+            id,
+            cache: to,
+            timeout,
+            send_within: None,
+        });
     }
 
     /// A refusal says that a retry is harmless, so it is one only where nothing may have run.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let free = self.set.classes.get(usize::from(open.request.class.0));
         let free = free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
         actions.push(match free || !open.ran {
@@ -134,14 +163,23 @@
 
     fn request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
-        let open = Open { request, attempts: 0, out: None, tried: Vec::new(), ran: false };
+        let open = Open {
+            request,
+            attempts: 0,
+            out: None,
+            tried: Vec::new(),
+            ran: false,
+        };
         let to = match (request.write, self.origin()) {
             (true, Some(origin)) => Some(origin),
             _ => self.choose(&open),
         };
         self.open.insert(id, open);
         let delay = (request.expires_at - now - ANSWER_TIME).max(0);
-        actions.push(Action::Timer { delay, token: u64::from(id.0) });
+        actions.push(Action::Timer {
+            delay,
+            token: u64::from(id.0),
+        });
         self.send(now, id, to, actions);
     }
 
@@ -154,11 +192,14 @@
             self.open.remove(&id);
             return;
         }
-        let Some(mut open) = self.open.remove(&id) else { return };
+        let Some(mut open) = self.open.remove(&id) else {
+            return;
+        };
         open.out = None;
         open.ran |= !settled.outcome.proves_no_effect();
         let free = self.set.classes.get(usize::from(open.request.class.0));
-        let may_repeat = !open.ran || free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
+        let may_repeat =
+            !open.ran || free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
         let to = match settled.outcome {
             Outcome::Miss => self.origin(),
             _ if open.request.write => self.origin(),
--- a/crates/stairfront-baselines/src/main.rs
+++ b/crates/stairfront-baselines/src/main.rs
@@ -29,10 +29,16 @@
         Policy::OneChoice => Choice::OneChoice,
     };
     let log = tracing_subscriber::fmt().log_internal_errors(false);
-    log.with_writer(std::io::stderr).with_ansi(false).with_target(false).init();
-    let served = Config::from_environment().map_err(|problem| problem.to_string()).and_then(|config| {
-        server::run(config, |set, seed| Baseline::new(choice, set, seed)).map_err(|e| e.to_string())
-    });
+    log.with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false)
+        .init();
+    let served = Config::from_environment()
+        .map_err(|problem| problem.to_string())
+        .and_then(|config| {
+            server::run(config, |set, seed| Baseline::new(choice, set, seed))
+                .map_err(|e| e.to_string())
+        });
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
--- a/crates/stairfront-codec/src/budget.rs
+++ b/crates/stairfront-codec/src/budget.rs
@@ -11,7 +11,10 @@
 
 impl Budget {
     pub fn new(bytes: usize) -> Rc<Self> {
-        Rc::new(Budget { left: Cell::new(bytes), all: bytes })
+        Rc::new(Budget {
+            left: Cell::new(bytes),
+            all: bytes,
+        })
     }
     pub fn left(&self) -> usize {
         self.left.get()
@@ -29,13 +32,19 @@
     const SMALL: usize = 16 * 1024;
 
     pub fn new(budget: &Rc<Budget>) -> Self {
-        Claim { budget: Rc::clone(budget), held: 0 }
+        Claim {
+            budget: Rc::clone(budget),
+            held: 0,
+        }
     }
 
     /// What is held, to be kept by somebody else from now on.
     pub fn take(&mut self) -> Option<Claim> {
         let held = std::mem::take(&mut self.held);
-        (held > 0).then(|| Claim { budget: Rc::clone(&self.budget), held })
+        (held > 0).then(|| Claim {
+            budget: Rc::clone(&self.budget),
+            held,
+        })
     }
 
     /// Whether so many bytes could be held once others have given theirs back.
--- a/crates/stairfront-codec/src/http.rs
+++ b/crates/stairfront-codec/src/http.rs
@@ -75,7 +75,13 @@
 
 impl HttpCodec {
     pub fn new(largest_body: usize, budget: &Rc<Budget>) -> Self {
-        HttpCodec { largest_body, claim: Claim::new(budget), head: None, interim: 0, large: None }
+        HttpCodec {
+            largest_body,
+            claim: Claim::new(budget),
+            head: None,
+            interim: 0,
+            large: None,
+        }
     }
 
     fn read_head(&self, src: &mut BytesMut) -> Result<Option<(Response, Told)>, HttpError> {
@@ -92,7 +98,10 @@
         if parsed.version != Some(1) {
             return Err(HttpError::Malformed("not HTTP/1.1"));
         }
-        let mut response = Response { status: parsed.code.unwrap_or_default(), ..Response::default() };
+        let mut response = Response {
+            status: parsed.code.unwrap_or_default(),
+            ..Response::default()
+        };
         let mut body = None;
         for header in parsed.headers.iter() {
             let value = header.value.trim_ascii();
@@ -129,7 +138,10 @@
 
     fn length(&self, text: &[u8]) -> Result<usize, HttpError> {
         let digits = text.iter().all(u8::is_ascii_digit);
-        let length = std::str::from_utf8(text).ok().filter(|_| digits).and_then(|t| t.parse::<usize>().ok());
+        let length = std::str::from_utf8(text)
+            .ok()
+            .filter(|_| digits)
+            .and_then(|t| t.parse::<usize>().ok());
         match length {
             Some(length) if length <= self.largest_body => Ok(length),
             Some(_) => Err(HttpError::Malformed("body too large")),
@@ -138,7 +150,11 @@
     }
 
     /// Moves whole chunks over; true at the last one.
-    fn read_chunks(src: &mut BytesMut, body: &mut BytesMut, largest: usize) -> Result<bool, HttpError> {
+    fn read_chunks(
+        src: &mut BytesMut,
+        body: &mut BytesMut,
+        largest: usize,
+    ) -> Result<bool, HttpError> {
         loop {
             let (start, size) = match httparse::parse_chunk_size(src) {
                 Ok(httparse::Status::Complete((start, size))) => (start, size as usize),
@@ -168,7 +184,9 @@
     }
 
     fn read_body(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
-        let Some((mut response, mut body)) = self.head.take() else { return Ok(None) };
+        let Some((mut response, mut body)) = self.head.take() else {
+            return Ok(None);
+        };
         let needed = match &body {
             Told::Sized(length) => *length,
             Told::Chunked(done) => done.len() + src.len(),
@@ -186,9 +204,8 @@
                 src.reserve(*length - src.len());
                 None
             }
-            Told::Chunked(done) => {
-                Self::read_chunks(src, done, self.largest_body)?.then(|| std::mem::take(done).freeze())
-            }
+            Told::Chunked(done) => Self::read_chunks(src, done, self.largest_body)?
+                .then(|| std::mem::take(done).freeze()),
             Told::Closed => None,
         };
         match whole {
@@ -207,7 +224,9 @@
     /// The head of the next real answer, unless it stands read already.
     fn find_head(&mut self, src: &mut BytesMut) -> Result<(), HttpError> {
         while self.head.is_none() && !src.is_empty() {
-            let Some((response, body)) = self.read_head(src)? else { break };
+            let Some((response, body)) = self.read_head(src)? else {
+                break;
+            };
             if response.status >= 200 {
                 (self.head, self.interim) = (Some((response, body)), 0);
             } else if self.interim == MOST_INTERIM {
@@ -233,12 +252,16 @@
             Some((response, left)) => {
                 let piece = src.split_to(left.min(src.len())).freeze();
                 self.large = Some((response, left - piece.len()));
-                return Ok(Some(piece).filter(|piece| !piece.is_empty()).map(Part::Piece));
+                return Ok(Some(piece)
+                    .filter(|piece| !piece.is_empty())
+                    .map(Part::Piece));
             }
             None => self.find_head(src)?,
         }
         match self.head.take() {
-            Some((response, Told::Sized(length))) if response.status == 200 && length > LARGEST_WHOLE => {
+            Some((response, Told::Sized(length)))
+                if response.status == 200 && length > LARGEST_WHOLE =>
+            {
                 self.large = Some((response.clone(), length));
                 Ok(Some(Part::Begun(length, response)))
             }
@@ -253,7 +276,10 @@
     pub fn end(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
         if let Some((response, Told::Closed)) = &mut self.head {
             let length = src.len();
-            let whole = Response { body: cut_frame(src, length), ..std::mem::take(response) };
+            let whole = Response {
+                body: cut_frame(src, length),
+                ..std::mem::take(response)
+            };
             self.head = None;
             let _ = self.claim.hold(0);
             return Ok(Some(whole));
@@ -285,7 +311,11 @@
     type Error = HttpError;
 
     fn encode(&mut self, request: Request, dst: &mut BytesMut) -> Result<(), HttpError> {
-        let body: &[u8] = if let Body::Here(body) = &request.body { body } else { &[] };
+        let body: &[u8] = if let Body::Here(body) = &request.body {
+            body
+        } else {
+            &[]
+        };
         dst.reserve(256 + request.target.len() + body.len());
         dst.put_slice(request.method.as_bytes());
         dst.put_slice(b" ");
@@ -302,8 +332,12 @@
         }
         match &request.body {
             Body::None => dst.put_slice(b"\r\n"),
-            Body::Here(body) => dst.put_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes()),
-            Body::Behind(length) => dst.put_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes()),
+            Body::Here(body) => {
+                dst.put_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes())
+            }
+            Body::Behind(length) => {
+                dst.put_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes())
+            }
         }
         dst.put_slice(body);
         Ok(())
--- a/crates/stairfront-codec/src/http_server.rs
+++ b/crates/stairfront-codec/src/http_server.rs
@@ -25,7 +25,10 @@
 impl Received {
     /// The first header of that name, whatever its case.
     pub fn header(&self, name: &str) -> Option<&Bytes> {
-        self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+        self.headers
+            .iter()
+            .find(|(known, _)| known.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
     }
 }
 
@@ -48,7 +51,11 @@
 
 impl HttpServerCodec {
     pub fn new(largest_body: usize, budget: &Rc<Budget>) -> Self {
-        HttpServerCodec { largest_body, claim: Claim::new(budget), head: None }
+        HttpServerCodec {
+            largest_body,
+            claim: Claim::new(budget),
+            head: None,
+        }
     }
 
     fn read_head(&self, src: &mut BytesMut) -> Result<Option<(Received, usize)>, HttpError> {
@@ -83,7 +90,9 @@
             } else if header.name.eq_ignore_ascii_case("connection") {
                 request.last |= value.eq_ignore_ascii_case(b"close");
             }
-            request.headers.push((header.name.to_string(), Bytes::copy_from_slice(value)));
+            request
+                .headers
+                .push((header.name.to_string(), Bytes::copy_from_slice(value)));
         }
         src.advance(end);
         Ok(Some((request, length.unwrap_or(0))))
@@ -91,7 +100,10 @@
 
     fn length(&self, text: &[u8]) -> Result<usize, HttpError> {
         let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
-        let length = std::str::from_utf8(text).ok().filter(|_| digits).and_then(|t| t.parse::<usize>().ok());
+        let length = std::str::from_utf8(text)
+            .ok()
+            .filter(|_| digits)
+            .and_then(|t| t.parse::<usize>().ok());
         match length {
             Some(length) if length <= self.largest_body => Ok(length),
             Some(_) => Err(HttpError::Malformed("body too large")),
@@ -108,7 +120,9 @@
         if self.head.is_none() && !src.is_empty() {
             self.head = self.read_head(src)?;
         }
-        let Some((mut request, length)) = self.head.take() else { return Ok(None) };
+        let Some((mut request, length)) = self.head.take() else {
+            return Ok(None);
+        };
         if !self.claim.hold(length) {
             return Err(HttpError::Malformed("no memory for so large a body"));
         }
@@ -117,7 +131,11 @@
             self.head = Some((request, length));
             return Ok(None);
         }
-        request.body = if length == 0 { Bytes::new() } else { cut_frame(src, length) };
+        request.body = if length == 0 {
+            Bytes::new()
+        } else {
+            cut_frame(src, length)
+        };
         let _ = self.claim.hold(0);
         Ok(Some(request))
     }
--- a/crates/stairfront-codec/src/resp.rs
+++ b/crates/stairfront-codec/src/resp.rs
@@ -66,7 +66,9 @@
             Place::Integer(at) => Value::Integer(frame.slice(at)),
             Place::Bulk(at) => Value::Bulk(frame.slice(at)),
             Place::Null => Value::Null,
-            Place::Array(items) => Value::Array(items.into_iter().map(|item| item.cut(frame)).collect()),
+            Place::Array(items) => {
+                Value::Array(items.into_iter().map(|item| item.cut(frame)).collect())
+            }
         }
     }
 }
@@ -92,7 +94,12 @@
 impl<'a> Parser<'a> {
     /// All bulk strings have one limit.
     fn new(bytes: &'a [u8], at: usize, largest_bulk: usize) -> Self {
-        Parser { bytes, at, largest_bulk, largest_value: largest_bulk }
+        Parser {
+            bytes,
+            at,
+            largest_bulk,
+            largest_value: largest_bulk,
+        }
     }
 
     fn line(&mut self) -> Result<Range<usize>, Stop> {
@@ -116,7 +123,8 @@
 
     /// A length; -1 stands for null.
     fn length(&self, line: Range<usize>, most: usize) -> Result<Option<usize>, Stop> {
-        let text = std::str::from_utf8(&self.bytes[line]).map_err(|_| Stop::Broken("invalid length"))?;
+        let text =
+            std::str::from_utf8(&self.bytes[line]).map_err(|_| Stop::Broken("invalid length"))?;
         if text == "-1" {
             return Ok(None);
         }
@@ -185,7 +193,12 @@
     if src.is_empty() {
         return Ok(None);
     }
-    let mut parser = Parser { bytes: src, at: 0, largest_bulk, largest_value };
+    let mut parser = Parser {
+        bytes: src,
+        at: 0,
+        largest_bulk,
+        largest_value,
+    };
     match parser.value(DEEPEST) {
         Ok(place) => {
             let end = parser.at;
@@ -262,7 +275,10 @@
 
 impl CommandReader {
     pub fn new(budget: &Rc<Budget>, large: &Rc<Budget>) -> Self {
-        CommandReader { claim: Claim::new(budget), large: Claim::new(large) }
+        CommandReader {
+            claim: Claim::new(budget),
+            large: Claim::new(large),
+        }
     }
 
     /// The room of the command that was read last, if it had a large value: whoever keeps the value keeps the room too.
@@ -272,8 +288,12 @@
 
     /// How many bytes the command at the front of the buffer has at least, where they are not there yet.
     fn lacking(src: &BytesMut) -> Result<Option<usize>, RespError> {
-        let mut parser =
-            Parser { bytes: src, at: 0, largest_bulk: LARGEST_BULK, largest_value: LARGEST_VALUE };
+        let mut parser = Parser {
+            bytes: src,
+            at: 0,
+            largest_bulk: LARGEST_BULK,
+            largest_value: LARGEST_VALUE,
+        };
         match parser.value(DEEPEST) {
             Ok(_) => Ok(None),
             Err(Stop::Need(whole)) => Ok(Some(whole)),
@@ -335,7 +355,10 @@
 
 impl ReplyReader {
     pub fn new(largest_value: usize, budget: &Rc<Budget>) -> Self {
-        ReplyReader { largest_value, claim: Claim::new(budget) }
+        ReplyReader {
+            largest_value,
+            claim: Claim::new(budget),
+        }
     }
 }
 
@@ -344,7 +367,11 @@
     type Error = RespError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Value>, RespError> {
-        decode_value(src, (self.largest_value, self.largest_value), &mut self.claim)
+        decode_value(
+            src,
+            (self.largest_value, self.largest_value),
+            &mut self.claim,
+        )
     }
 }
 
@@ -372,7 +399,11 @@
 
 impl PartReader {
     pub fn new(largest_value: usize, budget: &Rc<Budget>) -> Self {
-        PartReader { largest_value, claim: Claim::new(budget), at: At::Reply }
+        PartReader {
+            largest_value,
+            claim: Claim::new(budget),
+            at: At::Reply,
+        }
     }
 
     /// The length of a large value, if the next reply brings one; its head is then taken off.
@@ -381,7 +412,9 @@
             return Ok(None);
         }
         let mut parser = Parser::new(src, LARGE_HEAD.len(), self.largest_value);
-        let length = parser.line().and_then(|line| parser.length(line, self.largest_value));
+        let length = parser
+            .line()
+            .and_then(|line| parser.length(line, self.largest_value));
         let head = parser.at;
         match length {
             Ok(Some(length)) if length > LARGEST_WHOLE => {
@@ -408,7 +441,10 @@
             return Err(RespError::Malformed("bulk string does not end in CRLF"));
         }
         let mut parser = Parser::new(src, 2, LONGEST_LINE);
-        match parser.value(1).and_then(|first| Ok((first, parser.value(1)?))) {
+        match parser
+            .value(1)
+            .and_then(|first| Ok((first, parser.value(1)?)))
+        {
             Ok((first, second)) => {
                 let end = parser.at;
                 let frame = cut_frame(src, end);
@@ -435,16 +471,24 @@
             At::Reply => match self.large(src)? {
                 Some(length) => {
                     self.at = At::Value(length);
-                    Ok(Some(Part::Begun(length, large_reply(Value::Null, Value::Null))))
-                }
-                None => {
-                    Ok(decode_value(src, (LARGEST_WHOLE, LARGEST_WHOLE), &mut self.claim)?.map(Part::Whole))
+                    Ok(Some(Part::Begun(
+                        length,
+                        large_reply(Value::Null, Value::Null),
+                    )))
                 }
+                None => Ok(
+                    decode_value(src, (LARGEST_WHOLE, LARGEST_WHOLE), &mut self.claim)?
+                        .map(Part::Whole),
+                ),
             },
             At::Value(_) if src.is_empty() => Ok(None),
             At::Value(left) => {
                 let piece = Self::piece(src, left);
-                self.at = if piece.len() == left { At::Behind } else { At::Value(left - piece.len()) };
+                self.at = if piece.len() == left {
+                    At::Behind
+                } else {
+                    At::Value(left - piece.len())
+                };
                 Ok(Some(Part::Piece(piece)))
             }
             At::Behind => {
--- a/crates/stairfront-emulator/src/agent.rs
+++ b/crates/stairfront-emulator/src/agent.rs
@@ -83,8 +83,16 @@
 impl Agent {
     /// `lag`: how long a change is under way, in microseconds.
     pub fn new(lines: Vec<Line>, lag: Micros) -> Self {
-        let lines = lines.into_iter().map(|line| (line.name.clone(), line)).collect();
-        Agent { lines, index: 1, lag, ..Agent::default() }
+        let lines = lines
+            .into_iter()
+            .map(|line| (line.name.clone(), line))
+            .collect();
+        Agent {
+            lines,
+            index: 1,
+            lag,
+            ..Agent::default()
+        }
     }
 
     /// A server is so from now on; the agent hears of it after the lag.
@@ -111,7 +119,11 @@
 
     /// The list as of now, in the form of a snapshot.
     pub fn snapshot(&self) -> Value {
-        let lines = self.lines.values().filter(|line| line.status != Status::Gone).map(Line::json);
+        let lines = self
+            .lines
+            .values()
+            .filter(|line| line.status != Status::Gone)
+            .map(Line::json);
         json!({"index": self.index, "snapshot": true, "endpoints": lines.collect::<Vec<_>>()})
     }
 
@@ -119,7 +131,12 @@
         if self.silent {
             return None;
         }
-        let coming = self.coming.iter().map(|(at, _)| *at).min().filter(|_| !self.still);
+        let coming = self
+            .coming
+            .iter()
+            .map(|(at, _)| *at)
+            .min()
+            .filter(|_| !self.still);
         let held = self.watches.iter().map(|watch| watch.until).min();
         coming.into_iter().chain(held).min()
     }
@@ -136,24 +153,35 @@
         }
         let named = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-            pairs.filter(|(known, _)| *known == name).find_map(|(_, value)| value.parse::<u64>().ok())
+            pairs
+                .filter(|(known, _)| *known == name)
+                .find_map(|(_, value)| value.parse::<u64>().ok())
+        };
+        let Some(from) = named("from") else {
+            return self.answer_all(ticket, actions);
         };
-        let Some(from) = named("from") else { return self.answer_all(ticket, actions) };
         let hold = from_ms(named("hold_ms").unwrap_or(0) as f64).min(LONGEST_HOLD);
-        self.watches.push(Watch { ticket, from, until: now + hold });
+        self.watches.push(Watch {
+            ticket,
+            from,
+            until: now + hold,
+        });
         self.advance(now, actions);
     }
 
     /// Its connection has ended.
     pub fn forget(&mut self, ticket: Ticket) {
-        self.watches.retain(|watch| watch.ticket.connection != ticket.connection);
-        self.unheard.retain(|(other, _)| other.connection != ticket.connection);
+        self.watches
+            .retain(|watch| watch.ticket.connection != ticket.connection);
+        self.unheard
+            .retain(|(other, _)| other.connection != ticket.connection);
     }
 
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.still {
             let all = std::mem::take(&mut self.coming);
-            let (due, coming): (VecDeque<_>, VecDeque<_>) = all.into_iter().partition(|(at, _)| *at <= now);
+            let (due, coming): (VecDeque<_>, VecDeque<_>) =
+                all.into_iter().partition(|(at, _)| *at <= now);
             self.coming = coming;
             due.into_iter().for_each(|(_, line)| self.take_in(line));
         }
@@ -180,12 +208,18 @@
 
     fn answer_all(&self, ticket: Ticket, actions: &mut Vec<Action>) {
         actions.push(Action::Answer(ticket, self.snapshot().to_string()));
-        let told = |line: &Line| Action::Told { name: line.name.clone(), status: line.status };
+        let told = |line: &Line| Action::Told {
+            name: line.name.clone(),
+            status: line.status,
+        };
         actions.extend(self.lines.values().map(told));
     }
 
     fn answer_since(&self, watch: Watch, actions: &mut Vec<Action>) {
-        let first = self.changes.front().map_or(self.index + 1, |(index, _)| *index);
+        let first = self
+            .changes
+            .front()
+            .map_or(self.index + 1, |(index, _)| *index);
         // Behind what is kept, or ahead of it: an agent that has started anew.
         if watch.from + 1 < first && watch.from != self.index || watch.from > self.index {
             return self.answer_all(watch.ticket, actions);
@@ -197,7 +231,10 @@
         let endpoints: Vec<Value> = news.values().map(|line| line.json()).collect();
         let list = json!({"index": self.index, "snapshot": false, "endpoints": endpoints});
         actions.push(Action::Answer(watch.ticket, list.to_string()));
-        let told = |line: &&Line| Action::Told { name: line.name.clone(), status: line.status };
+        let told = |line: &&Line| Action::Told {
+            name: line.name.clone(),
+            status: line.status,
+        };
         actions.extend(news.values().map(told));
     }
 }
--- a/crates/stairfront-emulator/src/arrivals.rs
+++ b/crates/stairfront-emulator/src/arrivals.rs
@@ -120,27 +120,40 @@
             return fault("zipf", "must be between 0 and 5, and drift 0 or more");
         }
         for (i, burst) in self.bursts.iter().enumerate() {
-            if !(burst.at_s >= 0.0 && burst.lasts_s > 0.0 && (0.0..=1000.0).contains(&burst.times)) {
+            if !(burst.at_s >= 0.0 && burst.lasts_s > 0.0 && (0.0..=1000.0).contains(&burst.times))
+            {
                 return Some((
                     format!("bursts[{i}]"),
-                    "needs at_s of 0 or more, lasts_s above 0 and times of 1000 at most".to_string(),
+                    "needs at_s of 0 or more, lasts_s above 0 and times of 1000 at most"
+                        .to_string(),
                 ));
             }
         }
         if self.tenants.is_empty()
-            || self.tenants.iter().any(|t| !(0.0..=1000.0).contains(&(t.share * t.times)))
+            || self
+                .tenants
+                .iter()
+                .any(|t| !(0.0..=1000.0).contains(&(t.share * t.times)))
         {
-            return fault("tenants", "at least one is needed, with share and times of 0 or more");
+            return fault(
+                "tenants",
+                "at least one is needed, with share and times of 0 or more",
+            );
         }
         if self.classes.is_empty() || self.classes.iter().any(|part| !(0.0..=1.0).contains(part)) {
-            return fault("classes", "at least one part is needed, each between 0 and 1");
+            return fault(
+                "classes",
+                "at least one part is needed, each between 0 and 1",
+            );
         }
         None
     }
 
     fn factor(&self, at_s: f64) -> f64 {
         let tenants: f64 = self.tenants.iter().map(|tenant| tenant.weight(at_s)).sum();
-        self.bursts.iter().fold(tenants, |factor, burst| factor * burst.factor(at_s))
+        self.bursts
+            .iter()
+            .fold(tenants, |factor, burst| factor * burst.factor(at_s))
     }
 
     /// Requests a second wanted at that time.
@@ -150,8 +163,16 @@
 
     /// No time has a higher rate than this.
     fn bound(&self) -> f64 {
-        let tenants: f64 = self.tenants.iter().map(|t| t.share * t.times.max(1.0)).sum();
-        self.rate * self.bursts.iter().fold(tenants, |factor, burst| factor * burst.times.max(1.0))
+        let tenants: f64 = self
+            .tenants
+            .iter()
+            .map(|t| t.share * t.times.max(1.0))
+            .sum();
+        self.rate
+            * self
+                .bursts
+                .iter()
+                .fold(tenants, |factor, burst| factor * burst.times.max(1.0))
     }
 }
 
@@ -168,14 +189,18 @@
             sum += (rank as f64).powf(-exponent);
             sum
         });
-        Popularity { sums: sums.collect() }
+        Popularity {
+            sums: sums.collect(),
+        }
     }
 
     /// 0 for the most popular.
     pub fn draw(&self, dice: &mut Dice) -> u64 {
         let whole = self.sums.last().copied().unwrap_or(1.0);
         let at = dice.unit() * whole;
-        self.sums.partition_point(|sum| *sum <= at).min(self.sums.len() - 1) as u64
+        self.sums
+            .partition_point(|sum| *sum <= at)
+            .min(self.sums.len() - 1) as u64
     }
 }
 
@@ -210,7 +235,14 @@
     ) -> Self {
         let (part, bound) = (1.0 / sources.max(1) as f64, traffic.bound());
         let dice = Dice::new(seed, &format!("arrivals-{source}"));
-        Arrivals { traffic, popularity, dice, at: 0.0, part, bound }
+        Arrivals {
+            traffic,
+            popularity,
+            dice,
+            at: 0.0,
+            part,
+            bound,
+        }
     }
 
     /// The next one before the time in microseconds, if any comes.
@@ -232,11 +264,15 @@
 
     fn arrival(&mut self) -> Arrival {
         let at_s = self.at;
-        let tenants = self.traffic.tenants.iter().map(|tenant| tenant.weight(at_s));
+        let tenants = self
+            .traffic
+            .tenants
+            .iter()
+            .map(|tenant| tenant.weight(at_s));
         let tenant = pick(tenants, self.dice.unit());
         let class = pick(self.traffic.classes.iter().copied(), self.dice.unit());
-        let mut key =
-            (self.popularity.draw(&mut self.dice) + (self.traffic.drift * at_s) as u64) % self.traffic.keys;
+        let mut key = (self.popularity.draw(&mut self.dice) + (self.traffic.drift * at_s) as u64)
+            % self.traffic.keys;
         for (i, hot) in self.traffic.hot_keys.iter().enumerate() {
             let draw = self.dice.unit();
             if (hot.at_s..hot.at_s + hot.lasts_s).contains(&at_s) && draw < hot.part {
@@ -244,7 +280,12 @@
                 key = self.traffic.keys + i as u64;
             }
         }
-        Arrival { at: (at_s * SECOND as f64) as Micros, key, class: class as u8, tenant: tenant as u16 }
+        Arrival {
+            at: (at_s * SECOND as f64) as Micros,
+            key,
+            class: class as u8,
+            tenant: tenant as u16,
+        }
     }
 }
 
--- a/crates/stairfront-emulator/src/cache_host.rs
+++ b/crates/stairfront-emulator/src/cache_host.rs
@@ -59,7 +59,11 @@
     fn default() -> Self {
         CacheSettings {
             cores: 2,
-            hit: ServiceTime { mean_ms: 2.0, shape: crate::dice::Shape::Lognormal, spread: 0.5 },
+            hit: ServiceTime {
+                mean_ms: 2.0,
+                shape: crate::dice::Shape::Lognormal,
+                spread: 0.5,
+            },
             miss: ServiceTime::fixed(0.2),
             fetch: None,
             queue: 200,
@@ -84,7 +88,11 @@
 impl CacheSettings {
     /// The first key with a fault, and what is wrong.
     pub fn fault(&self) -> Option<(&'static str, String)> {
-        let services = [("hit", Some(self.hit)), ("miss", Some(self.miss)), ("fetch", self.fetch)];
+        let services = [
+            ("hit", Some(self.hit)),
+            ("miss", Some(self.miss)),
+            ("fetch", self.fetch),
+        ];
         for (key, service) in services {
             if let Some(problem) = service.and_then(|service| service.problem()) {
                 return Some((key, problem.to_string()));
@@ -99,18 +107,33 @@
             ("keyed_ms", self.keyed_ms),
             ("report_every_ms", self.report_every_ms),
         ];
-        if let Some((key, _)) = times.into_iter().find(|(_, ms)| !(0.0..=86_400_000.0).contains(ms)) {
-            return Some((key, "must be a time in milliseconds, a day at most".to_string()));
+        if let Some((key, _)) = times
+            .into_iter()
+            .find(|(_, ms)| !(0.0..=86_400_000.0).contains(ms))
+        {
+            return Some((
+                key,
+                "must be a time in milliseconds, a day at most".to_string(),
+            ));
         }
         if !(0.001..=1.0).contains(&self.cold_from) {
             return Some(("cold_from", "must be between 0.001 and 1".to_string()));
         }
         if self.store == 0 || self.cores == 0 || self.cores > 1024 {
-            return Some((if self.store == 0 { "store" } else { "cores" }, "must be 1 or more".to_string()));
+            return Some((
+                if self.store == 0 { "store" } else { "cores" },
+                "must be 1 or more".to_string(),
+            ));
         }
         let known = ["outstanding", "backlog", "utilization", "throughput"];
-        let unknown = self.report.iter().find(|field| !known.contains(&field.as_str()))?;
-        Some(("report", format!("unknown field {unknown:?}, one of {known:?}")))
+        let unknown = self
+            .report
+            .iter()
+            .find(|field| !known.contains(&field.as_str()))?;
+        Some((
+            "report",
+            format!("unknown field {unknown:?}, one of {known:?}"),
+        ))
     }
 }
 
@@ -134,7 +157,10 @@
         let of = |pair: &'_ [u8]| -> bool {
             pair.len() > name.len() && pair[name.len()] == b'=' && pair.starts_with(name)
         };
-        self.info.split(|b| *b == b',').find(|pair| of(pair)).map(|pair| &pair[name.len() + 1..])
+        self.info
+            .split(|b| *b == b',')
+            .find(|pair| of(pair))
+            .map(|pair| &pair[name.len() + 1..])
     }
 }
 
@@ -199,7 +225,13 @@
 
 impl Default for Ailments {
     fn default() -> Self {
-        Ailments { slow: 1.0, lost: 0.0, spoilt: 0.0, doubled: 0.0, reset: 0.0 }
+        Ailments {
+            slow: 1.0,
+            lost: 0.0,
+            spoilt: 0.0,
+            doubled: 0.0,
+            reset: 0.0,
+        }
     }
 }
 
@@ -217,7 +249,9 @@
 
     fn forget_before(&mut self, then: Micros) {
         while self.order.front().is_some_and(|(at, _)| *at < then) {
-            let Some((at, key)) = self.order.pop_front() else { return };
+            let Some((at, key)) = self.order.pop_front() else {
+                return;
+            };
             if self.done.get(&key).is_some_and(|(done, _)| *done == at) {
                 self.done.remove(&key);
             }
@@ -225,7 +259,13 @@
     }
 
     /// The receipt of the first request under this key, if it is remembered; else this one is.
-    pub fn first(&mut self, now: Micros, keep: Micros, key: &Bytes, receipt: &Bytes) -> Option<Bytes> {
+    pub fn first(
+        &mut self,
+        now: Micros,
+        keep: Micros,
+        key: &Bytes,
+        receipt: &Bytes,
+    ) -> Option<Bytes> {
         self.forget_before(now - keep);
         if let Some((_, receipt)) = self.done.get(key) {
             return Some(receipt.clone());
@@ -396,7 +436,8 @@
     }
 
     fn is_cold(&self, now: Micros) -> bool {
-        self.cold_since.is_some_and(|start| now - start < from_ms(self.set.warm_up_ms))
+        self.cold_since
+            .is_some_and(|start| now - start < from_ms(self.set.warm_up_ms))
     }
 
     fn speed(&self, now: Micros) -> f64 {
@@ -424,7 +465,12 @@
         self.connections.insert(connection, now);
         if self.set.connect_ms > 0.0 {
             // A greeting that finds no room costs nothing more.
-            let _ = self.workers.offer(now, from_ms(self.set.connect_ms), self.speed(now), Task::Greeting);
+            let _ = self.workers.offer(
+                now,
+                from_ms(self.set.connect_ms),
+                self.speed(now),
+                Task::Greeting,
+            );
         }
         true
     }
@@ -436,7 +482,11 @@
     /// Connections that have stood idle for longer than the host keeps them.
     pub fn close_idle(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let limit = now - from_ms(self.set.idle_ms);
-        let idle = self.connections.iter().filter(|(_, used)| **used < limit).map(|(id, _)| *id);
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, used)| **used < limit)
+            .map(|(id, _)| *id);
         let idle: Vec<ConnId> = idle.collect();
         for connection in idle {
             self.connections.remove(&connection);
@@ -444,7 +494,13 @@
         }
     }
 
-    pub fn command(&mut self, now: Micros, ticket: Ticket, command: Command, actions: &mut Vec<Action>) {
+    pub fn command(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        command: Command,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(used) = self.connections.get_mut(&ticket.connection) {
             *used = now;
         }
@@ -478,7 +534,9 @@
 
     /// Adds work up while cold; true when it has had more than it can bear for the whole window.
     fn count_cold(&mut self, now: Micros, work: f64) -> bool {
-        let Some(start) = self.cold_since.filter(|_| self.is_cold(now)) else { return false };
+        let Some(start) = self.cold_since.filter(|_| self.is_cold(now)) else {
+            return false;
+        };
         let span = from_ms(self.set.fall_ms).max(WINDOW_PART);
         self.cold_work.add(now, work, span);
         let can = self.warmth(now) * self.set.cores as f64 * span as f64;
@@ -512,9 +570,13 @@
             self.finish(at, task, actions);
         }
         while self.fetches.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((at, key)) = self.fetches.pop_front() else { return };
+            let Some((at, key)) = self.fetches.pop_front() else {
+                return;
+            };
             self.store.put(key.clone(), at);
-            for (i, (ticket, command)) in self.fetching.remove(&key).into_iter().flatten().enumerate() {
+            for (i, (ticket, command)) in
+                self.fetching.remove(&key).into_iter().flatten().enumerate()
+            {
                 let note = if i == 0 { "miss" } else { "pending" };
                 self.answer(at, ticket, &command, note, actions);
             }
@@ -533,7 +595,9 @@
             Task::Lookup(ticket, command) => match self.set.fetch {
                 None => {
                     if self.is_cold(now) {
-                        actions.push(Action::ColdMiss { id: command.id.clone() });
+                        actions.push(Action::ColdMiss {
+                            id: command.id.clone(),
+                        });
                     }
                     self.misses.put(command.id.clone(), command.key.clone());
                     let report = self.load_report(now);
@@ -554,13 +618,19 @@
 
     /// A keyed request takes effect once in its group; one without a key each time.
     fn effect(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
-        let repeat = command.named(b"k").map(Bytes::copy_from_slice).and_then(|key| {
-            let keep = from_ms(self.set.keyed_ms);
-            let mut group = self.group.lock().unwrap_or_else(PoisonError::into_inner);
-            group.first(now, keep, &key, &command.id)
-        });
+        let repeat = command
+            .named(b"k")
+            .map(Bytes::copy_from_slice)
+            .and_then(|key| {
+                let keep = from_ms(self.set.keyed_ms);
+                let mut group = self.group.lock().unwrap_or_else(PoisonError::into_inner);
+                group.first(now, keep, &key, &command.id)
+            });
         if repeat.is_none() {
-            actions.push(Action::Effect { id: command.id.clone(), key: command.key.clone() });
+            actions.push(Action::Effect {
+                id: command.id.clone(),
+                key: command.key.clone(),
+            });
         }
     }
 
@@ -578,11 +648,24 @@
         if self.dice.happens(self.ailments.doubled) {
             return self.reply(ticket, Reply::Doubled { value }, actions);
         }
-        self.reply(ticket, Reply::Value { value, note, report }, actions);
+        self.reply(
+            ticket,
+            Reply::Value {
+                value,
+                note,
+                report,
+            },
+            actions,
+        );
     }
 
     fn reply(&mut self, ticket: Ticket, reply: Reply, actions: &mut Vec<Action>) {
-        let Ailments { lost, spoilt, reset, .. } = self.ailments;
+        let Ailments {
+            lost,
+            spoilt,
+            reset,
+            ..
+        } = self.ailments;
         if self.dice.happens(reset) {
             return actions.push(Action::Close(ticket.connection));
         }
@@ -605,7 +688,9 @@
             b"*3\r\n$3221225472\r\nx",
             b"\x00\xff\x13no line",
         ];
-        Reply::Spoilt(Bytes::from_static(forms[self.dice.below(forms.len() as u64) as usize]))
+        Reply::Spoilt(Bytes::from_static(
+            forms[self.dice.below(forms.len() as u64) as usize],
+        ))
     }
 
     fn load_report(&mut self, now: Micros) -> Option<String> {
@@ -646,5 +731,7 @@
 
 /// Whether a value was made for this request.
 pub fn is_made_for(value: &[u8], id: &[u8]) -> bool {
-    value.strip_prefix(id).is_some_and(|rest| rest.first() == Some(&b' '))
+    value
+        .strip_prefix(id)
+        .is_some_and(|rest| rest.first() == Some(&b' '))
 }
--- a/crates/stairfront-emulator/src/client.rs
+++ b/crates/stairfront-emulator/src/client.rs
@@ -62,7 +62,12 @@
 
 impl Default for RetrySettings {
     fn default() -> Self {
-        RetrySettings { most: 0, wait_ms: 200.0, advice: true, marked: true }
+        RetrySettings {
+            most: 0,
+            wait_ms: 200.0,
+            advice: true,
+            marked: true,
+        }
     }
 }
 
@@ -139,20 +144,46 @@
 
     pub fn next_due(&self) -> Option<Micros> {
         let retry = self.retries.peek().map(|Reverse((due, _))| *due);
-        self.next.map(|arrival| arrival.at).into_iter().chain(retry).min()
+        self.next
+            .map(|arrival| arrival.at)
+            .into_iter()
+            .chain(retry)
+            .min()
     }
 
     /// The next try that is due by now.
     pub fn take(&mut self, now: Micros) -> Option<Ask> {
         let due = self.next_due().filter(|due| *due <= now)?;
-        if self.retries.peek().is_some_and(|Reverse((at, _))| *at == due) {
+        if self
+            .retries
+            .peek()
+            .is_some_and(|Reverse((at, _))| *at == due)
+        {
             return self.retries.pop().map(|Reverse((_, ask))| ask);
         }
-        let Arrival { at, key, class, tenant } = self.next.take()?;
+        let Arrival {
+            at,
+            key,
+            class,
+            tenant,
+        } = self.next.take()?;
         self.next = self.arrivals.next_before(self.end);
-        let (_, deadline) = self.classes.get(usize::from(class)).copied().unwrap_or((0, 0));
+        let (_, deadline) = self
+            .classes
+            .get(usize::from(class))
+            .copied()
+            .unwrap_or((0, 0));
         let id = self.new_id();
-        Some(Ask { due: at, first_due: at, id, key, class, tenant, retry: 0, deadline: at + deadline })
+        Some(Ask {
+            due: at,
+            first_due: at,
+            id,
+            key,
+            class,
+            tenant,
+            retry: 0,
+            deadline: at + deadline,
+        })
     }
 
     fn new_id(&mut self) -> u64 {
@@ -174,14 +205,26 @@
         if due >= self.end {
             return false;
         }
-        let (_, deadline) = self.classes.get(usize::from(ask.class)).copied().unwrap_or((0, 0));
-        let again = Ask { due, id: self.new_id(), retry: ask.retry + 1, deadline: due + deadline, ..*ask };
+        let (_, deadline) = self
+            .classes
+            .get(usize::from(ask.class))
+            .copied()
+            .unwrap_or((0, 0));
+        let again = Ask {
+            due,
+            id: self.new_id(),
+            retry: ask.retry + 1,
+            deadline: due + deadline,
+            ..*ask
+        };
         self.retries.push(Reverse((due, again)));
         true
     }
 
     /// The aim of a class: counted from its first try.
     pub fn aim(&self, class: u8) -> Micros {
-        self.classes.get(usize::from(class)).map_or(0, |(aim, _)| *aim)
+        self.classes
+            .get(usize::from(class))
+            .map_or(0, |(aim, _)| *aim)
     }
 }
--- a/crates/stairfront-emulator/src/dice.rs
+++ b/crates/stairfront-emulator/src/dice.rs
@@ -15,7 +15,8 @@
     /// Dice of a part of a run, by the run's seed and the part's name.
     pub fn new(seed: u64, part: &str) -> Self {
         // FNV-1a: only to tell parts apart.
-        let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        let fold =
+            |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         let part = part.bytes().fold(0xcbf2_9ce4_8422_2325, fold);
         Dice(Xoshiro256PlusPlus::seed_from_u64(seed ^ part))
     }
@@ -75,7 +76,11 @@
 
 impl ServiceTime {
     pub fn fixed(mean_ms: f64) -> Self {
-        ServiceTime { mean_ms, shape: Shape::Fixed, spread: 0.0 }
+        ServiceTime {
+            mean_ms,
+            shape: Shape::Fixed,
+            spread: 0.0,
+        }
     }
 
     pub fn draw(&self, dice: &mut Dice) -> Micros {
@@ -84,7 +89,8 @@
             Shape::Fixed => 1.0,
             Shape::Exponential => dice.gap(),
             // The mean of a log-normal is exp(mu + s^2/2); this mu gives a mean of 1.
-            Shape::Lognormal => match LogNormal::new(-self.spread * self.spread / 2.0, self.spread) {
+            Shape::Lognormal => match LogNormal::new(-self.spread * self.spread / 2.0, self.spread)
+            {
                 Ok(distribution) => distribution.sample(&mut dice.0),
                 // Only with a spread that is no number, which `problem` names.
                 Err(_) => 1.0,
--- a/crates/stairfront-emulator/src/faults.rs
+++ b/crates/stairfront-emulator/src/faults.rs
@@ -213,8 +213,12 @@
         let mut script = Script::default();
         for (i, timed) in faults.iter().enumerate() {
             let mut dice = Dice::new(seed, &format!("fault-{i}"));
-            timed.check().map_err(|problem| format!("faults[{i}]: {problem}"))?;
-            script.add(timed, stage, &mut dice).map_err(|problem| format!("faults[{i}].on: {problem}"))?;
+            timed
+                .check()
+                .map_err(|problem| format!("faults[{i}]: {problem}"))?;
+            script
+                .add(timed, stage, &mut dice)
+                .map_err(|problem| format!("faults[{i}].on: {problem}"))?;
         }
         script.steps.sort_by_key(|step| step.at);
         Ok(script)
@@ -225,7 +229,10 @@
     }
 
     fn add(&mut self, timed: &TimedFault, stage: &Stage, dice: &mut Dice) -> Result<(), String> {
-        let (from, until) = (from_ms(timed.at_s * 1e3), from_ms((timed.at_s + timed.lasts_s) * 1e3));
+        let (from, until) = (
+            from_ms(timed.at_s * 1e3),
+            from_ms((timed.at_s + timed.lasts_s) * 1e3),
+        );
         let mark = format!("{:?} {}", timed.fault, timed.on.join(" "));
         self.marks.push(Mark {
             from_s: timed.at_s,
@@ -243,7 +250,10 @@
             }
             Fault::RollingRestart { each_s } => {
                 for (i, balancer) in timed.balancers(stage, dice)?.into_iter().enumerate() {
-                    self.step(from + i as Micros * from_ms(each_s * 1e3), Act::TermBalancer { balancer });
+                    self.step(
+                        from + i as Micros * from_ms(each_s * 1e3),
+                        Act::TermBalancer { balancer },
+                    );
                 }
             }
             Fault::DeployWave { at_a_time, each_s } => {
@@ -292,7 +302,13 @@
     fn replace(&mut self, host: usize, at: Micros, each: Micros) {
         let notice = DRAIN_NOTICE.min(each / 2);
         self.step(at, Act::ListDraining { host });
-        self.step(at + notice, Act::Drain { host, draining: true });
+        self.step(
+            at + notice,
+            Act::Drain {
+                host,
+                draining: true,
+            },
+        );
         self.step(at + each * 9 / 10, Act::Kill { host });
         self.step(at + each, Act::Start { host });
     }
@@ -303,14 +319,37 @@
             Fault::Frozen => (Act::Freeze { host }, Act::Thaw { host }),
             Fault::CutOff => (Act::CutOff { host }, Act::Mend { host }),
             Fault::Killed | Fault::ZoneLost => (Act::Kill { host }, Act::Start { host }),
-            Fault::LostAnswers { chance } => (Act::Lose { host, chance }, Act::Lose { host, chance: 0.0 }),
-            Fault::Spoilt { chance } => (Act::Spoil { host, chance }, Act::Spoil { host, chance: 0.0 }),
-            Fault::Doubled { chance } => (Act::Double { host, chance }, Act::Double { host, chance: 0.0 }),
-            Fault::Reset { chance } => (Act::Reset { host, chance }, Act::Reset { host, chance: 0.0 }),
+            Fault::LostAnswers { chance } => {
+                (Act::Lose { host, chance }, Act::Lose { host, chance: 0.0 })
+            }
+            Fault::Spoilt { chance } => (
+                Act::Spoil { host, chance },
+                Act::Spoil { host, chance: 0.0 },
+            ),
+            Fault::Doubled { chance } => (
+                Act::Double { host, chance },
+                Act::Double { host, chance: 0.0 },
+            ),
+            Fault::Reset { chance } => (
+                Act::Reset { host, chance },
+                Act::Reset { host, chance: 0.0 },
+            ),
             Fault::Voided { copies } => return self.step(from, Act::Void { host, part: copies }),
             Fault::Drained => {
-                self.step(from + DRAIN_NOTICE, Act::Drain { host, draining: true });
-                self.step(until, Act::Drain { host, draining: false });
+                self.step(
+                    from + DRAIN_NOTICE,
+                    Act::Drain {
+                        host,
+                        draining: true,
+                    },
+                );
+                self.step(
+                    until,
+                    Act::Drain {
+                        host,
+                        draining: false,
+                    },
+                );
                 (Act::ListDraining { host }, Act::ListServing { host })
             }
             _ => return,
@@ -323,7 +362,9 @@
 impl TimedFault {
     fn check(&self) -> Result<(), String> {
         let chance = match self.fault {
-            Fault::Reset { chance } | Fault::LostAnswers { chance } | Fault::Spoilt { chance } => chance,
+            Fault::Reset { chance } | Fault::LostAnswers { chance } | Fault::Spoilt { chance } => {
+                chance
+            }
             Fault::Doubled { chance } => chance,
             Fault::Voided { copies } => copies,
             Fault::Slow { factor } if !(0.001..=1e6).contains(&factor) => {
@@ -351,7 +392,14 @@
         for name in &self.on {
             let before = chosen.len();
             let named = |(host, zone): &(String, String)| host == name || zone == name;
-            chosen.extend(stage.hosts.iter().enumerate().filter(|(_, host)| named(host)).map(|(i, _)| i));
+            chosen.extend(
+                stage
+                    .hosts
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, host)| named(host))
+                    .map(|(i, _)| i),
+            );
             if chosen.len() == before {
                 return Err(format!("no cache host or zone is called {name:?}"));
             }
@@ -367,7 +415,10 @@
     fn balancers(&self, stage: &Stage, dice: &mut Dice) -> Result<Vec<usize>, String> {
         let position = |name: &String| match name.parse::<usize>() {
             Ok(i) if i < stage.balancers => Ok(i),
-            _ => Err(format!("{name:?} is no balancer; there are {}, counted from 0", stage.balancers)),
+            _ => Err(format!(
+                "{name:?} is no balancer; there are {}, counted from 0",
+                stage.balancers
+            )),
         };
         match self.on.is_empty() {
             true => Ok(draw(stage.balancers, self.part, dice)),
--- a/crates/stairfront-emulator/src/group.rs
+++ b/crates/stairfront-emulator/src/group.rs
@@ -100,7 +100,12 @@
 
 impl Default for GroupLimits {
     fn default() -> Self {
-        GroupLimits { settle: 6 * SECOND, detect: 7 * SECOND, whole_again: 8 * SECOND, slack: 50 * MS }
+        GroupLimits {
+            settle: 6 * SECOND,
+            detect: 7 * SECOND,
+            whole_again: 8 * SECOND,
+            slack: 50 * MS,
+        }
     }
 }
 
@@ -159,13 +164,25 @@
 impl GroupObserver {
     pub fn new(names: Vec<String>, limits: GroupLimits) -> Self {
         let count = names.len();
-        let process =
-            Process { up: false, paused: false, doubled: false, since: Micros::MIN / 2, life: 0, said: None };
+        let process = Process {
+            up: false,
+            paused: false,
+            doubled: false,
+            since: Micros::MIN / 2,
+            life: 0,
+            said: None,
+        };
         GroupObserver {
             names,
             limits,
             processes: vec![process; count],
-            roads: vec![Road { since: Micros::MIN / 2, ..Road::default() }; count * count],
+            roads: vec![
+                Road {
+                    since: Micros::MIN / 2,
+                    ..Road::default()
+                };
+                count * count
+            ],
             quiet: None,
             incarnations: BTreeMap::new(),
             barred: BTreeMap::new(),
@@ -175,7 +192,9 @@
     }
 
     pub fn hear(&mut self, now: Micros, sign: Sign) {
-        if !matches!(sign, Sign::Said { .. } | Sign::Began { .. }) && self.history.len() < MOST_HISTORY {
+        if !matches!(sign, Sign::Said { .. } | Sign::Began { .. })
+            && self.history.len() < MOST_HISTORY
+        {
             self.history.push((now, format!("{sign:?}")));
         }
         match sign {
@@ -192,7 +211,8 @@
             }
             Sign::Down { who } => {
                 let process = &mut self.processes[who];
-                (process.up, process.paused, process.since, process.said) = (false, false, now, None);
+                (process.up, process.paused, process.since, process.said) =
+                    (false, false, now, None);
             }
             Sign::Paused { who } => {
                 let process = &mut self.processes[who];
@@ -216,12 +236,17 @@
             }
             Sign::Freed { host } => drop(self.barred.remove(&host)),
             Sign::Began { host, who } => {
-                let Some(at) = self.barred.get(&host).copied() else { return };
+                let Some(at) = self.barred.get(&host).copied() else {
+                    return;
+                };
                 self.report.figures.judged_attempts += 1;
                 if now > at + self.limits.slack {
                     let after = to_ms(now - at);
                     let who = self.names[who].clone();
-                    self.breach(now, format!("{who} began an attempt at {host} {after:.0} ms after the yes"));
+                    self.breach(
+                        now,
+                        format!("{who} began an attempt at {host} {after:.0} ms after the yes"),
+                    );
                 }
             }
         }
@@ -233,7 +258,9 @@
         }
         let count = self.names.len();
         for (from, to) in pairs {
-            let Some(road) = self.roads.get_mut(from * count + to) else { continue };
+            let Some(road) = self.roads.get_mut(from * count + to) else {
+                continue;
+            };
             let kind = if cut { &mut road.cuts } else { &mut road.hurts };
             *kind = kind.saturating_add_signed(by);
             road.since = now;
@@ -247,7 +274,9 @@
         let there = (0..count).filter(|other| {
             let process = &self.processes[*other];
             let ways = [who * count + other, other * count + who];
-            let open = ways.into_iter().all(|road| self.roads[road].cuts == 0 && self.roads[road].hurts == 0);
+            let open = ways
+                .into_iter()
+                .all(|road| self.roads[road].cuts == 0 && self.roads[road].hurts == 0);
             *other == who || (process.up && !process.paused && now - process.since > SECOND && open)
         });
         there.count() * 2 > count
@@ -257,17 +286,24 @@
         self.report.broken += 1;
         if self.report.examples.len() < MOST_EXAMPLES {
             let lately = self.history.iter().filter(|(at, _)| now - at < 20 * SECOND);
-            let lately: Vec<String> =
-                lately.map(|(at, sign)| format!("  {:9.0} ms {sign}", to_ms(*at))).collect();
+            let lately: Vec<String> = lately
+                .map(|(at, sign)| format!("  {:9.0} ms {sign}", to_ms(*at)))
+                .collect();
             let lately = lately.join("\n");
-            self.report.examples.push(format!("{:.0} ms: {what}; before it:\n{lately}", to_ms(now)));
+            self.report.examples.push(format!(
+                "{:.0} ms: {what}; before it:\n{lately}",
+                to_ms(now)
+            ));
         }
     }
 
     /// Up, awake and alone of its name, for long enough.
     fn is_well(&self, now: Micros, who: usize) -> bool {
         let process = &self.processes[who];
-        process.up && !process.paused && !process.doubled && now - process.since >= self.limits.settle
+        process.up
+            && !process.paused
+            && !process.doubled
+            && now - process.since >= self.limits.settle
     }
 
     /// Both ways between two bear no more than what a group has to bear, for long enough.
@@ -299,7 +335,10 @@
             let before = self.incarnations.insert(key, of.incarnation).unwrap_or(0);
             if of.incarnation < before {
                 let (me, name) = (&self.names[who], &of.name);
-                let what = format!("{me} takes {name} back from incarnation {before} to {}", of.incarnation);
+                let what = format!(
+                    "{me} takes {name} back from incarnation {before} to {}",
+                    of.incarnation
+                );
                 self.breach(now, what);
             }
         }
@@ -315,7 +354,11 @@
         }
         let count = self.names.len();
         for of in &account.members {
-            let Some(other) = self.names.iter().position(|name| *name == of.name).filter(|i| *i != who)
+            let Some(other) = self
+                .names
+                .iter()
+                .position(|name| *name == of.name)
+                .filter(|i| *i != who)
             else {
                 continue;
             };
@@ -343,8 +386,9 @@
                 if of.state == "alive" {
                     let (me, name) = (&self.names[who], &of.name);
                     let since = to_ms(now - dead.since);
-                    let what =
-                        format!("{me} says that {name} is alive, which has been dead for {since:.0} ms");
+                    let what = format!(
+                        "{me} says that {name} is alive, which has been dead for {since:.0} ms"
+                    );
                     self.breach(now, what);
                 }
             }
@@ -376,19 +420,25 @@
                 let (me, can) = (&self.names[who], reach.len());
                 self.breach(
                     now,
-                    format!("{me} calls itself {standing}, and {can} of {count} can be there for it"),
+                    format!(
+                        "{me} calls itself {standing}, and {can} of {count} can be there for it"
+                    ),
                 );
             }
             return;
         }
         // All of those well, and nothing between them but what a group has to bear.
-        let calm = reach
-            .iter()
-            .all(|a| self.is_well(now, *a) && reach.iter().all(|b| a == b || self.is_open(now, *a, *b)));
+        let calm = reach.iter().all(|a| {
+            self.is_well(now, *a) && reach.iter().all(|b| a == b || self.is_open(now, *a, *b))
+        });
         // And from the others, nothing comes through.
         let others: Vec<usize> = (0..count).filter(|other| !reach.contains(other)).collect();
-        let apart = others.iter().all(|other| !self.processes[*other].up || self.processes[*other].paused)
-            || reach.iter().all(|a| others.iter().all(|b| self.is_cut(now, *a, *b)));
+        let apart = others
+            .iter()
+            .all(|other| !self.processes[*other].up || self.processes[*other].paused)
+            || reach
+                .iter()
+                .all(|a| others.iter().all(|b| self.is_cut(now, *a, *b)));
         if calm && apart {
             self.report.figures.judged_standing += 1;
             let right = match reach.len() == count {
@@ -399,17 +449,27 @@
                 let (me, can) = (&self.names[who], reach.len());
                 self.breach(
                     now,
-                    format!("{me} calls itself {standing}, and {can} of {count} are there and well"),
+                    format!(
+                        "{me} calls itself {standing}, and {can} of {count} are there and well"
+                    ),
                 );
             }
         }
     }
 
     fn judge_whole(&mut self, now: Micros) {
-        let Some(quiet) = self.quiet.filter(|_| self.report.figures.whole_after_ms.is_none()) else { return };
+        let Some(quiet) = self
+            .quiet
+            .filter(|_| self.report.figures.whole_after_ms.is_none())
+        else {
+            return;
+        };
         let mut digests = BTreeSet::new();
         let whole = self.processes.iter().all(|process| {
-            let said = process.said.as_ref().filter(|(at, ..)| *at >= quiet && now - at < SECOND);
+            let said = process
+                .said
+                .as_ref()
+                .filter(|(at, ..)| *at >= quiet && now - at < SECOND);
             said.is_some_and(|(.., account)| {
                 digests.insert(account.digest.clone());
                 account.standing == "whole" && account.members.iter().all(|of| of.state == "alive")
@@ -436,7 +496,8 @@
                 let say = |process: &Process| match &process.said {
                     Some((at, _, account)) => {
                         let odd = account.members.iter().filter(|of| of.state != "alive");
-                        let odd: Vec<String> = odd.map(|of| format!("{} {}", of.name, of.state)).collect();
+                        let odd: Vec<String> =
+                            odd.map(|of| format!("{} {}", of.name, of.state)).collect();
                         format!(
                             "{} {} [{}] at {:.0} ms",
                             account.standing,
@@ -447,8 +508,12 @@
                     }
                     None => "nothing".to_string(),
                 };
-                let said: Vec<String> =
-                    self.names.iter().zip(&self.processes).map(|(n, p)| format!("{n}: {}", say(p))).collect();
+                let said: Vec<String> = self
+                    .names
+                    .iter()
+                    .zip(&self.processes)
+                    .map(|(n, p)| format!("{n}: {}", say(p)))
+                    .collect();
                 let what = format!(
                     "not whole {:.0} ms after the last trouble: {}",
                     to_ms(now - quiet),
--- a/crates/stairfront-emulator/src/group_script.rs
+++ b/crates/stairfront-emulator/src/group_script.rs
@@ -10,7 +10,10 @@
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Trouble {
     /// Links in one direction each.
-    Links { pairs: Vec<(usize, usize)>, fault: LinkFault },
+    Links {
+        pairs: Vec<(usize, usize)>,
+        fault: LinkFault,
+    },
     /// These are cut off from all others, in both directions.
     Split { side: Vec<usize> },
     /// The border moves by one member every so often, without healing in between.
@@ -92,7 +95,12 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { troubles: 5, span_s: 18.0, longest_s: 11.0, processes: true }
+        Budget {
+            troubles: 5,
+            span_s: 18.0,
+            longest_s: 11.0,
+            processes: true,
+        }
     }
 }
 
@@ -116,12 +124,20 @@
             let trouble = draw_one(&mut dice, members, budget.processes);
             let who = trouble.processes();
             let window = (at_ms - 2_500.0, at_ms + lasts_ms + 2_500.0);
-            let free = |who: &usize| busy[*who].iter().all(|(from, to)| window.1 < *from || *to < window.0);
+            let free = |who: &usize| {
+                busy[*who]
+                    .iter()
+                    .all(|(from, to)| window.1 < *from || *to < window.0)
+            };
             if !who.iter().all(free) {
                 continue;
             }
             who.iter().for_each(|who| busy[*who].push(window));
-            troubles.push(TimedTrouble { at_ms, lasts_ms, trouble });
+            troubles.push(TimedTrouble {
+                at_ms,
+                lasts_ms,
+                trouble,
+            });
         }
         troubles.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         GroupScript { members, troubles }
@@ -129,13 +145,20 @@
 
     /// When the last of them is over.
     pub fn ends(&self) -> Micros {
-        self.troubles.iter().map(|t| from_ms(t.at_ms + t.lasts_ms)).max().unwrap_or(0)
+        self.troubles
+            .iter()
+            .map(|t| from_ms(t.at_ms + t.lasts_ms))
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn words(&self) -> Vec<String> {
         let one = |t: &TimedTrouble| {
             let (from, to) = (t.at_ms / 1e3, (t.at_ms + t.lasts_ms) / 1e3);
-            format!("{from:6.2} to {to:6.2} s: {}", t.trouble.words(self.members))
+            format!(
+                "{from:6.2} to {to:6.2} s: {}",
+                t.trouble.words(self.members)
+            )
         };
         self.troubles.iter().map(one).collect()
     }
@@ -146,7 +169,13 @@
         for (i, timed) in self.troubles.iter().enumerate() {
             let (from, to) = (from_ms(timed.at_ms), from_ms(timed.at_ms + timed.lasts_ms));
             // Room for the borders of one that moves.
-            lay_out(&timed.trouble, self.members, i as u64 * 1000, (from, to), &mut acts);
+            lay_out(
+                &timed.trouble,
+                self.members,
+                i as u64 * 1000,
+                (from, to),
+                &mut acts,
+            );
         }
         acts.sort_by_key(|(at, _)| *at);
         acts
@@ -161,7 +190,14 @@
     acts: &mut Vec<(Micros, GroupAct)>,
 ) {
     let mut links = |number, pairs, fault, from, to| {
-        acts.push((from, GroupAct::Lay { number, pairs, fault }));
+        acts.push((
+            from,
+            GroupAct::Lay {
+                number,
+                pairs,
+                fault,
+            },
+        ));
         acts.push((to, GroupAct::Lift { number }));
     };
     match trouble {
@@ -170,15 +206,34 @@
         Trouble::MovingSplit { side, each_ms } => {
             let each = from_ms(*each_ms).max(100 * MS);
             for step in 0..((to - from) / each).max(1) {
-                let moved: Vec<usize> = side.iter().map(|who| (who + step as usize) % members).collect();
+                let moved: Vec<usize> = side
+                    .iter()
+                    .map(|who| (who + step as usize) % members)
+                    .collect();
                 let begin = from + step * each;
-                let end = if begin + 2 * each > to { to } else { begin + each };
-                links(number + step as u64, border(members, &moved), LinkFault::Cut, begin, end);
+                let end = if begin + 2 * each > to {
+                    to
+                } else {
+                    begin + each
+                };
+                links(
+                    number + step as u64,
+                    border(members, &moved),
+                    LinkFault::Cut,
+                    begin,
+                    end,
+                );
             }
         }
         Trouble::Kill { who, empty } => {
             for who in who {
-                acts.push((from, GroupAct::Kill { who: *who, empty: *empty }));
+                acts.push((
+                    from,
+                    GroupAct::Kill {
+                        who: *who,
+                        empty: *empty,
+                    },
+                ));
                 acts.push((to, GroupAct::Start { who: *who }));
             }
         }
@@ -187,7 +242,13 @@
             acts.push((to, GroupAct::Start { who: *who }));
         }
         Trouble::Move { who } => {
-            acts.push((from, GroupAct::Kill { who: *who, empty: true }));
+            acts.push((
+                from,
+                GroupAct::Kill {
+                    who: *who,
+                    empty: true,
+                },
+            ));
             acts.push((from, GroupAct::Move { who: *who }));
             acts.push((to, GroupAct::Start { who: *who }));
         }
@@ -210,7 +271,13 @@
         Trouble::Rolling { each_ms, who } => {
             for (i, who) in who.iter().enumerate() {
                 let at = from + i as Micros * from_ms(*each_ms);
-                acts.push((at, GroupAct::Kill { who: *who, empty: true }));
+                acts.push((
+                    at,
+                    GroupAct::Kill {
+                        who: *who,
+                        empty: true,
+                    },
+                ));
                 acts.push((at + from_ms(*each_ms / 2.0), GroupAct::Start { who: *who }));
             }
         }
@@ -220,7 +287,9 @@
 /// Both directions of all links between one side and the other.
 pub fn border(members: usize, side: &[usize]) -> Vec<(usize, usize)> {
     let pairs = (0..members).flat_map(|from| (0..members).map(move |to| (from, to)));
-    pairs.filter(|(from, to)| side.contains(from) != side.contains(to)).collect()
+    pairs
+        .filter(|(from, to)| side.contains(from) != side.contains(to))
+        .collect()
 }
 
 /// All links, in both directions.
@@ -240,35 +309,66 @@
         all
     };
     match dice.below(if processes { 16 } else { 9 }) {
-        0 => Trouble::Split { side: some(dice, members - 1) },
-        1 => Trouble::MovingSplit { side: some(dice, members / 2), each_ms: 1_000.0 + dice.unit() * 3_000.0 },
+        0 => Trouble::Split {
+            side: some(dice, members - 1),
+        },
+        1 => Trouble::MovingSplit {
+            side: some(dice, members / 2),
+            each_ms: 1_000.0 + dice.unit() * 3_000.0,
+        },
         2 => {
             // One hears all and is heard by none.
             let who = one(dice);
-            let pairs = (0..members).filter(|to| *to != who).map(|to| (who, to)).collect();
-            Trouble::Links { pairs, fault: LinkFault::Cut }
+            let pairs = (0..members)
+                .filter(|to| *to != who)
+                .map(|to| (who, to))
+                .collect();
+            Trouble::Links {
+                pairs,
+                fault: LinkFault::Cut,
+            }
         }
         3 => {
             let (from, to) = (one(dice), one(dice));
-            Trouble::Links { pairs: vec![(from, to), (to, from)], fault: LinkFault::Cut }
+            Trouble::Links {
+                pairs: vec![(from, to), (to, from)],
+                fault: LinkFault::Cut,
+            }
         }
         4 => {
             let who = one(dice);
             let pairs = border(members, &[who]);
-            Trouble::Links { pairs, fault: LinkFault::Flap { period_ms: 400.0 + dice.unit() * 3_000.0 } }
+            Trouble::Links {
+                pairs,
+                fault: LinkFault::Flap {
+                    period_ms: 400.0 + dice.unit() * 3_000.0,
+                },
+            }
         }
         5 => {
-            let fault = LinkFault::Bursts { chance: 0.05, datagrams: 6.0 };
-            Trouble::Links { pairs: all_links(members), fault }
+            let fault = LinkFault::Bursts {
+                chance: 0.05,
+                datagrams: 6.0,
+            };
+            Trouble::Links {
+                pairs: all_links(members),
+                fault,
+            }
         }
         6 => {
             let fault = match dice.below(4) {
                 0 => LinkFault::Loss { chance: 0.1 },
-                1 => LinkFault::Slow { latency_ms: 10.0, jitter_ms: 50.0 },
+                1 => LinkFault::Slow {
+                    latency_ms: 10.0,
+                    jitter_ms: 50.0,
+                },
                 2 => LinkFault::Double { chance: 0.5 },
                 _ => LinkFault::Reorder { chance: 0.5 },
             };
-            Trouble::Links { pairs: all_links(members), fault }
+            Trouble::Links {
+                pairs: all_links(members),
+                fault,
+            }
         }
         7 => {
             let fault = match dice.below(3) {
@@ -276,23 +376,37 @@
                 1 => LinkFault::Truncate { chance: 0.1 },
                 _ => LinkFault::HalfOpen,
             };
-            Trouble::Links { pairs: all_links(members), fault }
+            Trouble::Links {
+                pairs: all_links(members),
+                fault,
+            }
         }
         8 => {
             let who = one(dice);
             Trouble::Links {
                 pairs: border(members, &[who]),
-                fault: LinkFault::Rate { bytes_per_s: 20_000.0 },
+                fault: LinkFault::Rate {
+                    bytes_per_s: 20_000.0,
+                },
             }
         }
-        9 | 10 => Trouble::Kill { who: some(dice, members / 2), empty: dice.happens(0.5) },
+        9 | 10 => Trouble::Kill {
+            who: some(dice, members / 2),
+            empty: dice.happens(0.5),
+        },
         11 if dice.happens(0.5) => Trouble::Move { who: one(dice) },
         11 => Trouble::Term { who: one(dice) },
         12 | 13 => Trouble::Pause { who: one(dice) },
         14 if dice.happens(0.5) => Trouble::Starve { who: one(dice) },
         14 => Trouble::Namesake { who: one(dice) },
-        _ if dice.happens(0.3) => Trouble::Kill { who: (0..members).collect(), empty: dice.happens(0.5) },
-        _ => Trouble::Rolling { each_ms: 700.0, who: some(dice, members.div_ceil(3)) },
+        _ if dice.happens(0.3) => Trouble::Kill {
+            who: (0..members).collect(),
+            empty: dice.happens(0.5),
+        },
+        _ => Trouble::Rolling {
+            each_ms: 700.0,
+            who: some(dice, members.div_ceil(3)),
+        },
     }
 }
 
@@ -303,14 +417,18 @@
             Trouble::Kill { who, .. } | Trouble::Rolling { who, .. } => who.clone(),
             Trouble::Term { who } | Trouble::Pause { who } | Trouble::Move { who } => vec![*who],
             Trouble::Starve { who } | Trouble::Namesake { who } => vec![*who],
-            Trouble::Links { .. } | Trouble::Split { .. } | Trouble::MovingSplit { .. } => Vec::new(),
+            Trouble::Links { .. } | Trouble::Split { .. } | Trouble::MovingSplit { .. } => {
+                Vec::new()
+            }
         }
     }
 
     /// All that it names.
     pub fn touched(&self) -> Vec<usize> {
         match self {
-            Trouble::Links { pairs, .. } => pairs.iter().flat_map(|(from, to)| [*from, *to]).collect(),
+            Trouble::Links { pairs, .. } => {
+                pairs.iter().flat_map(|(from, to)| [*from, *to]).collect()
+            }
             Trouble::Split { side } | Trouble::MovingSplit { side, .. } => side.clone(),
             _ => self.processes(),
         }
@@ -322,7 +440,10 @@
                 format!("all links: {fault:?}")
             }
             Trouble::Links { pairs, fault } => {
-                let pairs: Vec<String> = pairs.iter().map(|(from, to)| format!("{from}>{to}")).collect();
+                let pairs: Vec<String> = pairs
+                    .iter()
+                    .map(|(from, to)| format!("{from}>{to}"))
+                    .collect();
                 format!("links {}: {fault:?}", pairs.join(" "))
             }
             Trouble::Split { side } => format!("{side:?} cut off from the rest"),
@@ -335,7 +456,11 @@
             Trouble::Kill { who, empty } => {
                 format!(
                     "{who:?} killed, started again {}",
-                    if *empty { "without a disk" } else { "with its disk" }
+                    if *empty {
+                        "without a disk"
+                    } else {
+                        "with its disk"
+                    }
                 )
             }
             Trouble::Term { who } => format!("{who} told to stop, started again"),
@@ -344,7 +469,10 @@
             Trouble::Starve { who } => format!("{who} gets a twentieth of a core"),
             Trouble::Namesake { who } => format!("a second process is called as {who}"),
             Trouble::Rolling { each_ms, who } => {
-                format!("{who:?} restarted without a disk, one each {:.1} s", each_ms / 1e3)
+                format!(
+                    "{who:?} restarted without a disk, one each {:.1} s",
+                    each_ms / 1e3
+                )
             }
         }
     }
--- a/crates/stairfront-emulator/src/links.rs
+++ b/crates/stairfront-emulator/src/links.rs
@@ -61,7 +61,10 @@
     pub fn is_mild(self) -> bool {
         match self {
             LinkFault::Loss { chance } => chance <= 0.1,
-            LinkFault::Slow { latency_ms, jitter_ms } => latency_ms + jitter_ms <= 60.0 && jitter_ms <= 50.0,
+            LinkFault::Slow {
+                latency_ms,
+                jitter_ms,
+            } => latency_ms + jitter_ms <= 60.0 && jitter_ms <= 50.0,
             LinkFault::Double { .. } | LinkFault::Reorder { .. } => true,
             LinkFault::Spoil { chance } | LinkFault::Truncate { chance } => chance <= 0.1,
             _ => false,
@@ -108,13 +111,22 @@
 
 impl Links {
     pub fn new(count: usize, seed: u64) -> Self {
-        Links { count, links: vec![Link::default(); count * count], dice: Dice::new(seed, "links") }
+        Links {
+            count,
+            links: vec![Link::default(); count * count],
+            dice: Dice::new(seed, "links"),
+        }
     }
 
     /// Lays a fault over links, under a number by which it is lifted.
     pub fn lay(&mut self, now: Micros, number: u64, pairs: &[(usize, usize)], fault: LinkFault) {
-        for (from, to) in pairs.iter().filter(|(from, to)| *from < self.count && *to < self.count) {
-            self.links[from * self.count + to].faults.insert(number, (fault, now));
+        for (from, to) in pairs
+            .iter()
+            .filter(|(from, to)| *from < self.count && *to < self.count)
+        {
+            self.links[from * self.count + to]
+                .faults
+                .insert(number, (fault, now));
         }
     }
 
@@ -128,7 +140,9 @@
     }
 
     pub fn datagram(&mut self, now: Micros, from: usize, to: usize, bytes: &[u8]) -> Vec<Arrival> {
-        let Some(link) = self.links.get_mut(from * self.count + to) else { return Vec::new() };
+        let Some(link) = self.links.get_mut(from * self.count + to) else {
+            return Vec::new();
+        };
         let dice = &mut self.dice;
         let mut delay = LATENCY + dice.below(SCATTER as u64) as Micros;
         let mut bytes = bytes.to_vec();
@@ -136,7 +150,9 @@
         for (fault, since) in link.faults.values() {
             match *fault {
                 LinkFault::Cut => return Vec::new(),
-                LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => return Vec::new(),
+                LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => {
+                    return Vec::new()
+                }
                 LinkFault::Loss { chance } if dice.happens(chance) => return Vec::new(),
                 LinkFault::Bursts { chance, datagrams } => {
                     if link.burst == 0 && dice.happens(chance) {
@@ -147,7 +163,10 @@
                         return Vec::new();
                     }
                 }
-                LinkFault::Slow { latency_ms, jitter_ms } => {
+                LinkFault::Slow {
+                    latency_ms,
+                    jitter_ms,
+                } => {
                     delay += from_ms(latency_ms + jitter_ms * dice.unit());
                 }
                 LinkFault::Double { chance } => twice |= dice.happens(chance),
@@ -166,8 +185,8 @@
                     if free - now > LONGEST_QUEUE {
                         return Vec::new();
                     }
-                    link.busy_until =
-                        free + (bytes.len() as f64 / bytes_per_s.max(1.0) * SECOND as f64) as Micros;
+                    link.busy_until = free
+                        + (bytes.len() as f64 / bytes_per_s.max(1.0) * SECOND as f64) as Micros;
                     delay += link.busy_until - now;
                 }
                 _ => {}
@@ -183,13 +202,20 @@
 
     /// What becomes now of so many bytes of a stream. A stream is not lossy: what loses datagrams only slows it.
     pub fn stream(&mut self, now: Micros, from: usize, to: usize, bytes: usize) -> Passage {
-        let Some(link) = self.links.get(from * self.count + to) else { return Passage::Silent };
+        let Some(link) = self.links.get(from * self.count + to) else {
+            return Passage::Silent;
+        };
         let mut delay = LATENCY;
         for (fault, since) in link.faults.values() {
             match *fault {
                 LinkFault::Cut | LinkFault::HalfOpen => return Passage::Silent,
-                LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => return Passage::Silent,
-                LinkFault::Slow { latency_ms, jitter_ms } => delay += from_ms(latency_ms + jitter_ms / 2.0),
+                LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => {
+                    return Passage::Silent
+                }
+                LinkFault::Slow {
+                    latency_ms,
+                    jitter_ms,
+                } => delay += from_ms(latency_ms + jitter_ms / 2.0),
                 // Sent again after a round trip, each time that it is lost.
                 LinkFault::Loss { chance } if self.dice.happens(chance) => delay += 200 * MS,
                 LinkFault::Bursts { chance, .. } if self.dice.happens(chance) => delay += 400 * MS,
--- a/crates/stairfront-emulator/src/origin.rs
+++ b/crates/stairfront-emulator/src/origin.rs
@@ -33,8 +33,16 @@
     fn default() -> Self {
         OriginSettings {
             cores: 8,
-            read: ServiceTime { mean_ms: 40.0, shape: crate::dice::Shape::Lognormal, spread: 0.4 },
-            write: ServiceTime { mean_ms: 40.0, shape: crate::dice::Shape::Lognormal, spread: 0.4 },
+            read: ServiceTime {
+                mean_ms: 40.0,
+                shape: crate::dice::Shape::Lognormal,
+                spread: 0.4,
+            },
+            write: ServiceTime {
+                mean_ms: 40.0,
+                shape: crate::dice::Shape::Lognormal,
+                spread: 0.4,
+            },
             queue: 100,
             errors: 0.0,
             stop_multiple: 2.5,
@@ -58,7 +66,10 @@
         }
         let bad = |ms: f64| !(0.0..=86_400_000.0).contains(&ms);
         if bad(self.stop_window_ms) || bad(self.stopped_ms) {
-            return Some(("stop_window_ms", "must be a time in milliseconds, a day at most".to_string()));
+            return Some((
+                "stop_window_ms",
+                "must be a time in milliseconds, a day at most".to_string(),
+            ));
         }
         (self.cores == 0 || self.cores > 1024).then(|| ("cores", "must be 1 to 1024".to_string()))
     }
@@ -134,20 +145,38 @@
         self.workers.running() + self.workers.waiting()
     }
 
-    pub fn request(&mut self, now: Micros, ticket: Ticket, request: Request, actions: &mut Vec<Action>) {
-        let service = if request.write { self.set.write } else { self.set.read };
+    pub fn request(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        request: Request,
+        actions: &mut Vec<Action>,
+    ) {
+        let service = if request.write {
+            self.set.write
+        } else {
+            self.set.read
+        };
         if self.count(now, service.mean_ms * MS as f64) && now >= self.stopped_until {
             self.stopped_until = now + from_ms(self.set.stopped_ms);
             actions.push(Action::Stopped);
             // What was under way may have run.
-            actions.extend(self.workers.clear().into_iter().map(|(ticket, _)| Action::Failed(ticket)));
+            actions.extend(
+                self.workers
+                    .clear()
+                    .into_iter()
+                    .map(|(ticket, _)| Action::Failed(ticket)),
+            );
             (self.sum, self.sent) = (0.0, VecDeque::new());
         }
         if now < self.stopped_until {
             return actions.push(Action::NotStarted(ticket));
         }
         let work = service.draw(&mut self.dice);
-        if let Err((ticket, _)) = self.workers.offer(now, work, 1.0 / self.slow, (ticket, request)) {
+        if let Err((ticket, _)) = self
+            .workers
+            .offer(now, work, 1.0 / self.slow, (ticket, request))
+        {
             actions.push(Action::NotStarted(ticket));
         }
     }
@@ -184,7 +213,10 @@
             }
             let value = made_value(&request.id, &request.key, &self.filler);
             actions.push(match request.write {
-                true => Action::Written { id: request.id, key: request.key },
+                true => Action::Written {
+                    id: request.id,
+                    key: request.key,
+                },
                 false => Action::Filled { id: request.id },
             });
             actions.push(Action::Value(ticket, value));
--- a/crates/stairfront-emulator/src/rules.rs
+++ b/crates/stairfront-emulator/src/rules.rs
@@ -36,7 +36,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Seen {
     /// A client sent a request to a balancer, which had taken it from then on.
-    Sent { id: u64, class: u8, balancer: u16, deadline: Micros },
+    Sent {
+        id: u64,
+        class: u8,
+        balancer: u16,
+        deadline: Micros,
+    },
     /// Its last byte of an answer came.
     Answered { id: u64, answer: Answer },
     /// A whole answer came that no request of the connection was owed.
@@ -46,13 +51,22 @@
     /// The client closed the connection.
     Left { id: u64 },
     /// A server had the last byte of an attempt, from a balancer.
-    Began { attempt: u64, id: u64, host: u16, balancer: u16 },
+    Began {
+        attempt: u64,
+        id: u64,
+        host: u16,
+        balancer: u16,
+    },
     /// It answered, or the balancer's end of the connection was closed.
     Ended { attempt: u64, id: u64, ran: bool },
     /// A request took effect, as opposed to a repeat that was dropped.
     Effect { id: u64 },
     /// Discovery's agent wrote to a balancer what a host is.
-    Said { balancer: u16, host: u16, told: Told },
+    Said {
+        balancer: u16,
+        host: u16,
+        told: Told,
+    },
     /// A host fell over while cold.
     FellOver { host: u16 },
     /// A cold host looked for a key that it lacked.
@@ -62,7 +76,11 @@
     OriginStopped,
     /// The group has said yes to a cordon of a host: from now on nothing new goes there, from that balancer or from any;
     /// or it may again.
-    Barred { host: u16, balancer: Option<u16>, on: bool },
+    Barred {
+        host: u16,
+        balancer: Option<u16>,
+        on: bool,
+    },
     /// A balancer's process is stopped, or goes on: what it held meanwhile is nobody's fault.
     BalancerStill { balancer: u16, still: bool },
     /// A balancer was killed: what it held is its clients' to retry. Also said of one that ended as told.
@@ -205,7 +223,10 @@
 
 impl Checker {
     pub fn new(limits: Limits) -> Self {
-        let figures = Figures { latest_ms: f64::NEG_INFINITY, ..Figures::default() };
+        let figures = Figures {
+            latest_ms: f64::NEG_INFINITY,
+            ..Figures::default()
+        };
         Checker {
             limits,
             cases: FxHashMap::default(),
@@ -218,7 +239,10 @@
             fetches: VecDeque::new(),
             cold: FxHashMap::default(),
             began: Vec::new(),
-            report: Report { figures, ..Report::default() },
+            report: Report {
+                figures,
+                ..Report::default()
+            },
         }
     }
 
@@ -235,16 +259,29 @@
     pub fn hear(&mut self, at: Micros, seen: Seen) {
         self.now = self.now.max(at);
         match seen {
-            Seen::Sent { id, class, balancer, deadline } => {
+            Seen::Sent {
+                id,
+                class,
+                balancer,
+                deadline,
+            } => {
                 self.case(id, at).sent = Some((at, class, balancer, deadline));
             }
             Seen::Answered { id, answer } => self.case(id, at).answers.push((at, answer)),
             Seen::Surplus { balancer } => self.report.rules[0].breach(|| {
-                format!("{:.1} ms: balancer {balancer} sent an answer that nobody was owed", to_ms(at))
+                format!(
+                    "{:.1} ms: balancer {balancer} sent an answer that nobody was owed",
+                    to_ms(at)
+                )
             }),
             Seen::Lost { id } => self.case(id, at).lost = Some(at),
             Seen::Left { id } => self.case(id, at).left = Some(at),
-            Seen::Began { attempt, id, host, balancer } => {
+            Seen::Began {
+                attempt,
+                id,
+                host,
+                balancer,
+            } => {
                 if host == self.limits.origin {
                     self.fetches.push_back((at, id));
                 } else {
@@ -252,7 +289,11 @@
                 }
                 // An end may have come before its beginning.
                 let case = self.case(id, at);
-                match case.attempts.iter_mut().find(|known| known.number == attempt) {
+                match case
+                    .attempts
+                    .iter_mut()
+                    .find(|known| known.number == attempt)
+                {
                     Some(known) => (known.began, known.host) = (at, host),
                     None => case.attempts.push(Attempt {
                         number: attempt,
@@ -265,33 +306,64 @@
             }
             Seen::Ended { attempt, id, ran } => {
                 let case = self.case(id, at);
-                match case.attempts.iter_mut().find(|known| known.number == attempt) {
+                match case
+                    .attempts
+                    .iter_mut()
+                    .find(|known| known.number == attempt)
+                {
                     Some(known) => (known.ended, known.ran) = (Some(at), ran),
                     None => {
                         let (host, ended) = (u16::MAX, Some(at));
-                        case.attempts.push(Attempt { number: attempt, host, began: at, ended, ran });
+                        case.attempts.push(Attempt {
+                            number: attempt,
+                            host,
+                            began: at,
+                            ended,
+                            ran,
+                        });
                     }
                 }
             }
             Seen::Effect { id } => self.case(id, at).effects += 1,
-            Seen::Said { balancer, host, told } => {
+            Seen::Said {
+                balancer,
+                host,
+                told,
+            } => {
                 self.report.figures.notices += u64::from(told == Told::Leaving);
-                self.leaving.entry((balancer, host)).or_default().push((at, told));
+                self.leaving
+                    .entry((balancer, host))
+                    .or_default()
+                    .push((at, told));
             }
             Seen::FellOver { host } => {
                 self.report.figures.fell_over += 1;
-                self.report.rules[3].breach(|| format!("{:.1} ms: cold host {host} fell over", to_ms(at)));
+                self.report.rules[3]
+                    .breach(|| format!("{:.1} ms: cold host {host} fell over", to_ms(at)));
             }
             Seen::ColdMiss { id } => {
                 self.cold.insert(id, at);
             }
             Seen::OriginStopped => self.origin_stopped(at),
             Seen::Barred { host, balancer, on } => self.barred.push((at, host, balancer, on)),
-            Seen::BalancerStill { balancer, still: true } => {
-                self.still.entry(balancer).or_default().push((at, Micros::MAX));
+            Seen::BalancerStill {
+                balancer,
+                still: true,
+            } => {
+                self.still
+                    .entry(balancer)
+                    .or_default()
+                    .push((at, Micros::MAX));
             }
-            Seen::BalancerStill { balancer, still: false } => {
-                if let Some(last) = self.still.get_mut(&balancer).and_then(|times| times.last_mut()) {
+            Seen::BalancerStill {
+                balancer,
+                still: false,
+            } => {
+                if let Some(last) = self
+                    .still
+                    .get_mut(&balancer)
+                    .and_then(|times| times.last_mut())
+                {
                     last.1 = at;
                 }
             }
@@ -300,14 +372,21 @@
     }
 
     fn origin_stopped(&mut self, at: Micros) {
-        let cold = self.fetches.iter().filter(|(_, id)| self.cold.contains_key(id)).count();
+        let cold = self
+            .fetches
+            .iter()
+            .filter(|(_, id)| self.cold.contains_key(id))
+            .count();
         let part = cold as f64 / self.fetches.len().max(1) as f64;
         let figures = &mut self.report.figures;
         figures.origin_stops += 1;
         figures.cold_part = figures.cold_part.max(part);
         if part >= self.limits.cold_part {
             self.report.rules[3].breach(|| {
-                format!("{:.1} ms: the origin stopped, {part:.2} of its fetches from cold misses", to_ms(at))
+                format!(
+                    "{:.1} ms: the origin stopped, {part:.2} of its fetches from cold misses",
+                    to_ms(at)
+                )
             });
         }
     }
@@ -342,13 +421,21 @@
         self.cold.retain(|_, at| *at >= then);
         let mut later = VecDeque::new();
         while self.order.front().is_some_and(|(at, _)| *at < then) {
-            let Some((_, id)) = self.order.pop_front() else { break };
-            let Some(case) = self.cases.get(&id) else { continue };
+            let Some((_, id)) = self.order.pop_front() else {
+                break;
+            };
+            let Some(case) = self.cases.get(&id) else {
+                continue;
+            };
             let deadline = case.sent.map_or(0, |(.., deadline)| deadline);
             let open = case.answers.is_empty() && case.lost.is_none() && case.left.is_none();
             let busy = case.attempts.iter().any(|attempt| attempt.ended.is_none());
             // Danger: judged early, an answer or an attempt that comes late would be a case of its own.
-            let until = case.last.max(if open || busy { deadline + self.limits.horizon } else { 0 });
+            let until = case.last.max(if open || busy {
+                deadline + self.limits.horizon
+            } else {
+                0
+            });
             if until < then {
                 if let Some(case) = self.cases.remove(&id) {
                     self.judge(id, case);
@@ -363,7 +450,8 @@
     fn judge(&mut self, id: u64, case: Case) {
         let Some((sent, class, balancer, deadline)) = case.sent else {
             if !case.attempts.is_empty() {
-                self.report.rules[1].breach(|| format!("{id:016x}: came to a server, and no client sent it"));
+                self.report.rules[1]
+                    .breach(|| format!("{id:016x}: came to a server, and no client sent it"));
             }
             return;
         };
@@ -372,11 +460,18 @@
         self.judge_effects(id, class, &case);
     }
 
-    fn judge_answers(&mut self, id: u64, case: &Case, (sent, balancer, deadline): (Micros, u16, Micros)) {
+    fn judge_answers(
+        &mut self,
+        id: u64,
+        case: &Case,
+        (sent, balancer, deadline): (Micros, u16, Micros),
+    ) {
         // Killed or ended while it held the request; a connection that crosses the end of a stop counts too.
         let open_until = case.lost.or(case.left).unwrap_or(deadline) + self.limits.slack;
         let gone = self.gone.get(&balancer).into_iter().flatten();
-        let ended = gone.into_iter().any(|at| (sent - self.limits.slack..=open_until).contains(at));
+        let ended = gone
+            .into_iter()
+            .any(|at| (sent - self.limits.slack..=open_until).contains(at));
         let still = self.still.get(&balancer).into_iter().flatten();
         let stood = still
             .into_iter()
@@ -417,7 +512,10 @@
         attempts.sort_by_key(|attempt| attempt.began);
         let Report { rules, figures } = &mut self.report;
         figures.attempts += attempts.len() as u64;
-        let origin = attempts.iter().filter(|attempt| attempt.host == self.limits.origin).count();
+        let origin = attempts
+            .iter()
+            .filter(|attempt| attempt.host == self.limits.origin)
+            .count();
         let caches = attempts.len() - origin;
         figures.repeats += (origin.saturating_sub(1) + caches.saturating_sub(1)) as u64;
         figures.most_attempts = figures.most_attempts.max(attempts.len() as u64);
@@ -426,7 +524,9 @@
         }
         for pair in attempts.windows(2) {
             // However short the second was: the first was to be over before it.
-            let together = pair[0].ended.map_or(f64::INFINITY, |ended| to_ms(ended - pair[1].began));
+            let together = pair[0]
+                .ended
+                .map_or(f64::INFINITY, |ended| to_ms(ended - pair[1].began));
             figures.longest_overlap_ms = figures.longest_overlap_ms.max(together.min(1e9));
             if !self.limits.may_overlap && together > to_ms(self.limits.slack) {
                 rules[1].breach(|| {
@@ -437,7 +537,12 @@
                 });
             }
         }
-        let repeats = self.limits.classes.get(usize::from(class)).copied().unwrap_or_default();
+        let repeats = self
+            .limits
+            .classes
+            .get(usize::from(class))
+            .copied()
+            .unwrap_or_default();
         if repeats == Repeats::Safe {
             return;
         }
@@ -451,7 +556,10 @@
             rules[1].breach(|| format!("{id:016x}: took effect {effects} times"));
         }
         // A refusal tells the client that a retry is harmless.
-        let refused = case.answers.iter().any(|(_, answer)| *answer == Answer::Refused);
+        let refused = case
+            .answers
+            .iter()
+            .any(|(_, answer)| *answer == Answer::Refused);
         if repeats == Repeats::Unsafe && refused && ran > 0 {
             rules[1].breach(|| format!("{id:016x}: refused after it had run"));
         }
@@ -462,10 +570,17 @@
         let said = |(_, of, whom, _): &&(Micros, u16, Option<u16>, bool)| {
             *of == host && whom.is_none_or(|whom| whom == balancer)
         };
-        let before = self.barred.iter().filter(said).rfind(|(said, ..)| *said <= at);
-        let Some((since, .., true)) = before.copied() else { return };
+        let before = self
+            .barred
+            .iter()
+            .filter(said)
+            .rfind(|(said, ..)| *said <= at);
+        let Some((since, .., true)) = before.copied() else {
+            return;
+        };
         let after = to_ms(at - since);
-        self.report.figures.latest_to_barred_ms = self.report.figures.latest_to_barred_ms.max(after);
+        self.report.figures.latest_to_barred_ms =
+            self.report.figures.latest_to_barred_ms.max(after);
         if at - since > self.limits.slack {
             self.report.rules[2].breach(|| {
                 format!("{:.1} ms: host {host} got something new from balancer {balancer} {after:.1} ms after the \
@@ -475,7 +590,9 @@
     }
 
     fn judge_drain(&mut self, at: Micros, balancer: u16, host: u16) {
-        let Some(words) = self.leaving.get(&(balancer, host)) else { return };
+        let Some(words) = self.leaving.get(&(balancer, host)) else {
+            return;
+        };
         let before = words.iter().filter(|(said, _)| *said <= at);
         // The first of the words in a row that say it leaves: repeating them gives no new grace.
         let mut since = None;
--- a/crates/stairfront-emulator/src/workers.rs
+++ b/crates/stairfront-emulator/src/workers.rs
@@ -89,15 +89,22 @@
     pub fn clear(&mut self) -> Vec<T> {
         self.running.clear();
         self.free.clear();
-        let jobs = std::mem::take(&mut self.slots).into_iter().flatten().chain(self.waiting.drain(..));
+        let jobs = std::mem::take(&mut self.slots)
+            .into_iter()
+            .flatten()
+            .chain(self.waiting.drain(..));
         jobs.map(|job| job.what).collect()
     }
 
     /// Time passes in which no core does anything: all running work is done so much later.
     pub fn hold_up(&mut self, by: Micros) {
-        let later =
-            |Reverse((due, order, slot)): Reverse<(Micros, u64, usize)>| Reverse((due + by, order, slot));
-        self.running = std::mem::take(&mut self.running).into_iter().map(later).collect();
+        let later = |Reverse((due, order, slot)): Reverse<(Micros, u64, usize)>| {
+            Reverse((due + by, order, slot))
+        };
+        self.running = std::mem::take(&mut self.running)
+            .into_iter()
+            .map(later)
+            .collect();
     }
 
     pub fn running(&self) -> usize {
