--- a/crates/stairfront-gossip-membership/src/cordons.rs
+++ b/crates/stairfront-gossip-membership/src/cordons.rs
@@ -84,19 +84,36 @@
         run: u64,
     ) -> Result<(Entry, Vec<Turn>), Full> {
         self.last += 1;
-        let tag = Tag { author: author.to_string(), run, number: self.last };
-        let entry = Entry { host: host.to_string(), tag, lifted: false };
+        let tag = Tag {
+            author: author.to_string(),
+            run,
+            number: self.last,
+        };
+        let entry = Entry {
+            host: host.to_string(),
+            tag,
+            lifted: false,
+        };
         let turns = self.merge(now, std::slice::from_ref(&entry))?;
         Ok((entry, turns))
     }
 
     /// Lifts all that is known to hold a host, but what a plan of this founding does.
     pub fn lift(&mut self, now: Micros, host: &str, founding: u64) -> (Vec<Entry>, Vec<Turn>) {
-        let tags = self.hosts.get(host).into_iter().flat_map(|known| known.tags.iter());
+        let tags = self
+            .hosts
+            .get(host)
+            .into_iter()
+            .flat_map(|known| known.tags.iter());
         let held = tags.filter(|(tag, lifted)| lifted.is_none() && !tag.is_planned(founding));
         let held = held.map(|(tag, _)| tag.clone());
-        let entries: Vec<Entry> =
-            held.map(|tag| Entry { host: host.to_string(), tag, lifted: true }).collect();
+        let entries: Vec<Entry> = held
+            .map(|tag| Entry {
+                host: host.to_string(),
+                tag,
+                lifted: true,
+            })
+            .collect();
         // They are here already, so there is room for them.
         let turns = self.merge(now, &entries).unwrap_or_default();
         (entries, turns)
@@ -104,30 +121,52 @@
 
     /// Whether a plan of this founding holds it.
     pub fn is_planned(&self, host: &str, founding: u64) -> bool {
-        let tags = self.hosts.get(host).into_iter().flat_map(|known| known.tags.iter());
-        tags.into_iter().any(|(tag, lifted)| lifted.is_none() && tag.is_planned(founding))
+        let tags = self
+            .hosts
+            .get(host)
+            .into_iter()
+            .flat_map(|known| known.tags.iter());
+        tags.into_iter()
+            .any(|(tag, lifted)| lifted.is_none() && tag.is_planned(founding))
     }
 
     /// The entry by which a plan holds a host.
     pub fn planned(host: &str, founding: u64, number: u64) -> Entry {
         // A log of 4,000 million entries is none that this program keeps.
         let number = u32::try_from(number).unwrap_or(u32::MAX);
-        let tag = Tag { author: PLANS.to_string(), run: founding, number };
-        Entry { host: host.to_string(), tag, lifted: false }
+        let tag = Tag {
+            author: PLANS.to_string(),
+            run: founding,
+            number,
+        };
+        Entry {
+            host: host.to_string(),
+            tag,
+            lifted: false,
+        }
     }
 
     /// What has to be entered so that the plans hold these and no others, as agreed up to an entry of the log. Danger: a
     /// member that is behind would lift what was held after the last entry that it knows.
     pub fn follow(&self, founding: u64, held: &[(String, u64)], upto: u64) -> Vec<Entry> {
-        let wanted: Vec<Entry> =
-            held.iter().map(|(host, number)| Ledger::planned(host, founding, *number)).collect();
+        let wanted: Vec<Entry> = held
+            .iter()
+            .map(|(host, number)| Ledger::planned(host, founding, *number))
+            .collect();
         let known = |entry: &Entry| self.knows(entry);
-        let mut entries: Vec<Entry> = wanted.iter().filter(|entry| !known(entry)).cloned().collect();
+        let mut entries: Vec<Entry> = wanted
+            .iter()
+            .filter(|entry| !known(entry))
+            .cloned()
+            .collect();
         let over = self.entries().filter(|entry| {
             let ours = entry.tag.is_planned(founding) && u64::from(entry.tag.number) <= upto;
             ours && !entry.lifted && !wanted.iter().any(|wanted| wanted.tag == entry.tag)
         });
-        entries.extend(over.map(|entry| Entry { lifted: true, ..entry }));
+        entries.extend(over.map(|entry| Entry {
+            lifted: true,
+            ..entry
+        }));
         entries
     }
 
@@ -148,7 +187,8 @@
                 Some(lifted @ None) if entry.lifted => *lifted = Some(now),
                 Some(_) => continue,
                 None => {
-                    host.tags.insert(entry.tag.clone(), entry.lifted.then_some(now));
+                    host.tags
+                        .insert(entry.tag.clone(), entry.lifted.then_some(now));
                     self.count += 1;
                 }
             }
@@ -156,7 +196,10 @@
             if host.is_held() != before {
                 host.applied = false;
                 turns.retain(|turn| turn.host != entry.host);
-                turns.push(Turn { host: entry.host.clone(), held: host.is_held() });
+                turns.push(Turn {
+                    host: entry.host.clone(),
+                    held: host.is_held(),
+                });
             } else if !before && host.tags.len() == 1 {
                 // Lifted before it was ever heard of here: there is nothing to do.
                 host.applied = true;
@@ -173,15 +216,21 @@
     }
 
     fn knows(&self, entry: &Entry) -> bool {
-        self.hosts.get(&entry.host).is_some_and(|host| host.tags.contains_key(&entry.tag))
+        self.hosts
+            .get(&entry.host)
+            .is_some_and(|host| host.tags.contains_key(&entry.tag))
     }
 
     /// Forgets the entry lifted longest ago; false where none is lifted.
     fn make_room(&mut self) -> bool {
         let lifted = self.hosts.iter().flat_map(|(name, host)| {
-            host.tags.iter().filter_map(move |(tag, at)| at.map(|at| (at, name.clone(), tag.clone())))
+            host.tags
+                .iter()
+                .filter_map(move |(tag, at)| at.map(|at| (at, name.clone(), tag.clone())))
         });
-        let Some((_, host, tag)) = lifted.min() else { return false };
+        let Some((_, host, tag)) = lifted.min() else {
+            return false;
+        };
         self.drop_tag(&host, &tag);
         true
     }
@@ -212,7 +261,10 @@
 
     /// The engine does as the ledger said; false if the ledger says otherwise by now.
     pub fn applied(&mut self, host: &str, held: bool) -> bool {
-        let known = self.hosts.get_mut(host).filter(|known| known.is_held() == held);
+        let known = self
+            .hosts
+            .get_mut(host)
+            .filter(|known| known.is_held() == held);
         known.map(|known| known.applied = true).is_some()
     }
 
@@ -223,12 +275,17 @@
     /// Whether what stands here of these entries is done by the engine, too.
     pub fn has_applied(&self, entries: &[Entry]) -> bool {
         entries.iter().all(|entry| {
-            self.hosts.get(&entry.host).is_some_and(|host| host.applied && host.tags.contains_key(&entry.tag))
+            self.hosts
+                .get(&entry.host)
+                .is_some_and(|host| host.applied && host.tags.contains_key(&entry.tag))
         })
     }
 
     pub fn held(&self) -> impl Iterator<Item = &str> {
-        self.hosts.iter().filter(|(_, host)| host.is_held()).map(|(name, _)| name.as_str())
+        self.hosts
+            .iter()
+            .filter(|(_, host)| host.is_held())
+            .map(|(name, _)| name.as_str())
     }
 
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
@@ -249,8 +306,15 @@
     fn digest_now(&self) -> u64 {
         let mut sum = 0u64;
         for entry in self.entries() {
-            let Tag { author, run, number } = &entry.tag;
-            let text = format!("{}\0{author}\0{run}\0{number}\0{}", entry.host, entry.lifted);
+            let Tag {
+                author,
+                run,
+                number,
+            } = &entry.tag;
+            let text = format!(
+                "{}\0{author}\0{run}\0{number}\0{}",
+                entry.host, entry.lifted
+            );
             sum = sum.wrapping_add(xxh3_64(text.as_bytes()));
         }
         sum
@@ -275,7 +339,10 @@
 }
 
 pub fn write_record(ledger: &Ledger) -> String {
-    let record = Record { version: RECORD_VERSION, entries: ledger.entries().collect() };
+    let record = Record {
+        version: RECORD_VERSION,
+        entries: ledger.entries().collect(),
+    };
     // Texts and numbers alone, which cannot fail.
     serde_json::to_string(&record).unwrap_or_default()
 }
--- a/crates/stairfront-gossip-membership/src/core.rs
+++ b/crates/stairfront-gossip-membership/src/core.rs
@@ -314,7 +314,10 @@
         if self.rival.as_ref().is_some_and(|rival| rival.until <= now) {
             self.rival = None;
             self.other_run = None;
-            self.out.push(Action::Log(format!("the other process called {} is gone", self.set.me)));
+            self.out.push(Action::Log(format!(
+                "the other process called {} is gone",
+                self.set.me
+            )));
             self.refute(now, self.incarnation + 1);
         }
         let census = self.census();
@@ -331,7 +334,11 @@
         let census = self.table.census();
         match &self.rival {
             // Two processes cannot both stand for one name: neither does.
-            Some(_) => crate::standing::Census { sure: 1, doubtful: 0, ..census },
+            Some(_) => crate::standing::Census {
+                sure: 1,
+                doubtful: 0,
+                ..census
+            },
             None => census,
         }
     }
@@ -359,7 +366,8 @@
             slept / MS
         )));
         let some = self.some_reachable(HELPERS, None);
-        self.compare.extend(some.into_iter().map(|(_, address)| address));
+        self.compare
+            .extend(some.into_iter().map(|(_, address)| address));
         self.last_exchange = Micros::MIN / 2;
         (self.next_probe, self.next_reach, self.next_join) = (now, now, now);
     }
@@ -391,12 +399,13 @@
         for name in std::mem::take(&mut self.urgent) {
             self.begin_probe(now, &name);
         }
-        let unproven = self
-            .table
-            .peers
-            .iter()
-            .filter(|(name, peer)| peer.unproven && peer.is_there() && !self.detector.is_probing(name));
-        let unproven: Vec<String> = unproven.map(|(name, _)| name.clone()).take(PROOFS_A_TICK).collect();
+        let unproven = self.table.peers.iter().filter(|(name, peer)| {
+            peer.unproven && peer.is_there() && !self.detector.is_probing(name)
+        });
+        let unproven: Vec<String> = unproven
+            .map(|(name, _)| name.clone())
+            .take(PROOFS_A_TICK)
+            .collect();
         unproven.iter().for_each(|name| self.begin_probe(now, name));
         if self.next_probe <= now {
             // Not moved on by what was missed: a late turn is one turn.
@@ -411,7 +420,8 @@
     fn next_of_ring(&mut self) -> Option<String> {
         for _ in 0..2 {
             while let Some(name) = self.ring.pop() {
-                if self.table.peers.get(&name).is_some_and(Peer::is_there) && !self.detector.is_probing(&name)
+                if self.table.peers.get(&name).is_some_and(Peer::is_there)
+                    && !self.detector.is_probing(&name)
                 {
                     return Some(name);
                 }
@@ -424,30 +434,51 @@
     }
 
     fn begin_probe(&mut self, now: Micros, name: &str) {
-        let Some(peer) = self.table.peers.get(name).filter(|peer| peer.is_there()) else { return };
+        let Some(peer) = self.table.peers.get(name).filter(|peer| peer.is_there()) else {
+            return;
+        };
         let Some(address) = peer.address else { return };
         if self.detector.is_probing(name) {
             return;
         }
         let (answer, whole) = (self.set.times.answer, self.set.times.probe);
-        let Some(seq) = self.detector.begin(now, name, answer, whole) else { return };
+        let Some(seq) = self.detector.begin(now, name, answer, whole) else {
+            return;
+        };
         self.figures.probes += 1;
         let first = self.charge(name);
-        self.send(address, &Body::Ping { seq, to: name.to_string() }, first);
+        self.send(
+            address,
+            &Body::Ping {
+                seq,
+                to: name.to_string(),
+            },
+            first,
+        );
     }
 
     /// What is said against a member goes to itself first (Lifeguard section IV.C, buddy system).
     fn charge(&self, name: &str) -> Vec<Item> {
-        let Some(peer) = self.table.peers.get(name) else { return Vec::new() };
-        let own = |claim| Rumour { about: name.to_string(), incarnation: peer.incarnation, claim };
+        let Some(peer) = self.table.peers.get(name) else {
+            return Vec::new();
+        };
+        let own = |claim| Rumour {
+            about: name.to_string(),
+            incarnation: peer.incarnation,
+            claim,
+        };
         let charge = match (peer.state, &peer.suspicion) {
             (State::Suspect, Some(suspicion)) => {
-                let by = suspicion.by.first().cloned().unwrap_or_else(|| self.set.me.clone());
+                let by = suspicion
+                    .by
+                    .first()
+                    .cloned()
+                    .unwrap_or_else(|| self.set.me.clone());
                 Some(own(Claim::Suspect { by }))
             }
-            (State::Failed, _) if peer.incarnation > 0 => {
-                Some(own(Claim::Failed { by: self.set.me.clone() }))
-            }
+            (State::Failed, _) if peer.incarnation > 0 => Some(own(Claim::Failed {
+                by: self.set.me.clone(),
+            })),
             _ => peer.accusation.clone(),
         };
         charge.into_iter().map(Item::Member).collect()
@@ -463,12 +494,27 @@
             .map(|probe| (probe.seq, probe.target.clone()))
             .collect();
         for (seq, target) in targets {
-            let Some(address) = self.table.peers.get(&target).and_then(|peer| peer.address) else { continue };
+            let Some(address) = self.table.peers.get(&target).and_then(|peer| peer.address) else {
+                continue;
+            };
             let helpers = self.some_reachable(HELPERS, Some(&target));
             for (_, to) in &helpers {
-                self.send(*to, &Body::Probe { seq, target: target.clone(), address }, Vec::new());
+                self.send(
+                    *to,
+                    &Body::Probe {
+                        seq,
+                        target: target.clone(),
+                        address,
+                    },
+                    Vec::new(),
+                );
             }
-            if let Some(probe) = self.detector.probes.iter_mut().find(|probe| probe.seq == seq) {
+            if let Some(probe) = self
+                .detector
+                .probes
+                .iter_mut()
+                .find(|probe| probe.seq == seq)
+            {
                 probe.helpers = helpers.into_iter().map(|(name, _)| name).collect();
                 if probe.helpers.is_empty() {
                     // Nobody to ask: not asked again.
@@ -480,7 +526,9 @@
 
     fn probe_failed(&mut self, now: Micros, probe: &Probe) {
         self.figures.probes_failed += 1;
-        let Some(peer) = self.table.peers.get_mut(&probe.target) else { return };
+        let Some(peer) = self.table.peers.get_mut(&probe.target) else {
+            return;
+        };
         if !peer.is_there() {
             return;
         }
@@ -490,9 +538,16 @@
             true => "nobody could be asked in between".to_string(),
             false => format!("asked in between: {}", probe.helpers.join(", ")),
         };
-        let cause = format!("no answer to this one in {} ms, {asked}", (now - probe.sent) / MS);
+        let cause = format!(
+            "no answer to this one in {} ms, {asked}",
+            (now - probe.sent) / MS
+        );
         let me = self.set.me.clone();
-        let rumour = Rumour { about: probe.target.clone(), incarnation, claim: Claim::Suspect { by: me } };
+        let rumour = Rumour {
+            about: probe.target.clone(),
+            incarnation,
+            claim: Claim::Suspect { by: me },
+        };
         self.hear_rumour(now, rumour, &cause);
     }
 
@@ -504,11 +559,20 @@
             let over = |s: &Suspicion| now - s.began >= suspicion_lasts(least, size, s.by.len());
             peer.suspicion.as_ref().is_some_and(over)
         };
-        let failed: Vec<String> =
-            self.table.peers.iter().filter(|(_, peer)| lasted(peer)).map(|(name, _)| name.clone()).collect();
+        let failed: Vec<String> = self
+            .table
+            .peers
+            .iter()
+            .filter(|(_, peer)| lasted(peer))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in failed {
-            let Some(peer) = self.table.peers.get_mut(&name) else { continue };
-            let Some(Suspicion { began, by }) = peer.suspicion.take() else { continue };
+            let Some(peer) = self.table.peers.get_mut(&name) else {
+                continue;
+            };
+            let Some(Suspicion { began, by }) = peer.suspicion.take() else {
+                continue;
+            };
             self.figures.failures += 1;
             peer.turn(now, State::Failed);
             self.view = None;
@@ -518,7 +582,11 @@
                 by.join(", ")
             )));
             let by = self.set.me.clone();
-            self.queue.push(Item::Member(Rumour { about: name, incarnation, claim: Claim::Failed { by } }));
+            self.queue.push(Item::Member(Rumour {
+                about: name,
+                incarnation,
+                claim: Claim::Failed { by },
+            }));
         }
     }
 
@@ -533,17 +601,29 @@
         if self.next_join <= now {
             let alone = self.table.size() == 1;
             self.next_join = now + if alone { JOIN_EVERY } else { 10 * SECOND };
-            let known: BTreeSet<SocketAddr> = self.table.reachable().map(|(_, address)| address).collect();
+            let known: BTreeSet<SocketAddr> =
+                self.table.reachable().map(|(_, address)| address).collect();
             let own = self.set.advertise;
-            let unknown = self.set.seeds.iter().filter(|seed| **seed != own && !known.contains(*seed));
+            let unknown = self
+                .set
+                .seeds
+                .iter()
+                .filter(|seed| **seed != own && !known.contains(*seed));
             let unknown = self.dice.some(unknown.copied().collect(), HELPERS);
-            unknown.into_iter().for_each(|seed| self.start_exchange(seed));
+            unknown
+                .into_iter()
+                .for_each(|seed| self.start_exchange(seed));
         }
         if self.next_reach <= now {
             self.next_reach = now + REACH_EVERY;
-            let failed = self.table.peers.iter().filter(|(_, peer)| peer.state == State::Failed);
-            let failed: Vec<(String, SocketAddr)> =
-                failed.filter_map(|(name, peer)| Some((name.clone(), peer.address?))).collect();
+            let failed = self
+                .table
+                .peers
+                .iter()
+                .filter(|(_, peer)| peer.state == State::Failed);
+            let failed: Vec<(String, SocketAddr)> = failed
+                .filter_map(|(name, peer)| Some((name.clone(), peer.address?)))
+                .collect();
             if let Some((name, address)) = self.dice.some(failed, 1).pop() {
                 let (seq, first) = (self.detector.next_seq(), self.charge(&name));
                 self.send(address, &Body::Ping { seq, to: name }, first);
@@ -552,8 +632,13 @@
     }
 
     fn some_reachable(&mut self, most: usize, but: Option<&str>) -> Vec<(String, SocketAddr)> {
-        let others = self.table.reachable().filter(|(name, _)| Some(name.as_str()) != but);
-        let others = others.map(|(name, address)| (name.clone(), address)).collect();
+        let others = self
+            .table
+            .reachable()
+            .filter(|(name, _)| Some(name.as_str()) != but);
+        let others = others
+            .map(|(name, address)| (name.clone(), address))
+            .collect();
         self.dice.some(others, most)
     }
 
@@ -567,9 +652,19 @@
             self.last_exchange = now;
             return self.start_exchange(with);
         }
-        let differs = |peer: &&Peer| peer.differs_since.is_some_and(|since| now - since > DIFFERS_TOO_LONG);
-        let differs = self.table.peers.values().find(differs).and_then(|peer| peer.address);
-        let due = (self.next_exchange <= now).then(|| self.some_reachable(1, None).pop()).flatten();
+        let differs = |peer: &&Peer| {
+            peer.differs_since
+                .is_some_and(|since| now - since > DIFFERS_TOO_LONG)
+        };
+        let differs = self
+            .table
+            .peers
+            .values()
+            .find(differs)
+            .and_then(|peer| peer.address);
+        let due = (self.next_exchange <= now)
+            .then(|| self.some_reachable(1, None).pop())
+            .flatten();
         if let Some(with) = differs.or(due.map(|(_, address)| address)) {
             // Half of the time is drawn, so that members do not exchange all at once.
             let every = self.set.times.exchange;
@@ -586,8 +681,17 @@
 
     /// All that this member knows.
     fn whole(&mut self, reply: bool) -> Vec<u8> {
-        let mut writer = Writer::new(self.mark, &self.sender(), &Body::Exchange { reply }, LARGEST_EXCHANGE);
-        let rumours = self.table.rumours(&self.set.me).into_iter().map(Item::Member);
+        let mut writer = Writer::new(
+            self.mark,
+            &self.sender(),
+            &Body::Exchange { reply },
+            LARGEST_EXCHANGE,
+        );
+        let rumours = self
+            .table
+            .rumours(&self.set.me)
+            .into_iter()
+            .map(Item::Member);
         for item in self.ledger.entries().map(Item::Cordon).chain(rumours) {
             if !writer.add(&item) {
                 break;
@@ -633,7 +737,9 @@
 
     /// Brings bytes of another part of the program to a member: at once or never, as a datagram where they fit.
     pub fn carry(&mut self, to: &str, bytes: Vec<u8>) {
-        let Some(address) = self.table.peers.get(to).and_then(|peer| peer.address) else { return };
+        let Some(address) = self.table.peers.get(to).and_then(|peer| peer.address) else {
+            return;
+        };
         let body = Body::Carried { bytes };
         let packet = Writer::new(self.mark, &self.sender(), &body, LARGEST_DATAGRAM);
         if packet.fits() {
@@ -641,7 +747,10 @@
         }
         let packet = Writer::new(self.mark, &self.sender(), &body, LARGEST_EXCHANGE);
         if packet.fits() {
-            self.out.push(Action::Stream { to: address, bytes: packet.finish() });
+            self.out.push(Action::Stream {
+                to: address,
+                bytes: packet.finish(),
+            });
         }
     }
 
@@ -660,9 +769,16 @@
     fn own_claim(&self) -> Item {
         let claim = match self.leaving {
             true => Claim::Left,
-            false => Claim::Alive { address: self.set.advertise, run: self.set.run },
+            false => Claim::Alive {
+                address: self.set.advertise,
+                run: self.set.run,
+            },
         };
-        Item::Member(Rumour { about: self.set.me.clone(), incarnation: self.incarnation, claim })
+        Item::Member(Rumour {
+            about: self.set.me.clone(),
+            incarnation: self.incarnation,
+            claim,
+        })
     }
 
     /// Says that it lives, above what was said of it.
@@ -712,7 +828,9 @@
             self.hear(now, packet);
             return None;
         }
-        let Body::Exchange { reply } = packet.body else { return None };
+        let Body::Exchange { reply } = packet.body else {
+            return None;
+        };
         self.figures.exchanges += 1;
         if reply {
             self.stand.exchanged();
@@ -736,8 +854,9 @@
         *count += 1;
         let count = *count;
         if count % ODD_LOG_EVERY == 1 {
-            self.out
-                .push(Action::Warn(format!("a packet {fault} was not heard; {count} of its kind so far")));
+            self.out.push(Action::Warn(format!(
+                "a packet {fault} was not heard; {count} of its kind so far"
+            )));
         }
     }
 
@@ -749,8 +868,15 @@
             }
             return;
         }
-        let claim = Claim::Alive { address: from.address, run: from.run };
-        let claim = Rumour { about: from.name.clone(), incarnation: from.incarnation, claim };
+        let claim = Claim::Alive {
+            address: from.address,
+            run: from.run,
+        };
+        let claim = Rumour {
+            about: from.name.clone(),
+            incarnation: from.incarnation,
+            claim,
+        };
         self.hear_rumour(now, claim, "it says so itself");
         let known = self.table.peers.get(&from.name);
         let is_current = known.is_some_and(|peer| peer.run == from.run);
@@ -762,8 +888,17 @@
         if let Some(peer) = self.table.peers.get_mut(&from.name).filter(|_| is_current) {
             if peer.is_there() {
                 let (roster, view, ledger) = (from.roster, from.view, from.ledger);
-                peer.view = Some(View { roster, view, ledger, namesake: from.namesake });
-                peer.differs_since = if view == own_view { None } else { peer.differs_since.or(Some(now)) };
+                peer.view = Some(View {
+                    roster,
+                    view,
+                    ledger,
+                    namesake: from.namesake,
+                });
+                peer.differs_since = if view == own_view {
+                    None
+                } else {
+                    peer.differs_since.or(Some(now))
+                };
             }
         }
         let entries = self.hear_items(now, items, &from.name);
@@ -772,14 +907,23 @@
     }
 
     fn tell_what_is_believed(&mut self, from: &Sender) {
-        let Some(peer) = self.table.peers.get(&from.name) else { return };
+        let Some(peer) = self.table.peers.get(&from.name) else {
+            return;
+        };
         let (incarnation, about) = (peer.incarnation, from.name.clone());
         let claim = match (peer.state, peer.address) {
             (State::Left, _) => Claim::Left,
-            (_, Some(address)) => Claim::Alive { address, run: peer.run },
+            (_, Some(address)) => Claim::Alive {
+                address,
+                run: peer.run,
+            },
             _ => return,
         };
-        let item = Item::Member(Rumour { about, incarnation, claim });
+        let item = Item::Member(Rumour {
+            about,
+            incarnation,
+            claim,
+        });
         self.send(from.address, &Body::Gossip, vec![item]);
     }
 
@@ -826,8 +970,14 @@
         if !(known || alive && self.table.admit(&rumour.about, rumour.incarnation, now)) {
             return;
         }
-        let Some(peer) = self.table.peers.get_mut(&rumour.about) else { return };
-        let Rumour { about, incarnation, claim } = &rumour;
+        let Some(peer) = self.table.peers.get_mut(&rumour.about) else {
+            return;
+        };
+        let Rumour {
+            about,
+            incarnation,
+            claim,
+        } = &rumour;
         let (before, newer) = (peer.state, *incarnation > peer.incarnation);
         match claim {
             Claim::Alive { address, run } => {
@@ -837,7 +987,8 @@
                     (peer.run, peer.address) = (*run, Some(*address));
                     return;
                 }
-                let other = *incarnation == peer.incarnation && *run > peer.run && before != State::Left;
+                let other =
+                    *incarnation == peer.incarnation && *run > peer.run && before != State::Left;
                 if !newer && !other {
                     return;
                 }
@@ -855,7 +1006,8 @@
                         _ if before == State::Suspect => "has refuted the suspicion",
                         _ => "is back",
                     };
-                    self.out.push(Action::Log(format!("{about} {how} at {address}: {cause}")));
+                    self.out
+                        .push(Action::Log(format!("{about} {how} at {address}: {cause}")));
                 }
                 if before == State::Failed && !first {
                     self.compare.push(*address);
@@ -876,9 +1028,13 @@
                     _ => {
                         peer.incarnation = *incarnation;
                         peer.turn(now, State::Suspect);
-                        peer.suspicion = Some(Suspicion { began: now, by: vec![by.clone()] });
+                        peer.suspicion = Some(Suspicion {
+                            began: now,
+                            by: vec![by.clone()],
+                        });
                         self.figures.suspicions += 1;
-                        self.out.push(Action::Log(format!("{about} is suspect: {cause}")));
+                        self.out
+                            .push(Action::Log(format!("{about} is suspect: {cause}")));
                         self.second_opinion(about);
                     }
                 }
@@ -914,7 +1070,8 @@
                 }
                 peer.incarnation = *incarnation;
                 peer.turn(now, State::Left);
-                self.out.push(Action::Log(format!("{about} has left on purpose: {cause}")));
+                self.out
+                    .push(Action::Log(format!("{about} has left on purpose: {cause}")));
             }
         }
         self.view = None;
@@ -924,13 +1081,18 @@
     /// Some look for themselves at once, so that a failure is shared soon and a slip is refuted soon.
     fn second_opinion(&mut self, about: &str) {
         let chance = SECOND_OPINIONS / self.table.size() as f64;
-        if self.urgent.len() < HELPERS * 2 && self.dice.happens(chance) && !self.detector.is_probing(about) {
+        if self.urgent.len() < HELPERS * 2
+            && self.dice.happens(chance)
+            && !self.detector.is_probing(about)
+        {
             self.urgent.push(about.to_string());
         }
     }
 
     fn hear_of_me(&mut self, now: Micros, rumour: Rumour) {
-        let Rumour { incarnation, claim, .. } = rumour;
+        let Rumour {
+            incarnation, claim, ..
+        } = rumour;
         if incarnation < self.incarnation || self.leaving {
             return;
         }
@@ -961,7 +1123,13 @@
 
     fn tell_namesake(&mut self, now: Micros, address: SocketAddr) {
         self.namesake_told = now;
-        self.send(address, &Body::Namesake { born_ms: self.set.born_ms }, Vec::new());
+        self.send(
+            address,
+            &Body::Namesake {
+                born_ms: self.set.born_ms,
+            },
+            Vec::new(),
+        );
     }
 
     /// Another process sends under this one's name. Danger: both would refute each other for ever. The one that was
@@ -970,10 +1138,16 @@
         if now - self.namesake_told >= NAMESAKE_EVERY && from.address != self.set.advertise {
             self.tell_namesake(now, from.address);
         }
-        let Body::Namesake { born_ms } = body else { return };
+        let Body::Namesake { born_ms } = body else {
+            return;
+        };
         let keeps = (*born_ms, from.run) < (self.set.born_ms, self.set.run);
         let until = now + NAMESAKE_LASTS;
-        if self.rival.as_ref().is_none_or(|rival| rival.run != from.run) {
+        if self
+            .rival
+            .as_ref()
+            .is_none_or(|rival| rival.run != from.run)
+        {
             self.figures.namesakes += 1;
             self.out.push(Action::Warn(format!(
                 "TWO PROCESSES ARE CALLED {}: this one and one at {}, which {} the name in the group; \
@@ -984,24 +1158,49 @@
             )));
         }
         let first = self.rival.is_none();
-        self.rival = Some(Rival { run: from.run, address: from.address, until, keeps });
+        self.rival = Some(Rival {
+            run: from.run,
+            address: from.address,
+            until,
+            keeps,
+        });
         if first && !keeps {
             self.refute(now, self.incarnation.max(from.incarnation) + 1);
         }
     }
 
-    fn hear_body(&mut self, now: Micros, from: &Sender, body: Body, is_current: bool, entries: Vec<Entry>) {
+    fn hear_body(
+        &mut self,
+        now: Micros,
+        from: &Sender,
+        body: Body,
+        is_current: bool,
+        entries: Vec<Entry>,
+    ) {
         match body {
             // Danger: a member that was restarted elsewhere must not be taken for the one that has its address now.
             Body::Ping { to, .. } if to != self.set.me => self.figures.misdirected += 1,
             // One that others know otherwise has to claim its place first.
             Body::Ping { .. } | Body::Probe { .. } if !is_current => {}
-            Body::Ping { seq, .. } => self.send(from.address, &Body::Ack { seq }, vec![self.own_claim()]),
-            Body::Probe { seq, target, address } => {
+            Body::Ping { seq, .. } => {
+                self.send(from.address, &Body::Ack { seq }, vec![self.own_claim()])
+            }
+            Body::Probe {
+                seq,
+                target,
+                address,
+            } => {
                 let (answer, whole) = (self.set.times.answer, self.set.times.probe);
                 let own = self.detector.relay(now, from.address, seq, answer, whole);
                 let first = self.charge(&target);
-                self.send(address, &Body::Ping { seq: own, to: target }, first);
+                self.send(
+                    address,
+                    &Body::Ping {
+                        seq: own,
+                        to: target,
+                    },
+                    first,
+                );
             }
             Body::Ack { seq } => {
                 if let Some(name) = self.detector.answered(seq) {
@@ -1011,14 +1210,21 @@
                 } else if let Some((to, seq)) = self.detector.relayed(seq) {
                     // What the target said of itself came with its answer, and goes on with this one.
                     let claim = self.table.rumours_of(&from.name);
-                    self.send(to, &Body::Ack { seq }, claim.into_iter().map(Item::Member).collect());
+                    self.send(
+                        to,
+                        &Body::Ack { seq },
+                        claim.into_iter().map(Item::Member).collect(),
+                    );
                 }
             }
             Body::Nack { seq } => self.detector.nacked(seq),
             Body::Gossip | Body::Namesake { .. } | Body::Exchange { .. } => {}
             // Danger: of two processes with one name either could speak as the other.
             Body::Carried { bytes } if is_current && !from.namesake => {
-                self.out.push(Action::Carried { from: from.name.clone(), bytes });
+                self.out.push(Action::Carried {
+                    from: from.name.clone(),
+                    bytes,
+                });
             }
             Body::Carried { .. } => {}
             Body::Ask => self.send_ledger(from.address),
@@ -1042,20 +1248,29 @@
         }
         let before = self.ledger.digest();
         let turns = self.ledger.merge(now, entries).unwrap_or_else(|full| {
-            self.out.push(Action::Warn(format!("a cordon of the group is not taken over: {full}")));
+            self.out.push(Action::Warn(format!(
+                "a cordon of the group is not taken over: {full}"
+            )));
             Vec::new()
         });
         if self.ledger.digest() == before {
             return;
         }
-        entries.iter().cloned().for_each(|entry| self.queue.push(Item::Cordon(entry)));
+        entries
+            .iter()
+            .cloned()
+            .for_each(|entry| self.queue.push(Item::Cordon(entry)));
         self.out.push(Action::Record);
         self.turn_cordons(turns);
     }
 
     fn turn_cordons(&mut self, turns: Vec<Turn>) {
         for Turn { host, held } in turns {
-            let word = if held { "is held out by the group" } else { "is given back by the group" };
+            let word = if held {
+                "is held out by the group"
+            } else {
+                "is given back by the group"
+            };
             self.out.push(Action::Log(format!("{host} {word}")));
             self.out.push(Action::Cordon { host, held });
         }
@@ -1073,7 +1288,8 @@
     pub fn told(&mut self, now: Micros, told: &Told) {
         self.awake(now);
         let (news, turns) = self.hearsay.told(told, &self.set.me);
-        news.into_iter().for_each(|news| self.queue.push(Item::Drain(news)));
+        news.into_iter()
+            .for_each(|news| self.queue.push(Item::Drain(news)));
         turns.into_iter().for_each(|turn| self.turn_hearsay(turn));
     }
 
@@ -1094,14 +1310,20 @@
         let (entries, turns) = match cordon {
             true => {
                 let (me, run) = (self.set.me.clone(), self.set.run);
-                let (entry, turns) = self.ledger.cordon(now, host, &me, run).map_err(|_| Refusal::Full)?;
+                let (entry, turns) = self
+                    .ledger
+                    .cordon(now, host, &me, run)
+                    .map_err(|_| Refusal::Full)?;
                 (vec![entry], turns)
             }
             // Danger: lifted by hand, it would be used while somebody works on it.
             false if self.ledger.is_planned(host, self.founding) => return Err(Refusal::Planned),
             false => self.ledger.lift(now, host, self.founding),
         };
-        entries.iter().cloned().for_each(|entry| self.queue.push(Item::Cordon(entry)));
+        entries
+            .iter()
+            .cloned()
+            .for_each(|entry| self.queue.push(Item::Cordon(entry)));
         self.out.push(Action::Record);
         self.turn_cordons(turns);
         Ok(self.begin_order(now, host, cordon, entries))
@@ -1154,7 +1376,8 @@
             let young = now - order.began < ORDER_AT_FIRST;
             order.next = now + if young { ORDER_EVERY } else { ORDER_LATER };
             for (name, peer) in &self.table.peers {
-                let wanted = peer.in_roster && peer.state != State::Left && !order.confirmed.contains(name);
+                let wanted =
+                    peer.in_roster && peer.state != State::Left && !order.confirmed.contains(name);
                 if let Some(address) = peer.address.filter(|_| wanted) {
                     sends.push((address, order.number, order.entries.clone()));
                 }
@@ -1172,9 +1395,16 @@
         if self.ledger.has_applied(&entries) {
             return self.send(to, &Body::Done { number }, Vec::new());
         }
-        let known = self.owed.iter().any(|owed| owed.to == to && owed.number == number);
+        let known = self
+            .owed
+            .iter()
+            .any(|owed| owed.to == to && owed.number == number);
         if !known && self.owed.len() < MOST_OWED {
-            self.owed.push(Owed { to, number, entries });
+            self.owed.push(Owed {
+                to,
+                number,
+                entries,
+            });
         }
     }
 
@@ -1208,10 +1438,17 @@
         let own = order.confirmed.contains(&self.set.me);
         let mut add = |name: &String, done: bool, why: &str| match done {
             true => confirmed.push(name.clone()),
-            false => missing.push(Missing { name: name.clone(), why: why.to_string() }),
+            false => missing.push(Missing {
+                name: name.clone(),
+                why: why.to_string(),
+            }),
         };
         let (rival, me) = (self.rival.is_some(), &self.set.me);
-        let own_why = if rival { "two processes have its name" } else { "not done here yet" };
+        let own_why = if rival {
+            "two processes have its name"
+        } else {
+            "not done here yet"
+        };
         add(me, own && !rival, own_why);
         for (name, peer) in self.table.peers.iter().filter(|(_, peer)| peer.in_roster) {
             let why = match peer.state {
@@ -1234,16 +1471,27 @@
             true => missing.is_empty(),
             false => confirmed.len() * 2 > roster || confirmed.len() + left >= roster,
         };
-        Some(Progress { host: order.host.clone(), cordoned: order.cordon, done, confirmed, missing })
+        Some(Progress {
+            host: order.host.clone(),
+            cordoned: order.cordon,
+            done,
+            confirmed,
+            missing,
+        })
     }
 
     /// Begins to ask the others what is held; `heard_enough` tells when a majority has answered.
     pub fn begin_to_ask(&mut self, now: Micros) {
-        self.asking = Some(Asking { next: now, ..Asking::default() });
+        self.asking = Some(Asking {
+            next: now,
+            ..Asking::default()
+        });
     }
 
     pub fn heard_enough(&self) -> bool {
-        let Some(asking) = &self.asking else { return true };
+        let Some(asking) = &self.asking else {
+            return true;
+        };
         (asking.answered.len() + 1) * 2 > self.set.roster.len()
     }
 
@@ -1251,20 +1499,37 @@
         if self.heard_enough() {
             self.asking = None;
         }
-        let Some(asking) = self.asking.as_mut().filter(|asking| asking.next <= now) else { return };
+        let Some(asking) = self.asking.as_mut().filter(|asking| asking.next <= now) else {
+            return;
+        };
         asking.next = now + ASK_EVERY;
         let answered = asking.answered.clone();
-        let known = self.table.peers.iter().filter(|(name, _)| !answered.contains(*name));
+        let known = self
+            .table
+            .peers
+            .iter()
+            .filter(|(name, _)| !answered.contains(*name));
         let mut to: BTreeSet<SocketAddr> = known.filter_map(|(_, peer)| peer.address).collect();
-        to.extend(self.set.seeds.iter().copied().filter(|seed| *seed != self.set.advertise));
+        to.extend(
+            self.set
+                .seeds
+                .iter()
+                .copied()
+                .filter(|seed| *seed != self.set.advertise),
+        );
         // More than a majority of a large group need not be asked at once.
-        for address in self.dice.some(to.into_iter().collect(), self.set.roster.len().div_ceil(2).max(16)) {
+        for address in self.dice.some(
+            to.into_iter().collect(),
+            self.set.roster.len().div_ceil(2).max(16),
+        ) {
             self.send(address, &Body::Ask, Vec::new());
         }
     }
 
     fn hear_page(&mut self, from: &str, page: u16, pages: u16) {
-        let Some(asking) = &mut self.asking else { return };
+        let Some(asking) = &mut self.asking else {
+            return;
+        };
         if !self.set.roster.iter().any(|name| name == from) {
             return;
         }
@@ -1282,7 +1547,9 @@
         if from.ledger == self.ledger.digest() {
             return;
         }
-        let Some(peer) = self.table.peers.get_mut(&from.name) else { return };
+        let Some(peer) = self.table.peers.get_mut(&from.name) else {
+            return;
+        };
         if now - peer.ledger_sent >= LEDGER_GAP {
             peer.ledger_sent = now;
             self.send_ledger(from.address);
@@ -1297,7 +1564,10 @@
             Writer::new(
                 self.mark,
                 &sender,
-                &Body::Ledger { page: u16::MAX, pages: u16::MAX },
+                &Body::Ledger {
+                    page: u16::MAX,
+                    pages: u16::MAX,
+                },
                 LARGEST_DATAGRAM,
             )
         };
@@ -1318,7 +1588,14 @@
         }
         let count = pages.len() as u16;
         for (page, items) in pages.into_iter().enumerate() {
-            self.send(to, &Body::Ledger { page: page as u16, pages: count }, items);
+            self.send(
+                to,
+                &Body::Ledger {
+                    page: page as u16,
+                    pages: count,
+                },
+                items,
+            );
         }
     }
 
@@ -1326,7 +1603,11 @@
 
     pub fn report(&self, now: Micros) -> Report {
         let since = |at: Micros| ((now - at).max(0) / MS) as u64;
-        let state = if self.leaving { State::Left } else { State::Alive };
+        let state = if self.leaving {
+            State::Left
+        } else {
+            State::Alive
+        };
         let mut members = vec![MemberReport {
             name: self.set.me.clone(),
             address: Some(self.set.advertise),
@@ -1350,7 +1631,11 @@
             standing: self.stand.now,
             standing_since_ms: since(self.stand.since),
             digest: format!("{:016x}", self.table.digest(&self.set.me, self.leaving)),
-            roster_differs: self.table.with_other_roster(self.roster).into_iter().collect(),
+            roster_differs: self
+                .table
+                .with_other_roster(self.roster)
+                .into_iter()
+                .collect(),
             disagree_ms: (self.table.longest_difference(now) / MS) as u64,
             namesake: self.rival.is_some(),
             cordons: self.ledger.held().map(str::to_string).collect(),
@@ -1360,7 +1645,12 @@
 
     /// Members by state, this one among the living.
     pub fn count(&self, state: State) -> usize {
-        let others = self.table.peers.values().filter(|peer| peer.shown() == state).count();
+        let others = self
+            .table
+            .peers
+            .values()
+            .filter(|peer| peer.shown() == state)
+            .count();
         others + usize::from(state == State::Alive)
     }
 
--- a/crates/stairfront-gossip-membership/src/detector.rs
+++ b/crates/stairfront-gossip-membership/src/detector.rs
@@ -74,7 +74,13 @@
     }
 
     /// A new probe; none if there are too many.
-    pub fn begin(&mut self, now: Micros, target: &str, answer: Micros, whole: Micros) -> Option<u32> {
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        target: &str,
+        answer: Micros,
+        whole: Micros,
+    ) -> Option<u32> {
         if self.probes.len() >= MOST_PROBES {
             return None;
         }
@@ -118,8 +124,9 @@
 
     /// Those that have not been answered in time. One's own health is doubted where helpers were silent, too.
     pub fn failed(&mut self, now: Micros) -> Vec<Probe> {
-        let (failed, out) =
-            std::mem::take(&mut self.probes).into_iter().partition(|probe| probe.until <= now);
+        let (failed, out) = std::mem::take(&mut self.probes)
+            .into_iter()
+            .partition(|probe| probe.until <= now);
         self.probes = out;
         let failed: Vec<Probe> = failed;
         for probe in &failed {
@@ -143,7 +150,13 @@
             self.relays.remove(0);
         }
         let seq = self.next_seq();
-        self.relays.push(Relay { seq, back, back_seq, nack_at: Some(now + answer), until: now + whole });
+        self.relays.push(Relay {
+            seq,
+            back,
+            back_seq,
+            nack_at: Some(now + answer),
+            until: now + whole,
+        });
         seq
     }
 
@@ -157,7 +170,10 @@
     /// Those who are to be told that there was no answer.
     pub fn nacks_due(&mut self, now: Micros) -> Vec<(SocketAddr, u32)> {
         self.relays.retain(|relay| relay.until > now);
-        let due = self.relays.iter_mut().filter(|relay| relay.nack_at.is_some_and(|at| at <= now));
+        let due = self
+            .relays
+            .iter_mut()
+            .filter(|relay| relay.nack_at.is_some_and(|at| at <= now));
         due.map(|relay| {
             relay.nack_at = None;
             (relay.back, relay.back_seq)
--- a/crates/stairfront-gossip-membership/src/gossip.rs
+++ b/crates/stairfront-gossip-membership/src/gossip.rs
@@ -38,8 +38,11 @@
     pub fn push(&mut self, item: Item) {
         self.items.insert(Subject::of(&item), (0, item));
         if self.items.len() > MOST_ITEMS {
-            let most =
-                self.items.iter().max_by_key(|(_, (sent, _))| *sent).map(|(subject, _)| subject.clone());
+            let most = self
+                .items
+                .iter()
+                .max_by_key(|(_, (sent, _))| *sent)
+                .map(|(subject, _)| subject.clone());
             most.map(|subject| self.items.remove(&subject));
         }
     }
@@ -55,11 +58,16 @@
     /// Puts into a packet what fits, and forgets what has gone out often enough in a group of this size.
     pub fn fill(&mut self, writer: &mut Writer, group: usize) {
         let most = (SPREAD * ((group + 1) as f64).log2()).ceil().max(1.0) as u32;
-        let mut order: Vec<(u32, Subject)> =
-            self.items.iter().map(|(subject, (sent, _))| (*sent, subject.clone())).collect();
+        let mut order: Vec<(u32, Subject)> = self
+            .items
+            .iter()
+            .map(|(subject, (sent, _))| (*sent, subject.clone()))
+            .collect();
         order.sort();
         for (_, subject) in order {
-            let Some((sent, item)) = self.items.get_mut(&subject) else { continue };
+            let Some((sent, item)) = self.items.get_mut(&subject) else {
+                continue;
+            };
             if !writer.add(item) {
                 // Another may be smaller, but what is told least goes first.
                 break;
--- a/crates/stairfront-gossip-membership/src/news.rs
+++ b/crates/stairfront-gossip-membership/src/news.rs
@@ -53,16 +53,27 @@
     /// Own news: hearsay that is not newer is over. What is worth passing on.
     pub fn told(&mut self, told: &Told, me: &str) -> (Vec<News>, Vec<Turn>) {
         (self.index, self.hosts) = (told.index, told.hosts);
-        let over: Vec<String> =
-            self.held.iter().filter(|(_, (_, by))| *by <= told.index).map(|(host, _)| host.clone()).collect();
+        let over: Vec<String> = self
+            .held
+            .iter()
+            .filter(|(_, (_, by))| *by <= told.index)
+            .map(|(host, _)| host.clone())
+            .collect();
         self.held.retain(|host, _| !over.contains(host));
-        let fresh =
-            |host: &&String| self.remembered.iter().all(|(known, at)| known != *host || *at < told.index);
+        let fresh = |host: &&String| {
+            self.remembered
+                .iter()
+                .all(|(known, at)| known != *host || *at < told.index)
+        };
         let news: Vec<News> = told
             .leaving
             .iter()
             .filter(fresh)
-            .map(|host| News { host: host.clone(), index: told.index, by: me.to_string() })
+            .map(|host| News {
+                host: host.clone(),
+                index: told.index,
+                by: me.to_string(),
+            })
             .collect();
         news.iter().for_each(|news| self.remember(news));
         (news, over.into_iter().map(Turn::Trust).collect())
@@ -77,7 +88,11 @@
 
     /// Somebody else's news: whether it is new here and worth passing on, and what to do.
     pub fn heard(&mut self, now: Micros, news: &News, for_long: Micros) -> (bool, Option<Turn>) {
-        if self.remembered.iter().any(|(host, index)| *host == news.host && *index >= news.index) {
+        if self
+            .remembered
+            .iter()
+            .any(|(host, index)| *host == news.host && *index >= news.index)
+        {
             return (false, None);
         }
         self.remember(news);
@@ -90,13 +105,18 @@
             self.over_part += 1;
             return (true, None);
         }
-        self.held.insert(news.host.clone(), (now + for_long, news.index));
+        self.held
+            .insert(news.host.clone(), (now + for_long, news.index));
         (true, Some(Turn::Stop(news.host.clone())))
     }
 
     /// What hearsay may not hold back any longer.
     pub fn tick(&mut self, now: Micros) -> Vec<Turn> {
-        let over = self.held.iter().filter(|(_, (until, _))| *until <= now).map(|(host, _)| host.clone());
+        let over = self
+            .held
+            .iter()
+            .filter(|(_, (until, _))| *until <= now)
+            .map(|(host, _)| host.clone());
         let over: Vec<String> = over.collect();
         self.held.retain(|host, _| !over.contains(host));
         over.into_iter().map(Turn::Trust).collect()
--- a/crates/stairfront-gossip-membership/src/packet.rs
+++ b/crates/stairfront-gossip-membership/src/packet.rs
@@ -144,7 +144,9 @@
 
     /// False if it does not fit; nothing of it is written then.
     pub fn add(&mut self, item: &Item) -> bool {
-        let Ok(bytes) = postcard::to_stdvec(item) else { return false };
+        let Ok(bytes) = postcard::to_stdvec(item) else {
+            return false;
+        };
         let fits = self.bytes.len() + bytes.len() <= self.most;
         if fits {
             self.bytes.extend(bytes);
@@ -186,7 +188,8 @@
         let ((from, body), mut rest) = read.map_err(|_| PacketFault::Form)?;
         let mut items = Vec::new();
         while !rest.is_empty() {
-            let (item, left) = postcard::take_from_bytes::<Item>(rest).map_err(|_| PacketFault::Form)?;
+            let (item, left) =
+                postcard::take_from_bytes::<Item>(rest).map_err(|_| PacketFault::Form)?;
             items.push(item);
             rest = left;
         }
@@ -206,7 +209,11 @@
             && self.from.incarnation < LARGEST_INCARNATION;
         let body = match &self.body {
             Body::Ping { to, .. } => name(to),
-            Body::Probe { target, address: at, .. } => name(target) && address(at),
+            Body::Probe {
+                target,
+                address: at,
+                ..
+            } => name(target) && address(at),
             _ => true,
         };
         let item = |item: &Item| match item {
--- a/crates/stairfront-gossip-membership/src/settings.rs
+++ b/crates/stairfront-gossip-membership/src/settings.rs
@@ -75,22 +75,61 @@
             }
         };
         let fit = |name: &String| is_name(name, LONGEST_NAME);
-        must(fit(&self.group), "group", "must be a name of 1 to 64 bytes without control characters");
+        must(
+            fit(&self.group),
+            "group",
+            "must be a name of 1 to 64 bytes without control characters",
+        );
         let good = (1..=MOST_ROSTER).contains(&self.roster.len()) && self.roster.iter().all(fit);
-        must(good, "roster", "must be 1 to 512 names of 1 to 64 bytes each");
+        must(
+            good,
+            "roster",
+            "must be 1 to 512 names of 1 to 64 bytes each",
+        );
         let mut sorted = self.roster.clone();
         sorted.sort();
         let twice = sorted.windows(2).find(|pair| pair[0] == pair[1]);
-        must(twice.is_none(), "roster", &format!("names {:?} twice", twice.map_or("", |pair| &pair[0])));
+        must(
+            twice.is_none(),
+            "roster",
+            &format!("names {:?} twice", twice.map_or("", |pair| &pair[0])),
+        );
         let named = self.roster.contains(&self.me);
-        must(named, "roster", &format!("does not name this balancer ({:?})", self.me));
+        must(
+            named,
+            "roster",
+            &format!("does not name this balancer ({:?})", self.me),
+        );
         must(self.seeds.len() <= 64, "seeds", "64 at most");
-        must(self.seeds.iter().all(|seed| seed.port() > 0), "seeds", "an address with port 0 reaches nobody");
+        must(
+            self.seeds.iter().all(|seed| seed.port() > 0),
+            "seeds",
+            "an address with port 0 reaches nobody",
+        );
         let reached = self.advertise.port() > 0 && !self.advertise.ip().is_unspecified();
-        must(reached, "advertise", "must be an address and a port that the others can reach");
-        let Times { probe, answer, suspicion, exchange, hearsay, forget } = self.times;
-        must((100 * MS..=60 * SECOND).contains(&probe), "probe_ms", "must be between 100 and 60,000");
-        must(answer >= 20 * MS && answer * 2 <= probe, "answer_ms", "must be from 20 to half of probe_ms");
+        must(
+            reached,
+            "advertise",
+            "must be an address and a port that the others can reach",
+        );
+        let Times {
+            probe,
+            answer,
+            suspicion,
+            exchange,
+            hearsay,
+            forget,
+        } = self.times;
+        must(
+            (100 * MS..=60 * SECOND).contains(&probe),
+            "probe_ms",
+            "must be between 100 and 60,000",
+        );
+        must(
+            answer >= 20 * MS && answer * 2 <= probe,
+            "answer_ms",
+            "must be from 20 to half of probe_ms",
+        );
         must(
             suspicion >= probe && suspicion <= 600 * SECOND,
             "suspicion_ms",
@@ -101,7 +140,11 @@
             "exchange_ms",
             "must be between 1,000 and an hour",
         );
-        must((100 * MS..=60 * SECOND).contains(&hearsay), "hearsay_ms", "must be between 100 and 60,000");
+        must(
+            (100 * MS..=60 * SECOND).contains(&hearsay),
+            "hearsay_ms",
+            "must be between 100 and 60,000",
+        );
         let good = (10 * SECOND..=30 * 86_400 * SECOND).contains(&forget);
         must(good, "forget_ms", "must be from 10,000 up");
         found
--- a/crates/stairfront-gossip-membership/src/table.rs
+++ b/crates/stairfront-gossip-membership/src/table.rs
@@ -93,7 +93,8 @@
             self.suspicion = None;
         }
         if !self.is_there() {
-            (self.doubted, self.unproven, self.differs_since, self.view) = (false, false, None, None);
+            (self.doubted, self.unproven, self.differs_since, self.view) =
+                (false, false, None, None);
         }
     }
 }
@@ -106,7 +107,8 @@
         return least as Micros;
     }
     let longest = least * LONGEST_SUSPICION;
-    let shared = (sharers.saturating_sub(1).min(wanted) as f64 + 1.0).ln() / (wanted as f64 + 1.0).ln();
+    let shared =
+        (sharers.saturating_sub(1).min(wanted) as f64 + 1.0).ln() / (wanted as f64 + 1.0).ln();
     (longest - (longest - least) * shared) as Micros
 }
 
@@ -121,7 +123,9 @@
     pub fn new(now: Micros, roster: &[String], me: &str) -> Self {
         let others = roster.iter().filter(|name| *name != me);
         Table {
-            peers: others.map(|name| (name.clone(), Peer::new(true, now))).collect(),
+            peers: others
+                .map(|name| (name.clone(), Peer::new(true, now)))
+                .collect(),
             forgotten: VecDeque::new(),
         }
     }
@@ -133,7 +137,10 @@
             return true;
         }
         let others = self.peers.values().filter(|peer| !peer.in_roster).count();
-        let late = self.forgotten.iter().any(|(known, last)| known == name && *last >= incarnation);
+        let late = self
+            .forgotten
+            .iter()
+            .any(|(known, last)| known == name && *last >= incarnation);
         if others >= MOST_OTHERS || late {
             return false;
         }
@@ -143,8 +150,12 @@
 
     pub fn forget_long_gone(&mut self, now: Micros, after: Micros) {
         let gone = |peer: &Peer| !peer.in_roster && !peer.is_there() && now - peer.since > after;
-        let names: Vec<String> =
-            self.peers.iter().filter(|(_, peer)| gone(peer)).map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| gone(peer))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
             if let Some(peer) = self.peers.remove(&name) {
                 self.forgotten.push_back((name, peer.incarnation));
@@ -162,7 +173,10 @@
 
     /// Those that may be asked or told something, and where.
     pub fn reachable(&self) -> impl Iterator<Item = (&String, SocketAddr)> {
-        let there = self.peers.iter().filter(|(_, peer)| peer.state == State::Alive);
+        let there = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.state == State::Alive);
         there.filter_map(|(name, peer)| peer.address.map(|address| (name, address)))
     }
 
@@ -173,7 +187,11 @@
         // Danger: one of whom there is hearsay alone would make the group whole.
         let doubtful = |peer: &&&Peer| peer.is_there() && !peer.unproven;
         let there = roster.iter().filter(doubtful).count();
-        Census { roster: roster.len() + 1, sure: sure + 1, doubtful: there - sure }
+        Census {
+            roster: roster.len() + 1,
+            sure: sure + 1,
+            doubtful: there - sure,
+        }
     }
 
     /// The same at all members that agree on who of the roster is there, has failed or has left.
@@ -183,7 +201,8 @@
             State::Failed => "failed",
             State::Left => "left",
         };
-        let mut sum = xxh3_64(format!("{me}\0{}", if leaving { "left" } else { "there" }).as_bytes());
+        let mut sum =
+            xxh3_64(format!("{me}\0{}", if leaving { "left" } else { "there" }).as_bytes());
         for (name, peer) in self.peers.iter().filter(|(_, peer)| peer.in_roster) {
             sum = sum.wrapping_add(xxh3_64(format!("{name}\0{}", word(peer)).as_bytes()));
         }
@@ -192,18 +211,28 @@
 
     /// All that is known, as claims; where one is, too, of those that others may have to reach.
     pub fn rumours(&self, me: &str) -> Vec<Rumour> {
-        self.peers.iter().flat_map(|(name, peer)| claims(name, peer, me)).collect()
+        self.peers
+            .iter()
+            .flat_map(|(name, peer)| claims(name, peer, me))
+            .collect()
     }
 
     /// What is known of one.
     pub fn rumours_of(&self, name: &str) -> Vec<Rumour> {
-        self.peers.get(name).map_or(Vec::new(), |peer| claims(name, peer, name))
+        self.peers
+            .get(name)
+            .map_or(Vec::new(), |peer| claims(name, peer, name))
     }
 
     /// Members whose roster is not the one here.
     pub fn with_other_roster(&self, own: u64) -> BTreeSet<String> {
-        let differs = |peer: &Peer| peer.is_there() && peer.view.is_some_and(|view| view.roster != own);
-        self.peers.iter().filter(|(_, peer)| differs(peer)).map(|(name, _)| name.clone()).collect()
+        let differs =
+            |peer: &Peer| peer.is_there() && peer.view.is_some_and(|view| view.roster != own);
+        self.peers
+            .iter()
+            .filter(|(_, peer)| differs(peer))
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// How long somebody has seen the group otherwise than this member.
@@ -218,18 +247,31 @@
     if peer.incarnation == 0 {
         return all;
     }
-    let mut say = |claim| all.push(Rumour { about: name.to_string(), incarnation: peer.incarnation, claim });
+    let mut say = |claim| {
+        all.push(Rumour {
+            about: name.to_string(),
+            incarnation: peer.incarnation,
+            claim,
+        })
+    };
     match (peer.state, &peer.suspicion) {
         (State::Suspect, Some(suspicion)) => {
             // With all who share it: one that has just started would wait for longer than the others.
-            suspicion.by.iter().cloned().for_each(|by| say(Claim::Suspect { by }));
+            suspicion
+                .by
+                .iter()
+                .cloned()
+                .for_each(|by| say(Claim::Suspect { by }));
         }
         (State::Failed, _) => say(Claim::Failed { by: me.to_string() }),
         (State::Left, _) => say(Claim::Left),
         _ => {}
     }
     if let Some(address) = peer.address {
-        say(Claim::Alive { address, run: peer.run });
+        say(Claim::Alive {
+            address,
+            run: peer.run,
+        });
     }
     all
 }
--- a/crates/stairfront-handover/src/message.rs
+++ b/crates/stairfront-handover/src/message.rs
@@ -86,24 +86,35 @@
 
 fn known_version(text: &[u8]) -> Result<(), PacketFault> {
     let Versioned { version } = serde_json::from_slice(text)?;
-    (version == VERSION).then_some(()).ok_or(PacketFault::Version(version))
+    (version == VERSION)
+        .then_some(())
+        .ok_or(PacketFault::Version(version))
 }
 
 impl Message {
     pub fn encode(&self) -> Vec<u8> {
         let json = |kind, fields: serde_json::Value| (kind, fields.to_string().into_bytes());
         let (kind, body) = match self {
-            Message::Hello { name } => json(HELLO, serde_json::json!({ "version": VERSION, "name": name })),
+            Message::Hello { name } => json(
+                HELLO,
+                serde_json::json!({ "version": VERSION, "name": name }),
+            ),
             Message::Welcome { clients, servers } => {
-                let fields =
-                    serde_json::json!({ "version": VERSION, "clients": clients, "servers": servers });
+                let fields = serde_json::json!({ "version": VERSION, "clients": clients, "servers": servers });
                 json(WELCOME, fields)
             }
             Message::Knowledge { part, last: false } => (KNOWLEDGE, part.clone()),
             Message::Knowledge { part, last: true } => (LAST_KNOWLEDGE, part.clone()),
-            Message::Connection { used: false, unread } => (NEW_CONNECTION, unread.clone()),
+            Message::Connection {
+                used: false,
+                unread,
+            } => (NEW_CONNECTION, unread.clone()),
             Message::Connection { used: true, unread } => (USED_CONNECTION, unread.clone()),
-            Message::Order { number, order, word } => json(ORDER, serde_json::json!([number, order, word])),
+            Message::Order {
+                number,
+                order,
+                word,
+            } => json(ORDER, serde_json::json!([number, order, word])),
             Message::Done { number, done } => json(DONE, serde_json::json!([number, done])),
         };
         let mut packet = Vec::with_capacity(body.len() + 1);
@@ -122,16 +133,34 @@
             }
             WELCOME => {
                 known_version(body)?;
-                let Welcome { clients, servers, .. } = serde_json::from_slice(body)?;
+                let Welcome {
+                    clients, servers, ..
+                } = serde_json::from_slice(body)?;
                 Message::Welcome { clients, servers }
             }
-            KNOWLEDGE => Message::Knowledge { part: body.to_vec(), last: false },
-            LAST_KNOWLEDGE => Message::Knowledge { part: body.to_vec(), last: true },
-            NEW_CONNECTION => Message::Connection { used: false, unread: body.to_vec() },
-            USED_CONNECTION => Message::Connection { used: true, unread: body.to_vec() },
+            KNOWLEDGE => Message::Knowledge {
+                part: body.to_vec(),
+                last: false,
+            },
+            LAST_KNOWLEDGE => Message::Knowledge {
+                part: body.to_vec(),
+                last: true,
+            },
+            NEW_CONNECTION => Message::Connection {
+                used: false,
+                unread: body.to_vec(),
+            },
+            USED_CONNECTION => Message::Connection {
+                used: true,
+                unread: body.to_vec(),
+            },
             ORDER => {
                 let (number, order, word) = serde_json::from_slice(body)?;
-                Message::Order { number, order, word }
+                Message::Order {
+                    number,
+                    order,
+                    word,
+                }
             }
             DONE => {
                 let (number, done) = serde_json::from_slice(body)?;
--- a/crates/stairfront-handover/src/parts.rs
+++ b/crates/stairfront-handover/src/parts.rs
@@ -15,11 +15,18 @@
 impl Parts {
     /// The messages that bring a knowledge; one at least. One that is too large goes as an empty one.
     pub fn of(knowledge: &[u8]) -> impl Iterator<Item = Message> + '_ {
-        let knowledge = if knowledge.len() > LARGEST_KNOWLEDGE { &[][..] } else { knowledge };
+        let knowledge = if knowledge.len() > LARGEST_KNOWLEDGE {
+            &[][..]
+        } else {
+            knowledge
+        };
         let count = knowledge.len().div_ceil(LARGEST_PART).max(1);
         (0..count).map(move |i| {
             let end = knowledge.len().min((i + 1) * LARGEST_PART);
-            Message::Knowledge { part: knowledge[i * LARGEST_PART..end].to_vec(), last: i + 1 == count }
+            Message::Knowledge {
+                part: knowledge[i * LARGEST_PART..end].to_vec(),
+                last: i + 1 == count,
+            }
         })
     }
 
--- a/crates/stairfront-lab/src/clock.rs
+++ b/crates/stairfront-lab/src/clock.rs
@@ -14,7 +14,9 @@
 impl RunClock {
     /// A clock that shows 0 so much later.
     pub fn starting_in(lead: Duration) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         RunClock {
             made: Instant::now(),
             lead: lead.as_micros() as Micros,
--- a/crates/stairfront-lab/src/live.rs
+++ b/crates/stairfront-lab/src/live.rs
@@ -26,7 +26,10 @@
 
 impl Live {
     pub fn new(hosts: usize) -> Self {
-        Live { begun: (0..hosts).map(|_| AtomicU64::new(0)).collect(), ..Live::default() }
+        Live {
+            begun: (0..hosts).map(|_| AtomicU64::new(0)).collect(),
+            ..Live::default()
+        }
     }
 
     pub fn ended(&self, end: End, took_us: u64) {
