--- a/crates/stairfront-maintenance/src/lead.rs
+++ b/crates/stairfront-maintenance/src/lead.rs
@@ -44,8 +44,12 @@
             let key = (name.clone(), row.told);
             let none = Vec::new();
             let missing = |said: &Vec<String>, what: &str| {
-                let missing: Vec<&str> =
-                    row.asked.iter().filter(|name| !said.contains(*name)).map(String::as_str).collect();
+                let missing: Vec<&str> = row
+                    .asked
+                    .iter()
+                    .filter(|name| !said.contains(*name))
+                    .map(String::as_str)
+                    .collect();
                 (!missing.is_empty()).then(|| format!("{what}: {}", missing.join(", ")))
             };
             let is_cache = matches!(row.machine, Machine::Cache(_));
@@ -63,7 +67,11 @@
                 // One that leads hands that over first.
                 Stage::Told => {
                     let leads = name == seen.me;
-                    (Stage::Held, everybody, leads.then(|| "it leads, and hands that over".to_string()))
+                    (
+                        Stage::Held,
+                        everybody,
+                        leads.then(|| "it leads, and hands that over".to_string()),
+                    )
                 }
                 Stage::Held if is_cache => {
                     let said = seen.quiet.get(&key).unwrap_or(&none);
@@ -81,7 +89,8 @@
                     (Stage::Warming, Vec::new(), why)
                 }
                 Stage::Warming => {
-                    let why = (!seen.warm.contains(&name)).then(|| "not in use at its share yet".to_string());
+                    let why = (!seen.warm.contains(&name))
+                        .then(|| "not in use at its share yet".to_string());
                     (Stage::Back, Vec::new(), why)
                 }
                 Stage::Back | Stage::Skipped => continue,
@@ -90,13 +99,27 @@
                 Some(why) => {
                     let took_s = seen.now_ms.saturating_sub(row.since_ms) / 1000;
                     let late = took_s > u64::from(row.limit_s);
-                    let why = if late { format!("late, {took_s} s of {}: {why}", row.limit_s) } else { why };
-                    waits.push(Waits { plan: row.plan, machine: name, why });
+                    let why = if late {
+                        format!("late, {took_s} s of {}: {why}", row.limit_s)
+                    } else {
+                        why
+                    };
+                    waits.push(Waits {
+                        plan: row.plan,
+                        machine: name,
+                        why,
+                    });
                 }
                 None => {
                     told |= to == Stage::Told;
                     let (plan, machine, entered) = (row.plan, row.machine.clone(), row.entered);
-                    due.push(What::Step { plan, machine, entered, to, by });
+                    due.push(What::Step {
+                        plan,
+                        machine,
+                        entered,
+                        to,
+                        by,
+                    });
                 }
             }
         }
--- a/crates/stairfront-maintenance/src/order.rs
+++ b/crates/stairfront-maintenance/src/order.rs
@@ -16,9 +16,18 @@
 
     /// Hosts of these that serve nobody: taken out, or down by themselves.
     fn away<'f>(&self, fleet: &'f Fleet, in_zone: Option<&'f str>) -> (usize, usize) {
-        let hosts: Vec<_> =
-            fleet.hosts.iter().filter(|host| in_zone.is_none_or(|zone| host.zone == zone)).collect();
-        (hosts.iter().filter(|host| !host.up || self.has(&host.name)).count(), hosts.len())
+        let hosts: Vec<_> = fleet
+            .hosts
+            .iter()
+            .filter(|host| in_zone.is_none_or(|zone| host.zone == zone))
+            .collect();
+        (
+            hosts
+                .iter()
+                .filter(|host| !host.up || self.has(&host.name))
+                .count(),
+            hosts.len(),
+        )
     }
 }
 
@@ -27,12 +36,17 @@
     match machine {
         Machine::Cache(name) => {
             // Danger: by the list of one that has just started, nothing would speak against it.
-            let Some(host) = fleet.host(name) else { return Some("it is not listed now".to_string()) };
+            let Some(host) = fleet.host(name) else {
+                return Some("it is not listed now".to_string());
+            };
             // One that is down already serves nobody: it takes nothing more away.
             let more = usize::from(host.up);
             let (away, of) = out.away(fleet, Some(&host.zone));
             if of - (away + more).min(of) < least(plan.stay.zone, of) && more > 0 {
-                return Some(format!("{away} of {of} hosts of zone {:?} are away", host.zone));
+                return Some(format!(
+                    "{away} of {of} hosts of zone {:?} are away",
+                    host.zone
+                ));
             }
             let (away, of) = out.away(fleet, None);
             if of - (away + more).min(of) < least(plan.stay.whole, of) && more > 0 {
@@ -40,9 +54,14 @@
             }
             // Danger: two that know each other's keyed repeats, out together, know them no more.
             let same = |other: &&&Machine| {
-                fleet.host(other.name()).is_some_and(|other| other.group != 0 && other.group == host.group)
+                fleet
+                    .host(other.name())
+                    .is_some_and(|other| other.group != 0 && other.group == host.group)
             };
-            out.machines.iter().find(same).map(|other| format!("{} is out, of the same group", other.name()))
+            out.machines
+                .iter()
+                .find(same)
+                .map(|other| format!("{} is out, of the same group", other.name()))
         }
         Machine::Balancer(name) => {
             let voters = fleet.balancers.iter().filter(|one| one.votes);
@@ -64,13 +83,21 @@
 pub fn order(waiting: &[Machine], fleet: &Fleet, out: &Out<'_>) -> Vec<Machine> {
     let mut left: Vec<Machine> = waiting.to_vec();
     let mut taken: BTreeMap<String, usize> = BTreeMap::new();
-    for host in out.machines.iter().filter_map(|machine| fleet.host(machine.name())) {
+    for host in out
+        .machines
+        .iter()
+        .filter_map(|machine| fleet.host(machine.name()))
+    {
         *taken.entry(host.zone.clone()).or_default() += 1;
     }
     let mut sorted = Vec::new();
     while !left.is_empty() {
         let waits = |zone: &str| {
-            let of = |machine: &&Machine| fleet.host(machine.name()).is_some_and(|host| host.zone == zone);
+            let of = |machine: &&Machine| {
+                fleet
+                    .host(machine.name())
+                    .is_some_and(|host| host.zone == zone)
+            };
             left.iter().filter(of).count()
         };
         let place = |machine: &Machine| match machine {
@@ -89,11 +116,17 @@
             },
             Machine::Balancer(name) => {
                 let one = fleet.balancer(name);
-                let (leads, votes) = (one.is_some_and(|one| one.leads), one.is_some_and(|one| one.votes));
+                let (leads, votes) = (
+                    one.is_some_and(|one| one.leads),
+                    one.is_some_and(|one| one.votes),
+                );
                 (2, u64::from(leads), u64::from(votes), 0)
             }
         };
-        let Some(at) = (0..left.len()).min_by_key(|at| (place(&left[*at]), left[*at].clone())) else { break };
+        let Some(at) = (0..left.len()).min_by_key(|at| (place(&left[*at]), left[*at].clone()))
+        else {
+            break;
+        };
         let machine = left.remove(at);
         if let Some(host) = fleet.host(machine.name()) {
             *taken.entry(host.zone.clone()).or_default() += 1;
--- a/crates/stairfront-maintenance/src/plan.rs
+++ b/crates/stairfront-maintenance/src/plan.rs
@@ -45,7 +45,10 @@
 impl Default for Stay {
     /// What is left carries a half more at most, and no zone serves from another by plan.
     fn default() -> Self {
-        Stay { zone: 0.5, whole: 0.66 }
+        Stay {
+            zone: 0.5,
+            whole: 0.66,
+        }
     }
 }
 
@@ -100,7 +103,10 @@
 }
 
 fn fault(key: &str, problem: impl Into<String>) -> PlanFault {
-    PlanFault { key: key.to_string(), problem: problem.into() }
+    PlanFault {
+        key: key.to_string(),
+        problem: problem.into(),
+    }
 }
 
 /// The least number that may stay of so many.
@@ -128,7 +134,10 @@
                 (Some(_), None) => add(Machine::Cache(name.clone())),
                 (None, Some(_)) => add(Machine::Balancer(name.clone())),
                 (None, None) => {
-                    return Err(fault(&format!("machines[{at}]"), format!("nobody knows {name:?}")))
+                    return Err(fault(
+                        &format!("machines[{at}]"),
+                        format!("nobody knows {name:?}"),
+                    ))
                 }
             }
         }
@@ -139,15 +148,22 @@
                 any = true;
             }
             if !any {
-                return Err(fault(&format!("zones[{at}]"), format!("no cache host is in {zone:?}")));
+                return Err(fault(
+                    &format!("zones[{at}]"),
+                    format!("no cache host is in {zone:?}"),
+                ));
             }
         }
         for (at, kind) in self.kinds.iter().enumerate() {
             match kind.as_str() {
-                "caches" => fleet.hosts.iter().for_each(|host| add(Machine::Cache(host.name.clone()))),
-                "balancers" => {
-                    fleet.balancers.iter().for_each(|one| add(Machine::Balancer(one.name.clone())))
-                }
+                "caches" => fleet
+                    .hosts
+                    .iter()
+                    .for_each(|host| add(Machine::Cache(host.name.clone()))),
+                "balancers" => fleet
+                    .balancers
+                    .iter()
+                    .for_each(|one| add(Machine::Balancer(one.name.clone()))),
                 _ => {
                     return Err(fault(
                         &format!("kinds[{at}]"),
@@ -163,7 +179,10 @@
     pub fn check(&self, fleet: &Fleet) -> Result<Vec<Machine>, PlanFault> {
         let machines = self.machines(fleet)?;
         if machines.is_empty() {
-            return Err(fault("machines", "none are named, by machines, zones or kinds"));
+            return Err(fault(
+                "machines",
+                "none are named, by machines, zones or kinds",
+            ));
         }
         if machines.len() > MOST_MACHINES {
             return Err(fault(
@@ -174,14 +193,20 @@
         if self.at_once == 0 {
             return Err(fault("at_once", "must be 1 at least"));
         }
-        for (key, part) in [("stay.zone", self.stay.zone), ("stay.whole", self.stay.whole)] {
+        for (key, part) in [
+            ("stay.zone", self.stay.zone),
+            ("stay.whole", self.stay.whole),
+        ] {
             if !(0.0..1.0).contains(&part) {
                 return Err(fault(key, format!("{part} is not from 0 to less than 1")));
             }
         }
         for (key, text) in [("reason", &self.reason), ("author", &self.author)] {
             if !(1..=LONGEST_TEXT).contains(&text.len()) || text.chars().any(char::is_control) {
-                return Err(fault(key, format!("must be a line of 1 to {LONGEST_TEXT} bytes")));
+                return Err(fault(
+                    key,
+                    format!("must be a line of 1 to {LONGEST_TEXT} bytes"),
+                ));
             }
         }
         let times = [
@@ -197,12 +222,23 @@
         }
         // Danger: what can never be allowed would stand in the queue for ever.
         for machine in &machines {
-            let Machine::Cache(name) = machine else { continue };
-            let Some(host) = fleet.host(name) else { continue };
-            let zone = fleet.hosts.iter().filter(|other| other.zone == host.zone).count();
+            let Machine::Cache(name) = machine else {
+                continue;
+            };
+            let Some(host) = fleet.host(name) else {
+                continue;
+            };
+            let zone = fleet
+                .hosts
+                .iter()
+                .filter(|other| other.zone == host.zone)
+                .count();
             if zone - 1 < least(self.stay.zone, zone) {
-                let problem =
-                    format!("without {name}, {} of {zone} would stay in zone {:?}", zone - 1, host.zone);
+                let problem = format!(
+                    "without {name}, {} of {zone} would stay in zone {:?}",
+                    zone - 1,
+                    host.zone
+                );
                 return Err(fault("stay.zone", problem));
             }
             let whole = fleet.hosts.len();
@@ -212,9 +248,15 @@
             }
         }
         let voters = fleet.balancers.iter().filter(|one| one.votes).count();
-        let named =
-            |one: &&crate::Balancer| one.votes && machines.contains(&Machine::Balancer(one.name.clone()));
-        let taken = fleet.balancers.iter().filter(named).count().min(self.at_once as usize);
+        let named = |one: &&crate::Balancer| {
+            one.votes && machines.contains(&Machine::Balancer(one.name.clone()))
+        };
+        let taken = fleet
+            .balancers
+            .iter()
+            .filter(named)
+            .count()
+            .min(self.at_once as usize);
         if taken > 0 && (voters - taken) * 2 <= voters {
             let problem = format!("{taken} of {voters} voters at once leave no majority");
             return Err(fault("at_once", problem));
--- a/crates/stairfront-maintenance/src/state.rs
+++ b/crates/stairfront-maintenance/src/state.rs
@@ -261,32 +261,58 @@
         if self.seen.len() >= MOST_SEEN {
             self.seen.pop_front();
         }
-        self.seen.push_back((id, Outcome { index, term, result }));
+        self.seen.push_back((
+            id,
+            Outcome {
+                index,
+                term,
+                result,
+            },
+        ));
         Some(id)
     }
 
     pub fn outcome(&self, id: u64) -> Option<&Outcome> {
-        self.seen.iter().rev().find(|(seen, _)| *seen == id).map(|(_, outcome)| outcome)
+        self.seen
+            .iter()
+            .rev()
+            .find(|(seen, _)| *seen == id)
+            .map(|(_, outcome)| outcome)
     }
 
     fn carry_out(&mut self, index: u64, term: u64, command: Command) -> Result<u64, Refusal> {
-        let Command { at_ms, term: given, via, author, what, .. } = command;
+        let Command {
+            at_ms,
+            term: given,
+            via,
+            author,
+            what,
+            ..
+        } = command;
         let bound = matches!(what, What::Fleet(_) | What::Step { .. });
         if bound && given != term {
             return Err(Refusal::OldTerm { given, now: term });
         }
         let text = match what {
             What::Fleet(fleet) => return Ok(self.take_facts(index, fleet)),
-            What::Step { plan, machine, entered, to, by } => {
-                self.step(index, at_ms, (plan, &machine), entered, to, &by)?
-            }
+            What::Step {
+                plan,
+                machine,
+                entered,
+                to,
+                by,
+            } => self.step(index, at_ms, (plan, &machine), entered, to, &by)?,
             What::Post(plan) => {
                 let open = self.plans.iter().filter(|plan| !plan.is_over()).count();
                 if open >= MOST_PLANS {
                     return Err(Refusal::TooMany(open));
                 }
                 let machines = plan.check(&self.fleet).map_err(Refusal::Plan)?;
-                let text = format!("plan {index} posted: {}, {} machines", plan.reason, machines.len());
+                let text = format!(
+                    "plan {index} posted: {}, {} machines",
+                    plan.reason,
+                    machines.len()
+                );
                 let rows = machines.into_iter().map(|machine| Row {
                     machine,
                     stage: Stage::Waiting,
@@ -298,7 +324,14 @@
                 });
                 let rows = rows.collect();
                 self.plans.retain(|plan| !plan.is_over());
-                self.plans.push(Entry { number: index, plan, via, held: None, dropped: false, rows });
+                self.plans.push(Entry {
+                    number: index,
+                    plan,
+                    via,
+                    held: None,
+                    dropped: false,
+                    rows,
+                });
                 text
             }
             What::Hold { plan, why } => {
@@ -333,7 +366,12 @@
                     // In use again, whatever it gets.
                     Stage::Waiting | Stage::Warming => Stage::Skipped,
                     Stage::Told | Stage::Held => Stage::Warming,
-                    at => return Err(Refusal::Stage { machine, at: at.word().to_string() }),
+                    at => {
+                        return Err(Refusal::Stage {
+                            machine,
+                            at: at.word().to_string(),
+                        })
+                    }
                 };
                 (row.entered, row.since_ms) = (index, at_ms);
                 format!("plan {plan}: {machine} is passed over")
@@ -341,24 +379,42 @@
             What::Done { plan, machine } => {
                 let row = self.row(plan, &machine)?;
                 if row.stage != Stage::Out {
-                    return Err(Refusal::Stage { machine, at: row.stage.word().to_string() });
+                    return Err(Refusal::Stage {
+                        machine,
+                        at: row.stage.word().to_string(),
+                    });
                 }
                 (row.stage, row.entered, row.since_ms) = (Stage::Warming, index, at_ms);
                 format!("plan {plan}: the work at {machine} is done")
             }
-            What::Force { plan, machine, member } => {
+            What::Force {
+                plan,
+                machine,
+                member,
+            } => {
                 if self.fleet.balancer(&member).is_none() {
                     return Err(Refusal::NoMember(member));
                 }
                 let row = self.row(plan, &machine)?;
                 if !matches!(row.stage, Stage::Told | Stage::Held) {
-                    return Err(Refusal::Stage { machine, at: row.stage.word().to_string() });
+                    return Err(Refusal::Stage {
+                        machine,
+                        at: row.stage.word().to_string(),
+                    });
                 }
                 row.forced.insert(member.clone());
-                format!("plan {plan}: {machine} does not wait for {member}, which may still send to it")
+                format!(
+                    "plan {plan}: {machine} does not wait for {member}, which may still send to it"
+                )
             }
         };
-        self.history.push_back(Line { index, term, at_ms, author, text });
+        self.history.push_back(Line {
+            index,
+            term,
+            at_ms,
+            author,
+            text,
+        });
         if self.history.len() > MOST_HISTORY {
             self.history.pop_front();
         }
@@ -371,19 +427,30 @@
     }
 
     fn plan(&mut self, number: u64) -> Result<&mut Entry, Refusal> {
-        let found = self.plans.iter_mut().find(|plan| plan.number == number && !plan.is_over());
+        let found = self
+            .plans
+            .iter_mut()
+            .find(|plan| plan.number == number && !plan.is_over());
         found.ok_or(Refusal::NoPlan(number))
     }
 
     fn row(&mut self, plan: u64, machine: &str) -> Result<&mut Row, Refusal> {
-        let missing = Refusal::NoMachine { plan, machine: machine.to_string() };
+        let missing = Refusal::NoMachine {
+            plan,
+            machine: machine.to_string(),
+        };
         let mut rows = self.plan(plan)?.rows.iter_mut();
-        rows.find(|row| row.machine.name() == machine && !row.stage.is_over()).ok_or(missing)
+        rows.find(|row| row.machine.name() == machine && !row.stage.is_over())
+            .ok_or(missing)
     }
 
     /// Who has to say a word before this one goes on.
     fn asked(&self, forced: &BTreeSet<String>) -> Vec<String> {
-        let asked = self.fleet.balancers.iter().filter(|one| !one.left && !forced.contains(&one.name));
+        let asked = self
+            .fleet
+            .balancers
+            .iter()
+            .filter(|one| !one.left && !forced.contains(&one.name));
         asked.map(|one| one.name.clone()).collect()
     }
 
@@ -397,10 +464,16 @@
         by: &[String],
     ) -> Result<String, Refusal> {
         let changed = |why: String| Refusal::Changed(why);
-        let found = self.plans.iter().find(|of| of.number == plan && !of.is_over());
+        let found = self
+            .plans
+            .iter()
+            .find(|of| of.number == plan && !of.is_over());
         let of = found.ok_or(Refusal::NoPlan(plan))?;
         let row = of.rows.iter().find(|row| row.machine == *machine);
-        let row = row.ok_or_else(|| Refusal::NoMachine { plan, machine: machine.name().to_string() })?;
+        let row = row.ok_or_else(|| Refusal::NoMachine {
+            plan,
+            machine: machine.name().to_string(),
+        })?;
         // Danger: a step that was seen to be due from another one would leave out what came between.
         if row.entered != entered {
             return Err(changed(format!(
@@ -410,7 +483,11 @@
                 row.entered
             )));
         }
-        let said = |forced: &BTreeSet<String>| self.asked(forced).into_iter().find(|name| !by.contains(name));
+        let said = |forced: &BTreeSet<String>| {
+            self.asked(forced)
+                .into_iter()
+                .find(|name| !by.contains(name))
+        };
         match (row.stage, to) {
             (Stage::Waiting, Stage::Told) => {
                 if let Some(why) = self.waits(plan) {
@@ -419,7 +496,9 @@
                 if self.next_of(of).as_ref() != Some(machine) {
                     return Err(changed(format!("{} is not the next one", machine.name())));
                 }
-                let out = Out { machines: self.out() };
+                let out = Out {
+                    machines: self.out(),
+                };
                 if let Some(why) = forbids(machine, &of.plan, &self.fleet, &out) {
                     return Err(changed(why));
                 }
@@ -431,7 +510,8 @@
             }
             (Stage::Out, Stage::Warming) => {
                 let is = self.process_of(machine);
-                let by_itself = of.plan.done == DoneBy::Restart || matches!(machine, Machine::Balancer(_));
+                let by_itself =
+                    of.plan.done == DoneBy::Restart || matches!(machine, Machine::Balancer(_));
                 if !by_itself || is.is_none_or(|is| is == row.was) {
                     return Err(changed(format!("{} has not started anew", machine.name())));
                 }
@@ -465,8 +545,16 @@
     /// Which process it is, by the facts.
     fn process_of(&self, machine: &Machine) -> Option<u64> {
         match machine {
-            Machine::Cache(name) => self.fleet.host(name).filter(|host| host.up).map(|host| host.born_ms),
-            Machine::Balancer(name) => self.fleet.balancer(name).filter(|one| one.there).map(|one| one.run),
+            Machine::Cache(name) => self
+                .fleet
+                .host(name)
+                .filter(|host| host.up)
+                .map(|host| host.born_ms),
+            Machine::Balancer(name) => self
+                .fleet
+                .balancer(name)
+                .filter(|one| one.there)
+                .map(|one| one.run),
         }
     }
 
@@ -478,41 +566,61 @@
 
     fn out(&self) -> Vec<&Machine> {
         let rows = self.plans.iter().flat_map(|plan| plan.rows.iter());
-        rows.filter(|row| row.stage.is_out()).map(|row| &row.machine).collect()
+        rows.filter(|row| row.stage.is_out())
+            .map(|row| &row.machine)
+            .collect()
     }
 
     /// Cache hosts that get nothing new, whatever else is said of them.
     pub fn held(&self) -> BTreeSet<Held> {
         let rows = self.plans.iter().flat_map(|plan| plan.rows.iter());
-        let held = rows.filter(|row| row.stage.is_held() && matches!(row.machine, Machine::Cache(_)));
-        held.map(|row| Held { host: row.machine.name().to_string(), told: row.told }).collect()
+        let held =
+            rows.filter(|row| row.stage.is_held() && matches!(row.machine, Machine::Cache(_)));
+        held.map(|row| Held {
+            host: row.machine.name().to_string(),
+            told: row.told,
+        })
+        .collect()
     }
 
     /// Cache hosts at a stage in which they are held.
     pub fn held_at(&self, stage: Stage) -> impl Iterator<Item = Held> + '_ {
         let rows = self.plans.iter().flat_map(|plan| plan.rows.iter());
-        let held = rows.filter(move |row| row.stage == stage && matches!(row.machine, Machine::Cache(_)));
-        held.map(|row| Held { host: row.machine.name().to_string(), told: row.told })
+        let held =
+            rows.filter(move |row| row.stage == stage && matches!(row.machine, Machine::Cache(_)));
+        held.map(|row| Held {
+            host: row.machine.name().to_string(),
+            told: row.told,
+        })
     }
 
     pub fn at(&self, stage: Stage) -> impl Iterator<Item = &Machine> {
         let rows = self.plans.iter().flat_map(|plan| plan.rows.iter());
-        rows.filter(move |row| row.stage == stage).map(|row| &row.machine)
+        rows.filter(move |row| row.stage == stage)
+            .map(|row| &row.machine)
     }
 
     /// Whether a plan has this balancer's turn: told, or out.
     pub fn turn_of(&self, balancer: &str) -> Option<Stage> {
         let rows = self.plans.iter().flat_map(|plan| plan.rows.iter());
-        let mut turns =
-            rows.filter(|row| row.stage.is_out() && row.machine == Machine::Balancer(balancer.to_string()));
+        let mut turns = rows.filter(|row| {
+            row.stage.is_out() && row.machine == Machine::Balancer(balancer.to_string())
+        });
         turns.next().map(|row| row.stage)
     }
 
     /// Why the whole queue waits, by the facts.
     pub fn trouble(&self) -> Option<String> {
         let out = self.out();
-        let away = |name: &str| out.iter().any(|machine| **machine == Machine::Balancer(name.to_string()));
-        let lost = self.fleet.balancers.iter().find(|one| !one.there && !one.left && !away(&one.name));
+        let away = |name: &str| {
+            out.iter()
+                .any(|machine| **machine == Machine::Balancer(name.to_string()))
+        };
+        let lost = self
+            .fleet
+            .balancers
+            .iter()
+            .find(|one| !one.there && !one.left && !away(&one.name));
         match lost {
             Some(one) => Some(format!("balancer {} is failed or cut off", one.name)),
             None => self.fleet.trouble.clone(),
@@ -535,15 +643,19 @@
     /// The waiting machines of a plan in their order. One that another plan has out waits for that.
     fn queue(&self, of: &Entry) -> Vec<Machine> {
         let out = self.out();
-        let waiting =
-            of.rows.iter().filter(|row| row.stage == Stage::Waiting && !out.contains(&&row.machine));
+        let waiting = of
+            .rows
+            .iter()
+            .filter(|row| row.stage == Stage::Waiting && !out.contains(&&row.machine));
         let waiting: Vec<Machine> = waiting.map(|row| row.machine.clone()).collect();
         order(&waiting, &self.fleet, &Out { machines: out })
     }
 
     /// The first that may be taken out; those that may not yet are passed for now.
     fn next_of(&self, of: &Entry) -> Option<Machine> {
-        let out = Out { machines: self.out() };
+        let out = Out {
+            machines: self.out(),
+        };
         let mut queue = self.queue(of).into_iter();
         queue.find(|machine| forbids(machine, &of.plan, &self.fleet, &out).is_none())
     }
@@ -551,7 +663,13 @@
     /// The machines that a plan would take out, in order, by the facts as they are.
     pub fn dry_run(&self, plan: &Plan) -> Result<Vec<Machine>, PlanFault> {
         let machines = plan.check(&self.fleet)?;
-        Ok(order(&machines, &self.fleet, &Out { machines: self.out() }))
+        Ok(order(
+            &machines,
+            &self.fleet,
+            &Out {
+                machines: self.out(),
+            },
+        ))
     }
 
     /// Rows of open plans, for whoever leads.
@@ -561,7 +679,11 @@
             let next = self.next_of(of);
             for row in &of.rows {
                 let is_next = next.as_ref() == Some(&row.machine);
-                let waits = if row.stage == Stage::Waiting { self.waits(of.number) } else { None };
+                let waits = if row.stage == Stage::Waiting {
+                    self.waits(of.number)
+                } else {
+                    None
+                };
                 due.push(Due {
                     since_ms: row.since_ms,
                     limit_s: match row.stage {
@@ -594,13 +716,22 @@
             let mut rows: Vec<&Row> = of.rows.iter().collect();
             // Those under way, then those that wait in their order, then those that are over.
             rows.sort_by_key(|row| match row.stage {
-                Stage::Waiting => (1, place.iter().position(|machine| *machine == row.machine), row.entered),
+                Stage::Waiting => (
+                    1,
+                    place.iter().position(|machine| *machine == row.machine),
+                    row.entered,
+                ),
                 stage if stage.is_over() => (2, None, row.entered),
                 _ => (0, None, row.entered),
             });
             let machines = rows.into_iter().map(|row| MachineView {
                 machine: row.machine.name().to_string(),
-                kind: if matches!(row.machine, Machine::Cache(_)) { "cache" } else { "balancer" }.to_string(),
+                kind: if matches!(row.machine, Machine::Cache(_)) {
+                    "cache"
+                } else {
+                    "balancer"
+                }
+                .to_string(),
                 stage: row.stage,
                 since_ms: row.since_ms,
                 forced: row.forced.iter().cloned().collect(),
--- a/crates/stairfront-membership-agent/src/config.rs
+++ b/crates/stairfront-membership-agent/src/config.rs
@@ -59,10 +59,16 @@
         let mut found = self.settings(me).faults();
         // Streams to others begin at this address, so that those on the way can tell whose they are.
         if self.listen.ip().is_unspecified() && self.advertise.is_none() {
-            found.push(("advertise", "is needed where listen names no address".to_string()));
+            found.push((
+                "advertise",
+                "is needed where listen names no address".to_string(),
+            ));
         }
         if self.listen.port() == 0 {
-            found.push(("listen", "port 0 would be another one at each start".to_string()));
+            found.push((
+                "listen",
+                "port 0 would be another one at each start".to_string(),
+            ));
         }
         found
     }
--- a/crates/stairfront-membership-agent/src/driver.rs
+++ b/crates/stairfront-membership-agent/src/driver.rs
@@ -109,9 +109,16 @@
 impl Members {
     /// Nothing is opened before `run`.
     pub fn new(raw: &RawMembership, me: &str, seed: u64, record: LedgerFile) -> Rc<Self> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let run = seed ^ (unix.as_nanos() as u64) ^ (u64::from(std::process::id()) << 48);
-        let set = Settings { run, born_ms: unix.as_millis() as u64, seed, ..raw.settings(me) };
+        let set = Settings {
+            run,
+            born_ms: unix.as_millis() as u64,
+            seed,
+            ..raw.settings(me)
+        };
         let now = Instant::now();
         Rc::new(Members {
             core: RefCell::new(Membership::new(0, set, &record.read())),
@@ -183,18 +190,30 @@
             match self.try_listen().await {
                 Ok((udp, tcp)) => return (Rc::new(udp), tcp),
                 Err(problem) if tries == LISTEN_TRIES => {
-                    warn!("membership.listen: cannot listen on {}: {problem}; trying on", self.listen);
+                    warn!(
+                        "membership.listen: cannot listen on {}: {problem}; trying on",
+                        self.listen
+                    );
                 }
                 Err(_) => {}
             }
-            sleep(if tries < LISTEN_TRIES { LISTEN_AGAIN } else { LISTEN_LATER }).await;
+            sleep(if tries < LISTEN_TRIES {
+                LISTEN_AGAIN
+            } else {
+                LISTEN_LATER
+            })
+            .await;
         }
         std::future::pending().await
     }
 
     async fn try_listen(&self) -> io::Result<(UdpSocket, TcpListener)> {
         let udp = UdpSocket::bind(self.listen).await?;
-        let tcp = if self.listen.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        let tcp = if self.listen.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        }?;
         // Connections of the process before this one may wait for their end.
         tcp.set_reuseaddr(true)?;
         tcp.bind(self.listen)?;
@@ -221,7 +240,10 @@
         if unnoticed > STOOD_STILL {
             return Some(unnoticed);
         }
-        self.woke.get().filter(|(at, _)| now - *at < JUST_AWAKE).map(|(_, slept)| slept)
+        self.woke
+            .get()
+            .filter(|(at, _)| now - *at < JUST_AWAKE)
+            .map(|(_, slept)| slept)
     }
 
     async fn reply(&self, mut socket: TcpStream) -> io::Result<()> {
@@ -309,7 +331,12 @@
     /// The next that was carried here, and by whom.
     pub async fn next_carried(&self) -> (String, Vec<u8>) {
         loop {
-            if let Some(next) = self.carried.borrow_mut().as_mut().and_then(VecDeque::pop_front) {
+            if let Some(next) = self
+                .carried
+                .borrow_mut()
+                .as_mut()
+                .and_then(VecDeque::pop_front)
+            {
                 return next;
             }
             self.is_carried.notified().await;
@@ -352,10 +379,17 @@
                 warn!("group: too few of the others have said what is held; serving by what is on record, asking on");
             }
         }
-        let held: Vec<String> = self.core.borrow().ledger().held().map(str::to_string).collect();
+        let held: Vec<String> = self
+            .core
+            .borrow()
+            .ledger()
+            .held()
+            .map(str::to_string)
+            .collect();
         self.waiting.borrow_mut().cordons.clear();
         let now = self.now();
-        held.iter().for_each(|host| self.core.borrow_mut().applied(now, host, true));
+        held.iter()
+            .for_each(|host| self.core.borrow_mut().applied(now, host, true));
         self.engine.set(true);
         held
     }
@@ -395,7 +429,10 @@
 
     /// Gives an order to the whole group, and waits until it is done there or the time is over.
     pub async fn order(&self, order: &Order, limit: Duration) -> Result<Progress, Refusal> {
-        let number = self.core.borrow_mut().order(self.now(), &order.host, order.cordon)?;
+        let number = self
+            .core
+            .borrow_mut()
+            .order(self.now(), &order.host, order.cordon)?;
         self.changed.notify_one();
         let progress = || self.core.borrow().progress(number).ok_or(Refusal::Busy);
         let done = async {
@@ -412,7 +449,9 @@
 
     /// Has this member hold what is agreed of plans, up to an entry of the agreement's log.
     pub fn follow(&self, founding: u64, held: &[(String, u64)], upto: u64) {
-        self.core.borrow_mut().follow(self.now(), founding, held, upto);
+        self.core
+            .borrow_mut()
+            .follow(self.now(), founding, held, upto);
         self.changed.notify_one();
     }
 
@@ -466,7 +505,10 @@
             ("group_suspect", core.count(State::Suspect) as u64),
             ("group_failed", core.count(State::Failed) as u64),
             ("group_left", core.count(State::Left) as u64),
-            ("group_disagree_ms", (core.longest_difference(self.now()) / 1000) as u64),
+            (
+                "group_disagree_ms",
+                (core.longest_difference(self.now()) / 1000) as u64,
+            ),
             ("group_cordons", core.ledger().held().count() as u64),
             ("group_datagrams_in_total", f.datagrams_in),
             ("group_datagrams_out_total", f.datagrams_out),
--- a/crates/stairfront-membership-agent/src/record.rs
+++ b/crates/stairfront-membership-agent/src/record.rs
@@ -13,15 +13,23 @@
 
 impl LedgerFile {
     pub fn within(folder: Option<&Path>, group: &str, me: &str) -> Self {
-        let file = format!("stairfront-group-{:016x}.json", xxh3_64(format!("{group}\0{me}").as_bytes()));
+        let file = format!(
+            "stairfront-group-{:016x}.json",
+            xxh3_64(format!("{group}\0{me}").as_bytes())
+        );
         LedgerFile(folder.map(|folder| folder.join(file)))
     }
 
     /// Danger: a torn or foreign file must not keep a balancer from starting; it asks the others in any case.
     pub fn read(&self) -> Vec<Entry> {
-        let Some(path) = &self.0 else { return Vec::new() };
+        let Some(path) = &self.0 else {
+            return Vec::new();
+        };
         let told = |problem: &dyn std::fmt::Display| {
-            warn!("{}: the group's cordons not read: {problem}", path.display());
+            warn!(
+                "{}: the group's cordons not read: {problem}",
+                path.display()
+            );
             Vec::new()
         };
         match std::fs::read_to_string(path) {
--- a/crates/stairfront-membership-agent/src/streams.rs
+++ b/crates/stairfront-membership-agent/src/streams.rs
@@ -34,7 +34,11 @@
 
 /// Begins at this member's own address, so that what stands between the two can tell whose connection it is.
 async fn connect(from: IpAddr, with: SocketAddr) -> io::Result<TcpStream> {
-    let socket = if with.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if with.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     if from.is_ipv4() == with.is_ipv4() && !from.is_unspecified() {
         socket.bind(SocketAddr::new(from, 0))?;
     }
@@ -49,7 +53,9 @@
         send(&mut socket, packet).await?;
         receive(&mut socket).await
     };
-    timeout(LIMIT, whole).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
+    timeout(LIMIT, whole)
+        .await
+        .unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
 }
 
 /// Without an answer.
@@ -61,5 +67,7 @@
         drop(socket.read_u8().await);
         Ok(())
     };
-    timeout(LIMIT, whole).await.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
+    timeout(LIMIT, whole)
+        .await
+        .unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
 }
--- a/crates/stairfront-overload/src/controller.rs
+++ b/crates/stairfront-overload/src/controller.rs
@@ -33,7 +33,12 @@
 impl Controller {
     /// `target`: how far behind the loop may stand for a whole interval.
     pub fn new(target: Micros) -> Self {
-        Controller { target: target.max(1), part: 1.0, calm: 0, before: 0 }
+        Controller {
+            target: target.max(1),
+            part: 1.0,
+            calm: 0,
+            before: 0,
+        }
     }
 
     /// Another target from now on; what is taken stays as it is.
--- a/crates/stairfront-overload/src/door.rs
+++ b/crates/stairfront-overload/src/door.rs
@@ -77,11 +77,17 @@
     /// itself: messages may be quick while the loop as a whole is slow to come round, and the other way about.
     pub fn timer(&mut self, now: Micros, late: Micros) {
         self.timers.handled(late);
-        let Some(timers) = self.timers.reading(now) else { return };
+        let Some(timers) = self.timers.reading(now) else {
+            return;
+        };
         let messages = self.messages.take(now);
         let standing = timers.standing.max(messages.standing);
         self.worst = timers.worst.max(messages.worst);
-        self.controller.hear(Reading { standing, worst: self.worst, ..timers });
+        self.controller.hear(Reading {
+            standing,
+            worst: self.worst,
+            ..timers
+        });
         self.worth.look(now);
     }
 
@@ -96,14 +102,20 @@
     }
 
     pub fn ask(&mut self, arrival: Arrival) -> Verdict {
-        let Arrival { tenant, class, retry } = arrival;
+        let Arrival {
+            tenant,
+            class,
+            retry,
+        } = arrival;
         let (excess_draw, line_draw) = (self.draw(), self.draw());
         let level = self.worth.level(tenant, class, retry, excess_draw);
         let part = self.controller.part();
         if part >= 1.0 || self.worth.is_within(part, level, line_draw) {
             return Verdict::Take;
         }
-        Verdict::Refuse { after_ms: self.advice(part) }
+        Verdict::Refuse {
+            after_ms: self.advice(part),
+        }
     }
 
     /// The more is refused the later, and spread, so that those refused together do not come back together.
--- a/crates/stairfront-overload/src/gauge.rs
+++ b/crates/stairfront-overload/src/gauge.rs
@@ -27,14 +27,21 @@
 
 impl Gauge {
     pub fn new(now: Micros) -> Self {
-        Gauge { since: now, reading: Reading::default() }
+        Gauge {
+            since: now,
+            reading: Reading::default(),
+        }
     }
 
     /// Something was handled so much later than it was due or came.
     pub fn handled(&mut self, late: Micros) {
         let late = late.max(0);
         let reading = &mut self.reading;
-        reading.standing = if reading.looks == 0 { late } else { reading.standing.min(late) };
+        reading.standing = if reading.looks == 0 {
+            late
+        } else {
+            reading.standing.min(late)
+        };
         reading.worst = reading.worst.max(late);
         reading.looks += 1;
     }
--- a/crates/stairfront-overload/src/worth.rs
+++ b/crates/stairfront-overload/src/worth.rs
@@ -51,7 +51,13 @@
     /// Other quotas and worths from now on. A tenant at another position is counted anew within half a second.
     pub fn retune(&mut self, quotas: &[f64], worths: &[f64]) {
         let sum: f64 = quotas.iter().sum::<f64>().max(1e-9);
-        let rank = |worth: &f64| worths.iter().filter(|other| *other > worth).count().min(OF_A_KIND - 1);
+        let rank = |worth: &f64| {
+            worths
+                .iter()
+                .filter(|other| *other > worth)
+                .count()
+                .min(OF_A_KIND - 1)
+        };
         self.quotas = quotas.iter().map(|quota| quota / sum).collect();
         self.ranks = worths.iter().map(rank).collect();
         self.came.resize(quotas.len(), 0.0);
@@ -100,12 +106,18 @@
         self.looked_at = now;
         if self.all >= ENOUGH {
             let uses = self.came.iter().zip(&self.quotas);
-            let uses: Vec<f64> = uses.map(|(came, quota)| came / self.all / quota.max(1e-9)).collect();
+            let uses: Vec<f64> = uses
+                .map(|(came, quota)| came / self.all / quota.max(1e-9))
+                .collect();
             // Where one tenant alone asks for more than its share, the others' parts are small through it: each is
             // measured by the one in the middle, as the decision module does.
             let mut sorted = uses.clone();
             sorted.sort_by(f64::total_cmp);
-            let fair = sorted.get((sorted.len().max(1) - 1) / 2).copied().unwrap_or(1.0).max(1e-9);
+            let fair = sorted
+                .get((sorted.len().max(1) - 1) / 2)
+                .copied()
+                .unwrap_or(1.0)
+                .max(1e-9);
             for (excess, used) in self.excess.iter_mut().zip(uses) {
                 let times = used / fair;
                 *excess = if times > SLACK { times } else { 1.0 };
--- a/crates/stairfront-policy/src/interface.rs
+++ b/crates/stairfront-policy/src/interface.rs
@@ -299,7 +299,10 @@
 impl Outcome {
     /// Whether the outcome proves that the attempt had no effect.
     pub fn proves_no_effect(self) -> bool {
-        matches!(self, Outcome::Miss | Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
+        matches!(
+            self,
+            Outcome::Miss | Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent
+        )
     }
 }
 
@@ -329,7 +332,10 @@
     /// The value of a field, by the order that the settings name; `None` if the report lacks it.
     pub fn value(&self, report: &[ReportField], field: ReportField) -> Option<f32> {
         let i = report.iter().position(|name| *name == field)?;
-        self.values.get(i).copied().filter(|_| i < usize::from(self.len))
+        self.values
+            .get(i)
+            .copied()
+            .filter(|_| i < usize::from(self.len))
     }
 }
 
--- a/crates/stairfront-policy/src/knowledge.rs
+++ b/crates/stairfront-policy/src/knowledge.rs
@@ -55,11 +55,18 @@
         let position = |cache: CacheId| servers.binary_search_by_key(&cache.0, |s| s.id).ok();
         let known = |(key, entry): (&Key, &Placement)| {
             let at = position(entry.cache).filter(|i| servers[*i].born == entry.born)?;
-            Some(KnownPlacement(key.0, u32::try_from(at).ok()?, entry.seen, entry.held))
+            Some(KnownPlacement(
+                key.0,
+                u32::try_from(at).ok()?,
+                entry.seen,
+                entry.held,
+            ))
         };
         let mut placements: Vec<KnownPlacement> = self.table.iter().filter_map(known).collect();
         // Keys in the order of their numbers, so that the same table always makes the same text.
-        placements.sort_unstable_by_key(|KnownPlacement(key, _, seen, _)| (std::cmp::Reverse(*seen), *key));
+        placements.sort_unstable_by_key(|KnownPlacement(key, _, seen, _)| {
+            (std::cmp::Reverse(*seen), *key)
+        });
         placements.truncate(MOST_PLACEMENTS);
         let off = |(id, cordon): (&CacheId, &Cordon)| match cordon {
             Cordon::Off(at) => Some((id.0, *at)),
@@ -92,7 +99,9 @@
             }
         }
         for known in &known.servers {
-            let Some(server) = self.servers.get_mut(&CacheId(known.id)) else { continue };
+            let Some(server) = self.servers.get_mut(&CacheId(known.id)) else {
+                continue;
+            };
             if server.member.incarnation != known.born {
                 continue;
             }
@@ -105,10 +114,19 @@
             }
         }
         for KnownPlacement(key, at, seen, held) in known.placements.iter().rev() {
-            let Some(cache) = known.servers.get(*at as usize).map(|s| CacheId(s.id)) else { continue };
-            let Some(server) = self.servers.get(&cache).filter(|s| s.role == Role::Cache) else { continue };
+            let Some(cache) = known.servers.get(*at as usize).map(|s| CacheId(s.id)) else {
+                continue;
+            };
+            let Some(server) = self.servers.get(&cache).filter(|s| s.role == Role::Cache) else {
+                continue;
+            };
             if server.member.incarnation == known.servers[*at as usize].born {
-                let entry = Placement { cache, born: server.member.incarnation, seen: *seen, held: *held };
+                let entry = Placement {
+                    cache,
+                    born: server.member.incarnation,
+                    seen: *seen,
+                    held: *held,
+                };
                 self.table.insert(Key(*key), entry);
                 self.ages.push_back((*seen, Key(*key)));
             }
