--- a/crates/stairfront-policy/src/policy.rs
+++ b/crates/stairfront-policy/src/policy.rs
@@ -107,7 +107,11 @@
 impl Policy {
     pub fn new(set: Settings, seed: u64) -> Self {
         let quotas: f64 = set.tenants.iter().map(|t| t.quota_per_s).sum();
-        let tenant_parts = set.tenants.iter().map(|t| t.quota_per_s / quotas.max(1e-9)).collect();
+        let tenant_parts = set
+            .tenants
+            .iter()
+            .map(|t| t.quota_per_s / quotas.max(1e-9))
+            .collect();
         let usual_left = vec![Majority::default(); set.classes.len()];
         let (random, retry_tokens) = (Random(seed), RETRY_BURST);
         let (tenant_votes, misses, idle_lost_at) = (FAIR_PRIOR, 1.0, -IDLE_MEMORY);
@@ -137,7 +141,11 @@
             Event::Timer { token: LIST_TOKEN } => actions.push(Action::Watch(true)),
             Event::Timer { token } if token > u64::from(u32::MAX) => {
                 let (id, attempt) = (RequestId(token as u32), (token >> 32) as u8 - 1);
-                let out = self.pending.get(&id).and_then(|p| p.out).filter(|out| out.attempt == attempt);
+                let out = self
+                    .pending
+                    .get(&id)
+                    .and_then(|p| p.out)
+                    .filter(|out| out.attempt == attempt);
                 actions.extend(out.map(|_| Action::Cancel { id, attempt }));
             }
             Event::Timer { token } => self.on_give_up(now, RequestId(token as u32), actions),
@@ -158,7 +166,8 @@
             used.unwrap_or(tenant.quota_per_s / quotas.max(1e-9))
         });
         self.tenant_parts = parts.collect();
-        self.usual_left.resize(set.classes.len(), Majority::default());
+        self.usual_left
+            .resize(set.classes.len(), Majority::default());
         self.set = set.clone();
     }
 
@@ -166,12 +175,19 @@
     fn on_ending(&mut self, now: Micros, by: Micros, actions: &mut Vec<Action>) {
         self.ends_by = Some(by);
         // In the order of their ids, so that the same events give the same actions.
-        let mut late: Vec<_> = self.pending.values_mut().filter(|p| p.request.expires_at > by).collect();
+        let mut late: Vec<_> = self
+            .pending
+            .values_mut()
+            .filter(|p| p.request.expires_at > by)
+            .collect();
         late.sort_unstable_by_key(|p| p.request.id);
         for p in late {
             (p.request.expires_at, p.aim_at) = (by, p.aim_at.min(by));
             let delay = (by - 2 * self.set.tick - now).max(0);
-            actions.push(Action::Timer { delay, token: u64::from(p.request.id.0) });
+            actions.push(Action::Timer {
+                delay,
+                token: u64::from(p.request.id.0),
+            });
         }
     }
 
@@ -183,7 +199,9 @@
                 return self.ask_later(actions);
             }
             EndpointListUpdate::Delta(lines) => {
-                let gone = lines.iter().filter(|line| line.state == EndpointState::Removed);
+                let gone = lines
+                    .iter()
+                    .filter(|line| line.state == EndpointState::Removed);
                 self.doubts(&gone.map(|line| line.id).collect::<Vec<_>>());
                 lines
             }
@@ -191,8 +209,12 @@
                 self.fleet = lines.len() as f64;
                 let named: BTreeSet<CacheId> = lines.iter().map(|line| line.id).collect();
                 let missing = |s: &&Server| !named.contains(&s.member.id);
-                let lacking: Vec<CacheId> =
-                    self.servers.values().filter(missing).map(|s| s.member.id).collect();
+                let lacking: Vec<CacheId> = self
+                    .servers
+                    .values()
+                    .filter(missing)
+                    .map(|s| s.member.id)
+                    .collect();
                 self.doubts(&lacking);
                 lacking.iter().for_each(|id| self.delist(*id));
                 lines
@@ -201,7 +223,8 @@
         lines.iter().for_each(|line| self.learn(now, line));
         self.subscribed = !matches!(news, EndpointListUpdate::Cached(_));
         self.list_failures = 0;
-        self.servers.retain(|_, s| s.member.state != EndpointState::Removed || s.inflight > 0);
+        self.servers
+            .retain(|_, s| s.member.state != EndpointState::Removed || s.inflight > 0);
         self.rebuild_ring();
         self.looked_at = now - LOOK_GAP;
         if !self.started {
@@ -215,28 +238,40 @@
     /// whoever has died is found out by attempts. A few at once likely have, and come back cold.
     fn doubts(&mut self, leaving: &[CacheId]) {
         let ready = |s: &&Server| s.member.state == EndpointState::Ready;
-        let leave = leaving.iter().filter_map(|id| self.servers.get(id)).filter(ready).count();
+        let leave = leaving
+            .iter()
+            .filter_map(|id| self.servers.get(id))
+            .filter(ready)
+            .count();
         let all = self.servers.values().filter(ready).count();
         self.doubting = self.set.rules.removal_is_advisory && leave as f64 >= DOUBTED * all as f64;
     }
 
     /// Who drains, or is taken out, has left for good, doubted or not.
     fn delist(&mut self, id: CacheId) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        server.dropped = (self.doubting || server.dropped) && server.member.state == EndpointState::Ready;
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
+        server.dropped =
+            (self.doubting || server.dropped) && server.member.state == EndpointState::Ready;
         if !server.dropped {
-            (server.member.state, server.listed.state) = (EndpointState::Removed, EndpointState::Removed);
+            (server.member.state, server.listed.state) =
+                (EndpointState::Removed, EndpointState::Removed);
         }
     }
 
     /// Danger: after a mass restart every balancer asks discovery at once and all calls fail, over and over.
     fn ask_later(&mut self, actions: &mut Vec<Action>) {
         if self.set.discovery == DiscoveryMode::Poll {
-            let spread = Micros::from(self.set.balancers) * (SECOND / 2) * (1 << self.list_failures);
+            let spread =
+                Micros::from(self.set.balancers) * (SECOND / 2) * (1 << self.list_failures);
             // Danger: past the stated time without a call the balancer counts as told what its list lacks.
             let most = ASK_PART * self.set.rules.poll_interval.max(SECOND) as f64;
             let delay = self.set.tick + (self.random.unit() * most.min(spread as f64)) as Micros;
-            actions.push(Action::Timer { delay, token: LIST_TOKEN });
+            actions.push(Action::Timer {
+                delay,
+                token: LIST_TOKEN,
+            });
         }
     }
 
@@ -244,22 +279,28 @@
     /// under it would look warm.
     fn cordoned(&self, listed: &Endpoint) -> Endpoint {
         match (self.cordons.get(&listed.id), listed.state) {
-            (Some(Cordon::On), EndpointState::Ready) => {
-                Endpoint { state: EndpointState::Draining, ..*listed }
-            }
-            (Some(Cordon::Off(at)), _) => Endpoint { incarnation: listed.incarnation.max(*at), ..*listed },
+            (Some(Cordon::On), EndpointState::Ready) => Endpoint {
+                state: EndpointState::Draining,
+                ..*listed
+            },
+            (Some(Cordon::Off(at)), _) => Endpoint {
+                incarnation: listed.incarnation.max(*at),
+                ..*listed
+            },
             _ => *listed,
         }
     }
 
     fn on_cordon(&mut self, now: Micros, cache: CacheId, on: bool) {
         let warm_up = self.set.rules.slow_start_window;
-        self.cordons.retain(|_, cordon| !matches!(cordon, Cordon::Off(at) if now - *at > warm_up));
+        self.cordons
+            .retain(|_, cordon| !matches!(cordon, Cordon::Off(at) if now - *at > warm_up));
         // Danger: the call back may be repeated, and would make a cache cold that has been in use since.
         if !on && self.cordons.get(&cache) != Some(&Cordon::On) {
             return;
         }
-        self.cordons.insert(cache, if on { Cordon::On } else { Cordon::Off(now) });
+        self.cordons
+            .insert(cache, if on { Cordon::On } else { Cordon::Off(now) });
         if let Some(listed) = self.servers.get(&cache).map(|s| s.listed) {
             self.learn(now, &listed);
             self.rebuild_ring();
@@ -270,15 +311,33 @@
         let line = &self.cordoned(listed);
         let origin = matches!(self.set.mode, CacheMode::Aside { origin } if origin == line.kind);
         // An origin is as strong as the fleet that it stands behind is large; a cache is not.
-        let scale = if origin { (self.fleet / WINDOW_START).max(1.0) } else { 1.0 };
+        let scale = if origin {
+            (self.fleet / WINDOW_START).max(1.0)
+        } else {
+            1.0
+        };
         // A walk over all of them, for a newcomer alone.
-        let known = self.servers.get(&line.id).is_some_and(|s| line.incarnation <= s.member.incarnation);
+        let known = self
+            .servers
+            .get(&line.id)
+            .is_some_and(|s| line.incarnation <= s.member.incarnation);
         let mean = if known { 0 } else { self.mean_keys(line.id) };
         let step = scale / f64::from(self.set.balancers);
         let role = if origin { Role::Origin } else { Role::Cache };
         let (member, window, cold_at) = (*line, (WINDOW_START * step).max(1.0), now);
-        let blank = Server { member, role, window, step, cold_at, ..Server::default() };
-        let fresh = |inflight| Server { keys: mean, inflight, ..blank };
+        let blank = Server {
+            member,
+            role,
+            window,
+            step,
+            cold_at,
+            ..Server::default()
+        };
+        let fresh = |inflight| Server {
+            keys: mean,
+            inflight,
+            ..blank
+        };
         let server = self.servers.entry(line.id).or_insert_with(|| fresh(0));
         if line.state == EndpointState::Removed {
             return self.delist(listed.id);
@@ -291,7 +350,10 @@
     }
 
     fn mean_keys(&self, newcomer: CacheId) -> i64 {
-        let others = self.ring_servers().filter(|s| s.member.id != newcomer).map(|s| s.keys);
+        let others = self
+            .ring_servers()
+            .filter(|s| s.member.id != newcomer)
+            .map(|s| s.keys);
         let (sum, n) = others.fold((0, 0), |(sum, n), keys| (sum + keys, n + 1));
         sum / i64::max(n, 1)
     }
@@ -329,15 +391,18 @@
     }
 
     fn arc(&self, i: usize) -> u64 {
-        self.ring[i].0.wrapping_sub(self.ring[(i + self.ring.len() - 1) % self.ring.len()].0)
+        self.ring[i]
+            .0
+            .wrapping_sub(self.ring[(i + self.ring.len() - 1) % self.ring.len()].0)
     }
 
     /// Where the key stays: its placement, or the candidate with fewer keys, shorter arc on ties.
     fn place(&mut self, now: Micros, key: Key) -> Option<CacheId> {
         if let Some(entry) = self.table.get_mut(&key) {
             let server = self.servers.get(&entry.cache);
-            let stands =
-                |s: &Server| s.member.state == EndpointState::Ready && s.member.incarnation == entry.born;
+            let stands = |s: &Server| {
+                s.member.state == EndpointState::Ready && s.member.incarnation == entry.born
+            };
             if now - entry.seen < ENTRY_AGE && server.is_some_and(stands) {
                 entry.seen = now;
                 return Some(entry.cache);
@@ -346,7 +411,11 @@
         }
         self.lapse(now);
         let (found, n) = self.candidates(key);
-        let cache = self.ring[self.lesser(*found[..n].first()?, found[..n.min(POINTS)][n.min(POINTS) - 1])].1;
+        let cache = self.ring[self.lesser(
+            *found[..n].first()?,
+            found[..n.min(POINTS)][n.min(POINTS) - 1],
+        )]
+        .1;
         self.put(now, key, cache);
         Some(cache)
     }
@@ -354,25 +423,46 @@
     /// The owner with fewer keys, shorter arc on ties. Danger: few keys differ by chance, and each of many
     /// balancers would choose another cache; within chance counts are a tie.
     fn lesser(&self, a: usize, b: usize) -> usize {
-        let keys = |i: usize| self.servers.get(&self.ring[i].1).map_or(0, |s| s.keys.max(0)) as f64;
+        let keys = |i: usize| {
+            self.servers
+                .get(&self.ring[i].1)
+                .map_or(0, |s| s.keys.max(0)) as f64
+        };
         let chance = COUNT_CHANCE * (keys(a) + keys(b)).sqrt();
         let tie = (keys(a) - keys(b)).abs() <= chance;
-        let a_first = if tie { self.arc(a) <= self.arc(b) } else { keys(a) < keys(b) };
+        let a_first = if tie {
+            self.arc(a) <= self.arc(b)
+        } else {
+            keys(a) < keys(b)
+        };
         [b, a][usize::from(a_first)]
     }
 
     fn put(&mut self, now: Micros, key: Key, cache: CacheId) {
         if let Some(server) = self.servers.get_mut(&cache) {
             server.keys += 1;
-            self.table
-                .insert(key, Placement { cache, born: server.member.incarnation, seen: now, held: false });
+            self.table.insert(
+                key,
+                Placement {
+                    cache,
+                    born: server.member.incarnation,
+                    seen: now,
+                    held: false,
+                },
+            );
             self.ages.push_back((now, key));
         }
     }
 
     fn unplace(&mut self, key: Key) {
-        let Some(old) = self.table.remove(&key) else { return };
-        if let Some(server) = self.servers.get_mut(&old.cache).filter(|s| s.member.incarnation == old.born) {
+        let Some(old) = self.table.remove(&key) else {
+            return;
+        };
+        if let Some(server) = self
+            .servers
+            .get_mut(&old.cache)
+            .filter(|s| s.member.incarnation == old.born)
+        {
             server.keys -= 1;
         }
     }
@@ -386,7 +476,9 @@
             }
             self.ages.pop_front();
             match self.table.get(&key).map(|entry| entry.seen) {
-                Some(seen) if seen > looked && !(over && seen == now) => self.ages.push_back((seen, key)),
+                Some(seen) if seen > looked && !(over && seen == now) => {
+                    self.ages.push_back((seen, key))
+                }
                 Some(_) => self.unplace(key),
                 None => {}
             }
@@ -401,13 +493,22 @@
         let (key, tried) = (p.request.key.unwrap_or(Key(u64::from(id.0))), p.tried);
         // What is worth more than another class is refused last: before that it may use twice the window.
         let worth = p.class.priority_weight;
-        let (favoured, mut resort) = (self.set.classes.iter().any(|c| c.priority_weight < worth), None);
+        let (favoured, mut resort) = (
+            self.set.classes.iter().any(|c| c.priority_weight < worth),
+            None,
+        );
         let placed = self.place(now, key)?;
         let (found, n) = self.candidates(key);
-        let others = found[..n].iter().map(|i| self.ring[*i].1).filter(|c| *c != placed);
+        let others = found[..n]
+            .iter()
+            .map(|i| self.ring[*i].1)
+            .filter(|c| *c != placed);
         let margin = self.spill_margin();
         let (mut pick, mut least, mut usable, mut lost) = (None, u32::MAX, false, Vec::new());
-        for cache in std::iter::once(placed).chain(others).filter(|c| !tried.contains(&Some(*c))) {
+        for cache in std::iter::once(placed)
+            .chain(others)
+            .filter(|c| !tried.contains(&Some(*c)))
+        {
             let Some(server) = self.servers.get(&cache).filter(|s| self.open(s, now)) else {
                 lost.push(cache);
                 continue;
@@ -431,7 +532,9 @@
             self.press(true);
         }
         if !usable {
-            return self.next_clockwise(key, &tried, |s| self.open(s, now) && s.has_room(now, self.gap()));
+            return self.next_clockwise(key, &tried, |s| {
+                self.open(s, now) && s.has_room(now, self.gap())
+            });
         }
         pick.or_else(|| self.relieve(now, key, &tried)).or(resort)
     }
@@ -474,10 +577,17 @@
     }
 
     /// Danger: with all candidates tried or cold a request has nowhere to go though the rest can serve it.
-    fn next_clockwise(&self, key: Key, tried: &Tried, fit: impl Fn(&Server) -> bool) -> Option<CacheId> {
+    fn next_clockwise(
+        &self,
+        key: Key,
+        tried: &Tried,
+        fit: impl Fn(&Server) -> bool,
+    ) -> Option<CacheId> {
         let start = self.owner(point(key.0, 1));
         let steps = (1..self.ring.len()).map(|step| self.ring[(start + step) % self.ring.len()].1);
-        steps.filter(|c| !tried.contains(&Some(*c))).find(|c| self.servers.get(c).is_some_and(&fit))
+        steps
+            .filter(|c| !tried.contains(&Some(*c)))
+            .find(|c| self.servers.get(c).is_some_and(&fit))
     }
 
     fn warm(&self, server: &Server, now: Micros) -> bool {
@@ -504,13 +614,17 @@
             *of = (of.0 + s.borne.per_second(now, SENT_SPAN), of.1 + 1.0);
         }
         self.warm_rate = sum / f64::max(n, 1.0);
-        self.kind_rates.extend(kinds.into_iter().map(|(kind, (sum, n))| (kind, sum / n)));
+        self.kind_rates
+            .extend(kinds.into_iter().map(|(kind, (sum, n))| (kind, sum / n)));
     }
 
     /// Fraction of its capacity that a cache surely has by its stated warm-up.
     fn warmth(&self, server: &Server, now: Micros) -> f64 {
         let (rules, age) = (&self.set.rules, now - server.member.incarnation);
-        if server.role == Role::Origin || server.member.incarnation <= 0 || age >= rules.slow_start_window {
+        if server.role == Role::Origin
+            || server.member.incarnation <= 0
+            || age >= rules.slow_start_window
+        {
             return 1.0;
         }
         rules.slow_start_floor
@@ -523,13 +637,20 @@
         let trickle = COLD_TRICKLE / f64::from(self.set.balancers);
         // Danger: the mean of all machines is a multiple of what the weakest kind can do, and what a full one
         // turned away is no work that it can bear.
-        let usual = self.kind_rates.get(&server.member.kind).copied().unwrap_or(self.warm_rate);
+        let usual = self
+            .kind_rates
+            .get(&server.member.kind)
+            .copied()
+            .unwrap_or(self.warm_rate);
         let rate = (usual * self.warmth(server, now)).max(trickle) / SECOND as f64;
         // Danger: whole tokens, saved up by each of hundreds of balancers, all go out in one burst. What may
         // be saved is a part of the budget; where that is below one, a request draws for it.
-        let (multiple, span) =
-            (self.set.rules.overload_multiple.max(1.0), self.set.rules.overload_window.max(SECOND));
-        let most = (COLD_SAVED * multiple * rate * span as f64).min((rate * SECOND as f64 / 2.0).max(1.0));
+        let (multiple, span) = (
+            self.set.rules.overload_multiple.max(1.0),
+            self.set.rules.overload_window.max(SECOND),
+        );
+        let most =
+            (COLD_SAVED * multiple * rate * span as f64).min((rate * SECOND as f64 / 2.0).max(1.0));
         (server.cold_tokens + rate * (now - server.cold_at) as f64).min(most)
     }
 
@@ -537,41 +658,74 @@
     fn forgo(&mut self, now: Micros, cache: CacheId) {
         let lost = |s: &&Server| self.warmth(s, now) < 1.0 && self.cold_tokens(s, now) < 1.0;
         if self.servers.get(&cache).filter(lost).is_some() {
-            self.servers.entry(cache).and_modify(|s| (s.cold_tokens, s.cold_at) = (0.0, now));
+            self.servers
+                .entry(cache)
+                .and_modify(|s| (s.cold_tokens, s.cold_at) = (0.0, now));
         }
     }
 
     fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        let expires = self.ends_by.map_or(request.expires_at, |by| request.expires_at.min(by));
-        let request = Request { expires_at: expires, ..request };
+        let expires = self
+            .ends_by
+            .map_or(request.expires_at, |by| request.expires_at.min(by));
+        let request = Request {
+            expires_at: expires,
+            ..request
+        };
         self.look_over(now);
         self.draw = self.random.unit();
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
         // Danger: who sees few requests has none of most tenants for seconds. So parts, not rates.
         self.tenant_votes = (self.tenant_votes + 1.0).min(FAIR_MEMORY);
-        add_part(&mut self.tenant_parts, request.tenant.0 as usize, self.tenant_votes);
+        add_part(
+            &mut self.tenant_parts,
+            request.tenant.0 as usize,
+            self.tenant_votes,
+        );
         // Danger: a short origin holds up caches with fetches that fail, and with them what they still hold.
-        let held = request.key.and_then(|k| self.table.get(&k)).is_some_and(|entry| entry.held);
+        let held = request
+            .key
+            .and_then(|k| self.table.get(&k))
+            .is_some_and(|entry| entry.held);
         let grown = (MISS_GROWTH * (now - self.misses_at) as f64 / SECOND as f64).exp();
         (self.misses, self.misses_at) = ((self.misses * grown).clamp(MISS_LEAST, 1.0), now);
         if self.short != (self.misses < MISS_SHORT) {
             self.short = !self.short;
             let turn = ["ends", "starts"][usize::from(self.short)];
-            self.log(now, actions, || format!("refusing most likely misses {turn}"));
+            self.log(now, actions, || {
+                format!("refusing most likely misses {turn}")
+            });
         }
         let miss = !held && self.misses < 1.0 && self.random.unit() > self.misses;
         let Some(class) = self.set.classes.get(usize::from(request.class.0)).copied() else {
             return actions.push(Action::Fail { id: request.id });
         };
-        let (aim_at, most) = (self.aim_at(now, &request, &class), self.set.limits.max_attempts);
+        let (aim_at, most) = (
+            self.aim_at(now, &request, &class),
+            self.set.limits.max_attempts,
+        );
         let (stage, out, ran, tried) = (Stage::Cache, None, None, [None; 2]);
-        let p = Pending { request, class, most, aim_at, held, stage, sent: 0, out, ran, tried };
+        let p = Pending {
+            request,
+            class,
+            most,
+            aim_at,
+            held,
+            stage,
+            sent: 0,
+            out,
+            ran,
+            tried,
+        };
         let give_up = self.give_up_at(&p);
         self.pending.insert(request.id, p);
         if miss || give_up <= now || self.shed(now, &request, actions) {
             return self.finish(now, request.id, actions);
         }
-        actions.push(Action::Timer { delay: give_up - now, token: u64::from(request.id.0) });
+        actions.push(Action::Timer {
+            delay: give_up - now,
+            token: u64::from(request.id.0),
+        });
         self.dispatch(now, request.id, actions);
     }
 
@@ -593,17 +747,27 @@
     fn give_up_at(&self, p: &Pending) -> Micros {
         let last = p.request.expires_at - 2 * self.set.tick;
         let late = p.class.late_weight > 0.0 && self.set.tail.weight <= 0.0;
-        last.min(if late || p.stage == Stage::Fetch { last } else { p.aim_at })
+        last.min(if late || p.stage == Stage::Fetch {
+            last
+        } else {
+            p.aim_at
+        })
     }
 
     fn dispatch(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(p) = self.pending.get_mut(&id) else { return };
+        let Some(p) = self.pending.get_mut(&id) else {
+            return;
+        };
         p.stage = Stage::Cache;
         let to_origin = p.request.write && self.aside();
         if !to_origin && self.follow(id) {
             return;
         }
-        match if to_origin { self.origin() } else { self.choose(now, id) } {
+        match if to_origin {
+            self.origin()
+        } else {
+            self.choose(now, id)
+        } {
             Some(server) if self.may_send(now, id, server) => self.send(now, id, server, actions),
             _ => self.finish(now, id, actions),
         }
@@ -611,9 +775,13 @@
 
     /// Singleflight. Danger: a popular key that went void would otherwise be fetched once per reader.
     fn follow(&mut self, id: RequestId) -> bool {
-        let Some(p) = self.pending.get_mut(&id) else { return false };
+        let Some(p) = self.pending.get_mut(&id) else {
+            return false;
+        };
         let fetch = p.request.key.and_then(|key| self.fetches.get_mut(&key));
-        let Some((_, followers)) = fetch.filter(|(leader, _)| *leader != id) else { return false };
+        let Some((_, followers)) = fetch.filter(|(leader, _)| *leader != id) else {
+            return false;
+        };
         p.stage = Stage::Follow;
         followers.push(id);
         true
@@ -622,13 +790,21 @@
     /// Danger: work cut short still runs there. An attempt stays out and counts until the client leaves, but
     /// where answers get lost and cores idle: waiting takes all the time that another attempt would need.
     fn send(&mut self, now: Micros, id: RequestId, to: CacheId, actions: &mut Vec<Action>) {
-        let Some(tokens) = self.servers.get(&to).map(|s| self.cold_tokens(s, now)) else { return };
+        let Some(tokens) = self.servers.get(&to).map(|s| self.cold_tokens(s, now)) else {
+            return;
+        };
         let may_cut = self.set.limits.may_cancel;
         let lapses = self.pending.get(&id).and_then(|p| self.lapses(now, p));
-        let (Some(p), Some(server)) = (self.pending.get_mut(&id), self.servers.get_mut(&to)) else { return };
+        let (Some(p), Some(server)) = (self.pending.get_mut(&id), self.servers.get_mut(&to)) else {
+            return;
+        };
         (server.cold_tokens, server.cold_at) = ((tokens - 1.0).max(0.0), now);
         // Danger: something on the way drops idle connections and tells nobody; what is sent on one is lost.
-        server.idle = if server.inflight > 0 || server.used == 0 { 0 } else { now - server.used };
+        server.idle = if server.inflight > 0 || server.used == 0 {
+            0
+        } else {
+            now - server.used
+        };
         if now - self.idle_lost_at < IDLE_MEMORY && server.idle >= self.idle_limit {
             actions.push(Action::Disconnect { cache: to });
             server.idle = 0;
@@ -636,30 +812,58 @@
         (server.inflight, server.used) = (server.inflight + 1, now);
         self.out += u32::from(server.role == Role::Cache);
         server.sent.add(now, SENT_SPAN);
-        p.out = Some(Ran { attempt: p.sent, at: now, zone: server.member.zone, cell: server.member.cell });
+        p.out = Some(Ran {
+            attempt: p.sent,
+            at: now,
+            zone: server.member.zone,
+            cell: server.member.cell,
+        });
         p.sent += 1;
         p.tried = [Some(to), p.tried[0]];
         let timeout = (p.request.expires_at - 2 * self.set.tick - now).max(self.set.tick);
-        actions.push(Action::Send { id, cache: to, timeout, send_within: lapses });
+        actions.push(Action::Send {
+            id,
+            cache: to,
+            timeout,
+            send_within: lapses,
+        });
         let delay = (p.aim_at - now) / 2;
         let cut = may_cut && p.class.idempotency == Idempotency::Idempotent;
-        if cut && server.silent.value > SILENT_PART && server.busy < BUSY && delay as f64 > server.pace.value
+        if cut
+            && server.silent.value > SILENT_PART
+            && server.busy < BUSY
+            && delay as f64 > server.pace.value
         {
-            actions.push(Action::Timer { delay, token: u64::from(p.sent) << 32 | u64::from(id.0) });
+            actions.push(Action::Timer {
+                delay,
+                token: u64::from(p.sent) << 32 | u64::from(id.0),
+            });
         }
     }
 
     fn on_settled(&mut self, now: Micros, s: AttemptResult, actions: &mut Vec<Action>) {
         self.observe(now, &s, actions);
         self.confirm_delisted(s.cache);
-        let noise = self.servers.get(&s.cache).is_some_and(|server| server.faults <= FAULT_ROW);
+        let noise = self
+            .servers
+            .get(&s.cache)
+            .is_some_and(|server| server.faults <= FAULT_ROW);
         if let Some(p) = self.pending.get_mut(&s.id) {
             if let Some(out) = p.out.take_if(|out| out.attempt == s.attempt) {
-                p.ran = p.ran.or(Some(out).filter(|_| !s.outcome.proves_no_effect()));
+                p.ran = p
+                    .ran
+                    .or(Some(out).filter(|_| !s.outcome.proves_no_effect()));
             }
             // The cache has what was spoilt or lost: asked again it need not fetch, as another would.
-            let lost = matches!(s.outcome, Outcome::Malformed | Outcome::Reset | Outcome::Cancelled);
-            p.tried = if lost && noise { [p.tried[1], None] } else { p.tried };
+            let lost = matches!(
+                s.outcome,
+                Outcome::Malformed | Outcome::Reset | Outcome::Cancelled
+            );
+            p.tried = if lost && noise {
+                [p.tried[1], None]
+            } else {
+                p.tried
+            };
             if s.outcome == Outcome::Served || s.outcome == Outcome::Errored {
                 let entry = p.request.key.and_then(|key| self.table.get_mut(&key));
                 if let Some(entry) = entry.filter(|entry| entry.cache == s.cache) {
@@ -677,8 +881,16 @@
         self.start_fetches(now, actions);
     }
 
-    fn carry_on(&mut self, now: Micros, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Some(p) = self.pending.get(&id) else { return };
+    fn carry_on(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(p) = self.pending.get(&id) else {
+            return;
+        };
         if p.sent >= p.most || self.give_up_at(p) <= now + self.set.tick {
             return self.finish(now, id, actions);
         }
@@ -703,12 +915,18 @@
 
     fn origin(&self) -> Option<CacheId> {
         let ready = |s: &&Server| s.role == Role::Origin && s.member.state == EndpointState::Ready;
-        let least = self.servers.values().filter(ready).min_by_key(|s| (s.inflight, s.member.id));
+        let least = self
+            .servers
+            .values()
+            .filter(ready)
+            .min_by_key(|s| (s.inflight, s.member.id));
         least.map(|s| s.member.id)
     }
 
     fn lead(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(p) = self.pending.get_mut(&id) else { return };
+        let Some(p) = self.pending.get_mut(&id) else {
+            return;
+        };
         p.stage = Stage::Fetch;
         if let Some(key) = p.request.key {
             self.fetches.insert(key, (id, Vec::new()));
@@ -720,15 +938,27 @@
     /// Danger: past what the origin can do, every fetch is late. A window of them is out, the rest wait.
     fn start_fetches(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(origin) = self.origin() {
-            let Some(server) = self.servers.get(&origin).filter(|s| s.has_room(now, self.gap())) else {
+            let Some(server) = self
+                .servers
+                .get(&origin)
+                .filter(|s| s.has_room(now, self.gap()))
+            else {
                 return;
             };
             let pace = server.pace.value as Micros;
-            let Some(id) = self.fetch_queue.pop_front() else { return };
+            let Some(id) = self.fetch_queue.pop_front() else {
+                return;
+            };
             let waits = |p: &&Pending| p.stage == Stage::Fetch && p.out.is_none();
-            let Some(p) = self.pending.get(&id).filter(waits) else { continue };
+            let Some(p) = self.pending.get(&id).filter(waits) else {
+                continue;
+            };
             // Danger: served in turn, a long queue has every reader answered too late.
-            let late = if self.fetch_queue.is_empty() { self.give_up_at(p) } else { p.aim_at };
+            let late = if self.fetch_queue.is_empty() {
+                self.give_up_at(p)
+            } else {
+                p.aim_at
+            };
             if now + pace > late || !self.may_send(now, id, origin) {
                 self.finish(now, id, actions);
             } else {
@@ -738,7 +968,9 @@
     }
 
     fn may_send(&self, now: Micros, id: RequestId, to: CacheId) -> bool {
-        let (Some(p), Some(server)) = (self.pending.get(&id), self.servers.get(&to)) else { return false };
+        let (Some(p), Some(server)) = (self.pending.get(&id), self.servers.get(&to)) else {
+            return false;
+        };
         if p.out.is_some() || p.sent >= p.most {
             return false;
         }
@@ -747,8 +979,10 @@
             Idempotency::Idempotent => true,
             // Danger: a keyed request outside its group or window would take effect twice.
             Idempotency::Keyed { scope, key_ttl } => {
-                scope.covers((server.member.zone, server.member.cell), (ran.zone, ran.cell))
-                    && now + self.set.tick < ran.at + key_ttl
+                scope.covers(
+                    (server.member.zone, server.member.cell),
+                    (ran.zone, ran.cell),
+                ) && now + self.set.tick < ran.at + key_ttl
             }
             Idempotency::NotIdempotent => false,
         }
@@ -757,7 +991,9 @@
     /// Danger: decided inside its window, a guarded repeat may wait for a connection and go out after it.
     fn lapses(&self, now: Micros, p: &Pending) -> Option<Micros> {
         match (p.class.idempotency, p.ran) {
-            (Idempotency::Keyed { key_ttl, .. }, Some(ran)) => Some(ran.at + key_ttl - self.set.tick - now),
+            (Idempotency::Keyed { key_ttl, .. }, Some(ran)) => {
+                Some(ran.at + key_ttl - self.set.tick - now)
+            }
             _ => None,
         }
     }
@@ -765,39 +1001,73 @@
     /// Danger: a refusal tells the client that a repeat is harmless.
     fn may_refuse(&self, p: &Pending) -> bool {
         match p.class.idempotency {
-            Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DeduplicationScope::All,
+                ..
+            } => true,
             _ => p.ran.is_none() && p.out.is_none(),
         }
     }
 
     /// The final answer where no server gave one.
     fn finish(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(p) = self.pending.get(&id) else { return };
-        let refusal = Action::Reject { id, retry_after: self.set.limits.max_retry_after };
-        actions.push(if self.may_refuse(p) { refusal } else { Action::Fail { id } });
+        let Some(p) = self.pending.get(&id) else {
+            return;
+        };
+        let refusal = Action::Reject {
+            id,
+            retry_after: self.set.limits.max_retry_after,
+        };
+        actions.push(if self.may_refuse(p) {
+            refusal
+        } else {
+            Action::Fail { id }
+        });
         self.conclude(now, id, false, actions);
     }
 
     /// Followers of a fetch that is over read what it stored; if it failed, the next of them fetches.
     fn conclude(&mut self, now: Micros, id: RequestId, stored: bool, actions: &mut Vec<Action>) {
-        let Some(key) = self.pending.remove(&id).and_then(|p| p.request.key) else { return };
-        if self.fetches.get(&key).is_none_or(|(leader, _)| *leader != id) {
+        let Some(key) = self.pending.remove(&id).and_then(|p| p.request.key) else {
+            return;
+        };
+        if self
+            .fetches
+            .get(&key)
+            .is_none_or(|(leader, _)| *leader != id)
+        {
             return;
         }
-        let mut waiting = self.fetches.remove(&key).map_or(Vec::new(), |(_, followers)| followers);
-        waiting.retain(|f| self.pending.get(f).is_some_and(|p| p.stage == Stage::Follow));
+        let mut waiting = self
+            .fetches
+            .remove(&key)
+            .map_or(Vec::new(), |(_, followers)| followers);
+        waiting.retain(|f| {
+            self.pending
+                .get(f)
+                .is_some_and(|p| p.stage == Stage::Follow)
+        });
         if let (false, Some(next)) = (stored, waiting.first().copied()) {
             self.lead(now, next, actions);
         }
-        waiting.iter().skip(usize::from(!stored)).for_each(|f| self.dispatch(now, *f, actions));
+        waiting
+            .iter()
+            .skip(usize::from(!stored))
+            .for_each(|f| self.dispatch(now, *f, actions));
     }
 
     /// Danger: a request nobody answers is lost. Its timer ends it whatever became of its attempts.
     fn on_give_up(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(p) = self.pending.get(&id) else { return };
+        let Some(p) = self.pending.get(&id) else {
+            return;
+        };
         let last = self.give_up_at(p);
         if last > now && p.out.is_some() {
-            actions.push(Action::Timer { delay: last - now, token: u64::from(id.0) });
+            actions.push(Action::Timer {
+                delay: last - now,
+                token: u64::from(id.0),
+            });
         } else {
             // Danger: caches that answer everybody too late turn nobody away.
             self.press(true);
@@ -806,13 +1076,24 @@
     }
 
     fn observe(&mut self, now: Micros, s: &AttemptResult, actions: &mut Vec<Action>) {
-        let shortest = self.set.classes.iter().map(|c| c.latency_objective).min().unwrap_or(SECOND);
-        let aim = self.pending.get(&s.id).map_or(shortest, |p| p.class.latency_objective);
+        let shortest = self
+            .set
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .min()
+            .unwrap_or(SECOND);
+        let aim = self
+            .pending
+            .get(&s.id)
+            .map_or(shortest, |p| p.class.latency_objective);
         let (goal, aside) = (GOAL * aim as f64, self.aside());
         let rare = self.gap() > goal / GOAL;
         let idle = self.servers.get(&s.cache).map_or(0, |server| server.idle);
         let stale = self.learn_idle(now, idle, s.outcome, actions);
-        let Some(server) = self.servers.get_mut(&s.cache) else { return };
+        let Some(server) = self.servers.get_mut(&s.cache) else {
+            return;
+        };
         // Where one was lost the next attempt has a new one, whose answer tells nothing of idle ones.
         server.used = if stale { 0 } else { now };
         actions.extend(stale.then_some(Action::Disconnect { cache: s.cache }));
@@ -821,7 +1102,10 @@
         if error && aside {
             server.fault(now, 0);
         }
-        if !matches!(s.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent) {
+        if !matches!(
+            s.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent
+        ) {
             server.borne.add(now, SENT_SPAN);
         }
         // Danger: fetches past what the origin can do hold up caches, and what they still have. Keys that
@@ -829,7 +1113,8 @@
         let answered = !s.outcome.proves_no_effect() && s.outcome != Outcome::Reset;
         if !aside && answered && self.pending.get(&s.id).is_some_and(|p| !p.held) {
             let bad = error || s.outcome != Outcome::Served || s.elapsed > aim;
-            self.miss_late.add(now, f64::from(u8::from(bad)), MISS_WEIGHT, TIME_SPAN);
+            self.miss_late
+                .add(now, f64::from(u8::from(bad)), MISS_WEIGHT, TIME_SPAN);
             if bad && self.miss_late.value > MISS_LATE && now - self.misses_cut > aim {
                 (self.misses, self.misses_cut) = ((self.misses * MISS_CUT).max(MISS_LEAST), now);
             }
@@ -837,13 +1122,20 @@
         match s.outcome {
             Outcome::Served | Outcome::Miss => {
                 // It has failed and is back: one at a time shows how well.
-                server.window =
-                    if server.faults > FAULT_ROW { server.window.max(1.0) } else { server.window };
+                server.window = if server.faults > FAULT_ROW {
+                    server.window.max(1.0)
+                } else {
+                    server.window
+                };
                 server.faults = 0;
-                server.busy = s.load.value(&self.set.report, ReportField::Utilization).unwrap_or(UNTOLD);
+                server.busy = s
+                    .load
+                    .value(&self.set.report, ReportField::Utilization)
+                    .unwrap_or(UNTOLD);
                 server.silent.add(now, 0.0, ERROR_WEIGHT, TIME_SPAN);
                 // A cache's own fetch says nothing of how crowded the cache is.
-                let own_fetch = s.cache_status == CacheStatus::Fetched && server.role == Role::Cache;
+                let own_fetch =
+                    s.cache_status == CacheStatus::Fetched && server.role == Role::Cache;
                 if s.outcome == Outcome::Served && !own_fetch {
                     server.timed(now, s.elapsed as f64, goal);
                 }
@@ -852,7 +1144,9 @@
             Outcome::Malformed if again => {}
             // The way there lost it, not the server.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset if stale => {}
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::Malformed => server.fault(now, FAULT_ROW),
+            Outcome::ConnectFailed | Outcome::Reset | Outcome::Malformed => {
+                server.fault(now, FAULT_ROW)
+            }
             // Danger: who asks a cache once in seconds would lose a request each to find out.
             Outcome::TimedOut if rare => server.timed(now, s.elapsed as f64, goal),
             Outcome::TimedOut | Outcome::Cancelled => {
@@ -863,12 +1157,17 @@
             Outcome::NeverSent => {}
         }
         server.inflight = server.inflight.saturating_sub(1);
-        self.out = self.out.saturating_sub(u32::from(server.role == Role::Cache));
+        self.out = self
+            .out
+            .saturating_sub(u32::from(server.role == Role::Cache));
         let (window, id) = (server.window, s.cache.0);
         if (window < 1.0) != (before < 1.0) || server.role == Role::Origin && window < before {
             let turn = if window < 1.0 { "rests" } else { "is in use" };
             self.log(now, actions, || {
-                format!("server {id:012x} {turn}, window {window:.1} after {:?}", s.outcome)
+                format!(
+                    "server {id:012x} {turn}, window {window:.1} after {:?}",
+                    s.outcome
+                )
             });
         }
     }
@@ -885,8 +1184,17 @@
     }
 
     /// Learns after what idle time connections are dropped unseen; whether this attempt may be lost so.
-    fn learn_idle(&mut self, now: Micros, idle: Micros, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
-        let lost = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset);
+    fn learn_idle(
+        &mut self,
+        now: Micros,
+        idle: Micros,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let lost = matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset
+        );
         if idle < IDLE_FLOOR || outcome == Outcome::NeverSent {
             return false;
         }
@@ -897,7 +1205,9 @@
             let known = if anew { idle } else { self.idle_limit };
             (self.idle_limit, self.idle_lost_at) = (known.min(idle / 2).max(IDLE_FLOOR), now);
             if anew {
-                self.log(now, actions, || format!("connections idle for {} ms get lost", idle / MS));
+                self.log(now, actions, || {
+                    format!("connections idle for {} ms get lost", idle / MS)
+                });
             }
         }
         lost
@@ -909,7 +1219,9 @@
         if self.shedding != (level > 0.5) {
             self.shedding = level > 0.5;
             let turn = ["ends", "starts"][usize::from(self.shedding)];
-            self.log(now, actions, || format!("shedding over-share traffic {turn}"));
+            self.log(now, actions, || {
+                format!("shedding over-share traffic {turn}")
+            });
         }
         let excess = self.excess(request.tenant);
         excess > 0.0 && self.set.over_share_weight < 1.0 && self.random.unit() < excess * level
@@ -918,8 +1230,16 @@
     fn excess(&self, tenant: TenantId) -> f64 {
         let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
         let uses = self.tenant_parts.iter().zip(&self.set.tenants);
-        let uses: Vec<f64> = uses.map(|(part, t)| part * quotas / t.quota_per_s.max(1e-9)).collect();
-        let Some(own) = uses.get(tenant.0 as usize).copied().filter(|own| *own > 0.0) else { return 0.0 };
+        let uses: Vec<f64> = uses
+            .map(|(part, t)| part * quotas / t.quota_per_s.max(1e-9))
+            .collect();
+        let Some(own) = uses
+            .get(tenant.0 as usize)
+            .copied()
+            .filter(|own| *own > 0.0)
+        else {
+            return 0.0;
+        };
         let median = median(uses);
         // Danger: of two tenants the median is the lesser's; the greater would be refused in its share.
         let beyond = own >= FAIR_FROM * median.max(1.0);
@@ -940,7 +1260,11 @@
         if self.window >= 1.0 || self.inflight > 0 {
             return f64::from(self.inflight) < self.window;
         }
-        let unit = if self.role == Role::Origin { self.pace.value } else { gap.max(self.pace.value) };
+        let unit = if self.role == Role::Origin {
+            self.pace.value
+        } else {
+            gap.max(self.pace.value)
+        };
         (now - self.sent.at) as f64 >= (unit / self.window).min(PAUSE_LAST.max(PAUSE_GAPS * gap))
     }
 
@@ -959,20 +1283,36 @@
         self.stress.add(now, elapsed / goal, TIME_WEIGHT, TIME_SPAN);
         // Danger: an origin slow by nature, held to a cache's times, fetches little, and all is missed again.
         let unhurried = self.role == Role::Origin && self.busy < BUSY;
-        let most = if unhurried { 2.0 } else { [1.0, SPARSE_STRESS][usize::from(self.window <= 1.0)] };
+        let most = if unhurried {
+            2.0
+        } else {
+            [1.0, SPARSE_STRESS][usize::from(self.window <= 1.0)]
+        };
         if self.stress.value > most {
             self.cut(now, goal);
         } else if f64::from(self.inflight) >= self.window / 2.0 {
             let more = self.window + self.step / self.window;
-            self.window = if self.window < 1.0 { 1.0 } else { more.min(WINDOW_MAX) };
+            self.window = if self.window < 1.0 {
+                1.0
+            } else {
+                more.min(WINDOW_MAX)
+            };
         }
     }
 
     fn cut(&mut self, now: Micros, goal: f64) {
         if now - self.cut_at > goal.max(self.pace.value) as Micros {
             self.cut_at = now;
-            let least = if self.role == Role::Origin { ORIGIN_MIN } else { WINDOW_MIN };
-            let factor = if self.window > 1.0 { WINDOW_CUT } else { SPARSE_CUT };
+            let least = if self.role == Role::Origin {
+                ORIGIN_MIN
+            } else {
+                WINDOW_MIN
+            };
+            let factor = if self.window > 1.0 {
+                WINDOW_CUT
+            } else {
+                SPARSE_CUT
+            };
             self.window = (self.window * factor).max(least);
         }
     }
--- a/crates/stairfront-raft-node/src/config.rs
+++ b/crates/stairfront-raft-node/src/config.rs
@@ -25,10 +25,16 @@
     pub fn faults(&self, roster: Option<&[String]>) -> Vec<(&'static str, String)> {
         let mut found = Vec::new();
         let Some(roster) = roster else {
-            return vec![("voters", "need a [membership], over which they talk".to_string())];
+            return vec![(
+                "voters",
+                "need a [membership], over which they talk".to_string(),
+            )];
         };
         if !VOTERS.contains(&self.voters.len()) {
-            found.push(("voters", format!("must be 3 to 7, not {}", self.voters.len())));
+            found.push((
+                "voters",
+                format!("must be 3 to 7, not {}", self.voters.len()),
+            ));
         }
         for (at, name) in self.voters.iter().enumerate() {
             if !roster.contains(name) {
@@ -38,8 +44,15 @@
                 found.push(("voters", format!("{name:?} stands there twice")));
             }
         }
-        if self.store.as_ref().is_some_and(|path| path.as_os_str().is_empty()) {
-            found.push(("store", "must name a file, or be left out for a voter in memory".to_string()));
+        if self
+            .store
+            .as_ref()
+            .is_some_and(|path| path.as_os_str().is_empty())
+        {
+            found.push((
+                "store",
+                "must name a file, or be left out for a voter in memory".to_string(),
+            ));
         }
         found
     }
--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -148,7 +148,10 @@
         self.members.listens().await;
         loop {
             let life = self.seed ^ self.members.run_number();
-            let voter = Voter { name: self.me.clone(), life };
+            let voter = Voter {
+                name: self.me.clone(),
+                life,
+            };
             let mut store = None;
             match &self.path {
                 None => self.begin(voter, Recovered::default()),
@@ -191,14 +194,20 @@
             // Danger: on a spoilt file the store may panic, and nobody would be told why this voter does not vote.
             let opened = std::panic::catch_unwind(|| Store::open(&path, &group, voter));
             let opened = opened.unwrap_or_else(|_| {
-                let (path, what) = (path.display().to_string(), "it cannot be read at all".to_string());
+                let (path, what) = (
+                    path.display().to_string(),
+                    "it cannot be read at all".to_string(),
+                );
                 Err(StoreFault::Spoilt { path, what })
             });
             let (store, recovered) = match opened {
                 Ok(opened) => opened,
                 Err(fault) => return drop(say.blocking_send(Stored::Failed(fault))),
             };
-            if say.blocking_send(Stored::Opened(store.voter().clone(), recovered)).is_err() {
+            if say
+                .blocking_send(Stored::Opened(store.voter().clone(), recovered))
+                .is_err()
+            {
                 return;
             }
             while let Ok(Job::Save(ready)) = work.recv() {
@@ -213,7 +222,10 @@
                 }
             }
         };
-        if let Err(problem) = std::thread::Builder::new().name("agreement".to_string()).spawn(work) {
+        if let Err(problem) = std::thread::Builder::new()
+            .name("agreement".to_string())
+            .spawn(work)
+        {
             warn!("agreement: no thread for the store: {problem}");
             return None;
         }
@@ -270,23 +282,38 @@
 
     /// One line for each change of who leads and who votes, and from which term on.
     fn log_changes(&self) {
-        let now = Status { settled: 0, ..self.status() };
+        let now = Status {
+            settled: 0,
+            ..self.status()
+        };
         let before = self.logged.replace(Some(now.clone()));
         if before.as_ref() == Some(&now) {
             return;
         }
-        let Status { role, leader, term, voters, not_in, .. } = now;
+        let Status {
+            role,
+            leader,
+            term,
+            voters,
+            not_in,
+            ..
+        } = now;
         let (leader, upto) = (leader.as_deref().unwrap_or("nobody"), self.applied.get().0);
         info!("agreement: {role}; {leader} leads, term {term}; vote: {voters:?}, not in: {not_in:?}; settled to {upto}");
     }
 
     fn path_text(&self) -> String {
-        self.path.as_ref().map_or(String::new(), |path| path.display().to_string())
+        self.path
+            .as_ref()
+            .map_or(String::new(), |path| path.display().to_string())
     }
 
     fn with<T: Default>(&self, work: impl FnOnce(&mut Council, Micros) -> T) -> T {
         let now = self.now();
-        self.council.borrow_mut().as_mut().map_or(T::default(), |council| work(council, now))
+        self.council
+            .borrow_mut()
+            .as_mut()
+            .map_or(T::default(), |council| work(council, now))
     }
 
     fn hear(&self, from: &str, bytes: &[u8]) {
@@ -301,8 +328,10 @@
     }
 
     fn saved(&self, number: u64) {
-        let Some(UnderWay { send, .. }) =
-            self.under_way.borrow_mut().take_if(|under_way| under_way.number == number)
+        let Some(UnderWay { send, .. }) = self
+            .under_way
+            .borrow_mut()
+            .take_if(|under_way| under_way.number == number)
         else {
             return;
         };
@@ -312,7 +341,9 @@
 
     fn send(&self, send: Vec<(Voter, Message)>) {
         let council = self.council.borrow();
-        let Some(council) = council.as_ref() else { return };
+        let Some(council) = council.as_ref() else {
+            return;
+        };
         for (to, message) in send {
             let (name, envelope) = council.envelope(to, message);
             self.carry(&name, envelope);
@@ -340,7 +371,10 @@
             return self.hear_aside(to, bytes);
         }
         // A list of bytes, which cannot fail.
-        self.members.carry(to, postcard::to_stdvec(&Parcel::Aside(bytes)).unwrap_or_default());
+        self.members.carry(
+            to,
+            postcard::to_stdvec(&Parcel::Aside(bytes)).unwrap_or_default(),
+        );
     }
 
     pub async fn next_aside(&self) -> (String, Vec<u8>) {
@@ -355,7 +389,10 @@
     /// A number that no other command has: of this process, and counted.
     pub fn next_id(&self) -> u64 {
         self.ids.set(self.ids.get() + 1);
-        xxhash_rust::xxh3::xxh3_64_with_seed(&self.ids.get().to_le_bytes(), self.members.run_number())
+        xxhash_rust::xxh3::xxh3_64_with_seed(
+            &self.ids.get().to_le_bytes(),
+            self.members.run_number(),
+        )
     }
 
     /// Which group it is, 0 for none, and up to where its orders are applied.
@@ -367,9 +404,13 @@
     /// Does what the core wants, as long as nothing waits for the disk.
     fn pump(&self, store: Option<&Thread>) {
         let words = self.with(|council, _| council.words());
-        words.into_iter().for_each(|(to, envelope)| self.carry(&to, envelope));
+        words
+            .into_iter()
+            .for_each(|(to, envelope)| self.carry(&to, envelope));
         while self.under_way.borrow().is_none() {
-            let Some(mut ready) = self.with(|council, _| council.ready()) else { return };
+            let Some(mut ready) = self.with(|council, _| council.ready()) else {
+                return;
+            };
             self.apply(&mut ready);
             let number = ready.number;
             let send = std::mem::take(&mut ready.send);
@@ -394,7 +435,9 @@
     fn apply(&self, ready: &mut Ready) {
         let (mut applied, mut cut) = self.applied.get();
         if let Some(snapshot) = ready.restored.take() {
-            self.machine.borrow_mut().restore(snapshot.index, &snapshot.data);
+            self.machine
+                .borrow_mut()
+                .restore(snapshot.index, &snapshot.data);
             (applied, cut) = (snapshot.index, snapshot.index);
         }
         let mut any = false;
@@ -423,7 +466,12 @@
 
     /// Brings an order to the leader and waits until it is settled and applied here; false if it is not known to be within
     /// the time. It may be settled later all the same.
-    pub async fn order(&self, id: u64, bytes: Vec<u8>, limit: Duration) -> Result<bool, OrderRefusal> {
+    pub async fn order(
+        &self,
+        id: u64,
+        bytes: Vec<u8>,
+        limit: Duration,
+    ) -> Result<bool, OrderRefusal> {
         let micros = limit.as_micros() as Micros;
         let there = self.council.borrow().is_some();
         if !there {
@@ -486,7 +534,10 @@
         let council = self.council.borrow();
         let Some(council) = council.as_ref() else {
             let why = self.fault.borrow().clone();
-            return Status { role: why.unwrap_or_else(|| "begins".to_string()), ..Status::default() };
+            return Status {
+                role: why.unwrap_or_else(|| "begins".to_string()),
+                ..Status::default()
+            };
         };
         let node = council.node();
         let votes = node.voters().contains(council.me());
@@ -501,8 +552,17 @@
             leader: node.leader().map(|leader| leader.name.clone()),
             term: node.term(),
             settled: self.applied.get().0,
-            voters: node.voters().iter().map(|voter| voter.name.clone()).collect(),
-            not_in: self.names.iter().filter(|name| !is_in(name)).cloned().collect(),
+            voters: node
+                .voters()
+                .iter()
+                .map(|voter| voter.name.clone())
+                .collect(),
+            not_in: self
+                .names
+                .iter()
+                .filter(|name| !is_in(name))
+                .cloned()
+                .collect(),
         }
     }
 
@@ -510,7 +570,9 @@
     pub fn figures(&self) -> String {
         let council = self.council.borrow();
         let mut text = String::new();
-        let Some(council) = council.as_ref() else { return "agreement_role:out\r\n".to_string() };
+        let Some(council) = council.as_ref() else {
+            return "agreement_role:out\r\n".to_string();
+        };
         let (node, f) = (council.node(), council.figures);
         let figures = [
             ("agreement_leads", u64::from(node.is_leader())),
--- a/crates/stairfront-raft-node/src/store.rs
+++ b/crates/stairfront-raft-node/src/store.rs
@@ -40,7 +40,11 @@
     )]
     Spoilt { path: String, what: String },
     #[error("{path} belongs to {owner}, not to {me}; name another file, or move it away")]
-    Foreign { path: String, owner: String, me: String },
+    Foreign {
+        path: String,
+        owner: String,
+        me: String,
+    },
     #[error("{path} has form {form}, and {FORM} is known here: written by a newer program")]
     Form { path: String, form: u32 },
 }
@@ -62,7 +66,9 @@
 
 fn unseal<T: DeserializeOwned>(key: u64, sealed: &[u8]) -> Option<T> {
     let (sum, body) = sealed.split_at_checked(SUM)?;
-    (sum == xxh3_64_with_seed(body, key).to_le_bytes()).then(|| from_bytes(body).ok()).flatten()
+    (sum == xxh3_64_with_seed(body, key).to_le_bytes())
+        .then(|| from_bytes(body).ok())
+        .flatten()
 }
 
 /// Of a value in `HEAD`; entries go by their index, so that none stands for another.
@@ -83,7 +89,9 @@
         group: &str,
         new: Voter,
     ) -> Result<(Store, Recovered), StoreFault> {
-        let db = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend);
+        let db = Database::builder()
+            .set_cache_size(CACHE_BYTES)
+            .create_with_backend(backend);
         Store::of(Path::new("memory"), db, group, new)
     }
 
@@ -96,15 +104,24 @@
         use redb::{DatabaseError, StorageError};
         let text = path.display().to_string();
         let db = db.map_err(|problem| match problem {
-            DatabaseError::Storage(StorageError::Corrupted(what)) => {
-                StoreFault::Spoilt { path: text.clone(), what }
-            }
-            DatabaseError::Storage(StorageError::Io(io)) if is_form(&io) => {
-                StoreFault::Spoilt { path: text.clone(), what: io.to_string() }
-            }
-            other => StoreFault::Disk { path: text.clone(), problem: other.to_string() },
+            DatabaseError::Storage(StorageError::Corrupted(what)) => StoreFault::Spoilt {
+                path: text.clone(),
+                what,
+            },
+            DatabaseError::Storage(StorageError::Io(io)) if is_form(&io) => StoreFault::Spoilt {
+                path: text.clone(),
+                what: io.to_string(),
+            },
+            other => StoreFault::Disk {
+                path: text.clone(),
+                problem: other.to_string(),
+            },
         })?;
-        let mut store = Store { path: path.to_path_buf(), db, voter: new };
+        let mut store = Store {
+            path: path.to_path_buf(),
+            db,
+            voter: new,
+        };
         let recovered = store.recover(group)?;
         Ok((store, recovered))
     }
@@ -114,16 +131,25 @@
     }
 
     fn disk(&self, problem: &dyn std::fmt::Display) -> StoreFault {
-        StoreFault::Disk { path: self.path.display().to_string(), problem: problem.to_string() }
+        StoreFault::Disk {
+            path: self.path.display().to_string(),
+            problem: problem.to_string(),
+        }
     }
 
     fn spoilt(&self, what: impl Into<String>) -> StoreFault {
-        StoreFault::Spoilt { path: self.path.display().to_string(), what: what.into() }
+        StoreFault::Spoilt {
+            path: self.path.display().to_string(),
+            what: what.into(),
+        }
     }
 
     fn recover(&mut self, group: &str) -> Result<Recovered, StoreFault> {
         let disk = |problem: redb::Error| self.disk(&problem);
-        let read = self.db.begin_read().map_err(|problem| disk(problem.into()))?;
+        let read = self
+            .db
+            .begin_read()
+            .map_err(|problem| disk(problem.into()))?;
         let head = match read.open_table(HEAD) {
             Ok(head) => head,
             Err(redb::TableError::TableDoesNotExist(_)) => {
@@ -133,13 +159,21 @@
             }
             Err(problem) => return Err(self.spoilt(problem.to_string())),
         };
-        let entries = read.open_table(ENTRIES).map_err(|problem| self.spoilt(problem.to_string()))?;
-        let value = |name: &str| head.get(name).map_err(|problem| self.spoilt(problem.to_string()));
+        let entries = read
+            .open_table(ENTRIES)
+            .map_err(|problem| self.spoilt(problem.to_string()))?;
+        let value = |name: &str| {
+            head.get(name)
+                .map_err(|problem| self.spoilt(problem.to_string()))
+        };
         let owner = value(OWNER)?.and_then(|found| unseal::<Owner>(key(OWNER), found.value()));
         let owner = owner.ok_or_else(|| self.spoilt("whose it is cannot be read"))?;
         let path = self.path.display().to_string();
         if owner.form != FORM {
-            return Err(StoreFault::Form { path, form: owner.form });
+            return Err(StoreFault::Form {
+                path,
+                form: owner.form,
+            });
         }
         if (&*owner.group, &owner.voter.name) != (group, &self.voter.name) {
             let (owner, me) = (
@@ -159,28 +193,46 @@
                 .ok_or_else(|| self.spoilt("its snapshot cannot be read"))?,
         };
         let mut log: Vec<Entry> = Vec::new();
-        for found in entries.iter().map_err(|problem| self.spoilt(problem.to_string()))? {
+        for found in entries
+            .iter()
+            .map_err(|problem| self.spoilt(problem.to_string()))?
+        {
             let (index, sealed) = found.map_err(|problem| self.spoilt(problem.to_string()))?;
             let expected = snapshot.index + 1 + log.len() as Index;
             if index.value() != expected {
-                return Err(self.spoilt(format!("entry {expected} is not there, {} is", index.value())));
+                return Err(self.spoilt(format!(
+                    "entry {expected} is not there, {} is",
+                    index.value()
+                )));
             }
             let entry = unseal(index.value(), sealed.value());
             log.push(entry.ok_or_else(|| self.spoilt(format!("entry {expected} cannot be read")))?);
         }
         let newest = log.last().map_or(snapshot.term, |entry| entry.term);
         if hard.term < newest {
-            return Err(self.spoilt(format!("an entry of term {newest}, and a vote of term {}", hard.term)));
+            return Err(self.spoilt(format!(
+                "an entry of term {newest}, and a vote of term {}",
+                hard.term
+            )));
         }
         self.voter = owner.voter;
-        Ok(Recovered { hard, log: Log::new(snapshot, log) })
+        Ok(Recovered {
+            hard,
+            log: Log::new(snapshot, log),
+        })
     }
 
     fn found(&self, group: &str) -> Result<(), StoreFault> {
-        let owner = Owner { form: FORM, group: group.to_string(), voter: self.voter.clone() };
+        let owner = Owner {
+            form: FORM,
+            group: group.to_string(),
+            voter: self.voter.clone(),
+        };
         let write = || -> Result<(), Box<dyn std::error::Error>> {
             let transaction = self.db.begin_write()?;
-            transaction.open_table(HEAD)?.insert(OWNER, &*seal(key(OWNER), &owner))?;
+            transaction
+                .open_table(HEAD)?
+                .insert(OWNER, &*seal(key(OWNER), &owner))?;
             transaction.open_table(ENTRIES)?;
             Ok(transaction.commit()?)
         };
@@ -190,7 +242,13 @@
     /// Keeps all that a `Ready` names. It is on the disk when this returns without a fault; after one, nothing of it
     /// counts, and the store has to be opened anew.
     pub fn save(&self, ready: &Ready) -> Result<(), StoreFault> {
-        let Ready { hard, snapshot, truncate, append, .. } = ready;
+        let Ready {
+            hard,
+            snapshot,
+            truncate,
+            append,
+            ..
+        } = ready;
         if hard.is_none() && snapshot.is_none() && truncate.is_none() && append.is_empty() {
             return Ok(());
         }
--- a/crates/stairfront-raft/src/council.rs
+++ b/crates/stairfront-raft/src/council.rs
@@ -125,7 +125,10 @@
     /// lesser number agreed could be lost with one disk.
     pub fn may_settle(&self) -> bool {
         let voters = self.node.voters();
-        let there = self.names.iter().filter(|name| voters.iter().any(|voter| voter.name == **name));
+        let there = self
+            .names
+            .iter()
+            .filter(|name| voters.iter().any(|voter| voter.name == **name));
         there.count() * 2 > self.names.len()
     }
 
@@ -155,13 +158,24 @@
         }
         let to: Vec<String> = match self.node.leader() {
             Some(leader) => vec![leader.name.clone()],
-            None => self.names.iter().filter(|name| **name != self.me.name).cloned().collect(),
+            None => self
+                .names
+                .iter()
+                .filter(|name| **name != self.me.name)
+                .cloned()
+                .collect(),
         };
-        to.into_iter().for_each(|name| self.say(&name, None, Word::Here));
+        to.into_iter()
+            .for_each(|name| self.say(&name, None, Word::Here));
     }
 
     fn say(&mut self, name: &str, to: Option<Voter>, word: Word) {
-        let envelope = Envelope { from: self.me.clone(), to, founding: self.founding(), word };
+        let envelope = Envelope {
+            from: self.me.clone(),
+            to,
+            founding: self.founding(),
+            word,
+        };
         self.out.push((name.to_string(), envelope));
     }
 
@@ -174,9 +188,13 @@
         }
         let mut voters = vec![self.me.clone()];
         for name in self.names.iter().skip(1) {
-            let mut lives =
-                self.here.iter().filter(|(voter, seen)| voter.name == *name && now - seen.at <= HERE_LASTS);
-            let Some((voter, seen)) = lives.next() else { return };
+            let mut lives = self
+                .here
+                .iter()
+                .filter(|(voter, seen)| voter.name == *name && now - seen.at <= HERE_LASTS);
+            let Some((voter, seen)) = lives.next() else {
+                return;
+            };
             // Two lives at once: one has just ended, or two processes have one name. Asked again in a while.
             if seen.founding != 0 || lives.next().is_some() {
                 return;
@@ -190,20 +208,30 @@
     fn look_at_voters(&mut self, now: Micros) {
         let current: BTreeSet<Voter> = self.node.voters().iter().cloned().collect();
         let founding = self.founding();
-        let there =
-            |seen: &Seen| now - seen.at <= HERE_LASTS && (seen.founding == 0 || seen.founding == founding);
-        let learners = self.here.iter().filter(|(voter, seen)| !current.contains(voter) && there(seen));
+        let there = |seen: &Seen| {
+            now - seen.at <= HERE_LASTS && (seen.founding == 0 || seen.founding == founding)
+        };
+        let learners = self
+            .here
+            .iter()
+            .filter(|(voter, seen)| !current.contains(voter) && there(seen));
         let learners: Vec<Voter> = learners.map(|(voter, _)| voter.clone()).collect();
         self.node.set_learners(learners.iter().cloned());
         let mut wanted: Option<(Vec<Voter>, bool)> = None;
         for name in &self.names {
             let old = current.iter().find(|voter| voter.name == *name);
             let mut new = learners.iter().filter(|voter| voter.name == *name);
-            let (Some(new), None) = (new.next(), new.next()) else { continue };
+            let (Some(new), None) = (new.next(), new.next()) else {
+                continue;
+            };
             match old {
                 Some(old) if self.node.silent_for(now, old) < LOST_AFTER => {}
                 Some(old) => {
-                    let rest = current.iter().filter(|voter| *voter != old).cloned().collect();
+                    let rest = current
+                        .iter()
+                        .filter(|voter| *voter != old)
+                        .cloned()
+                        .collect();
                     wanted = wanted.or(Some((rest, false)));
                 }
                 None => {
@@ -213,9 +241,15 @@
             }
         }
         // One that leads stays until another does.
-        let unnamed = current.iter().find(|voter| !self.names.contains(&voter.name) && **voter != self.me);
+        let unnamed = current
+            .iter()
+            .find(|voter| !self.names.contains(&voter.name) && **voter != self.me);
         if let Some(unnamed) = unnamed {
-            let rest = current.iter().filter(|voter| *voter != unnamed).cloned().collect();
+            let rest = current
+                .iter()
+                .filter(|voter| *voter != unnamed)
+                .cloned()
+                .collect();
             wanted = wanted.or(Some((rest, false)));
         }
         // A refusal is looked at again in its time.
@@ -232,14 +266,25 @@
     // --- orders ---
 
     /// Brings an order to whoever leads, until `settled` is told of it or the time is over.
-    pub fn order(&mut self, now: Micros, id: u64, bytes: Vec<u8>, limit: Micros) -> Result<(), OrderRefusal> {
+    pub fn order(
+        &mut self,
+        now: Micros,
+        id: u64,
+        bytes: Vec<u8>,
+        limit: Micros,
+    ) -> Result<(), OrderRefusal> {
         if bytes.len() > LARGEST_ORDER {
             return Err(OrderRefusal::TooLarge(bytes.len()));
         }
         if self.pending.len() >= MOST_ORDERS {
             return Err(OrderRefusal::Busy);
         }
-        self.pending.push(Pending { id, bytes, next: now, until: now + limit });
+        self.pending.push(Pending {
+            id,
+            bytes,
+            next: now,
+            until: now + limit,
+        });
         self.send_orders(now);
         Ok(())
     }
@@ -267,7 +312,11 @@
         for (id, bytes) in due {
             match self.node.leader().cloned() {
                 Some(leader) if leader == self.me => self.take(now, id, bytes),
-                Some(leader) => self.say(&leader.name.clone(), Some(leader), Word::Order { id, bytes }),
+                Some(leader) => self.say(
+                    &leader.name.clone(),
+                    Some(leader),
+                    Word::Order { id, bytes },
+                ),
                 None => {}
             }
         }
@@ -282,7 +331,11 @@
         }
         if let Ok(index) = self.node.propose(now, bytes) {
             if self.taken.len() >= MOST_TAKEN {
-                let oldest = self.taken.iter().min_by_key(|(_, (_, index))| *index).map(|(id, _)| *id);
+                let oldest = self
+                    .taken
+                    .iter()
+                    .min_by_key(|(_, (_, index))| *index)
+                    .map(|(id, _)| *id);
                 oldest.map(|id| self.taken.remove(&id));
             }
             self.taken.insert(id, (term, index));
@@ -292,7 +345,10 @@
     /// Gives the leadership to another voter, the one with the lowest name that is there.
     pub fn hand_over(&mut self, now: Micros) -> Result<(), Refusal> {
         let others = self.node.voters().iter().filter(|voter| **voter != self.me);
-        let there = others.filter(|voter| self.node.silent_for(now, voter) < SECOND).cloned().min();
+        let there = others
+            .filter(|voter| self.node.silent_for(now, voter) < SECOND)
+            .cloned()
+            .min();
         match there {
             Some(to) => self.node.hand_over(now, &to),
             None => Err(Refusal::Step),
@@ -302,7 +358,12 @@
     // --- messages ---
 
     pub fn hear(&mut self, now: Micros, envelope: Envelope) {
-        let Envelope { from, to, founding, word } = envelope;
+        let Envelope {
+            from,
+            to,
+            founding,
+            word,
+        } = envelope;
         let own = self.founding();
         if from.name == self.me.name {
             return;
@@ -342,7 +403,15 @@
     /// The form in which a message of a `Ready` goes out.
     pub fn envelope(&self, to: Voter, message: Message) -> (String, Envelope) {
         let (from, founding, name) = (self.me.clone(), self.founding(), to.name.clone());
-        (name, Envelope { from, to: Some(to), founding, word: Word::Raft(message) })
+        (
+            name,
+            Envelope {
+                from,
+                to: Some(to),
+                founding,
+                word: Word::Raft(message),
+            },
+        )
     }
 
     pub fn synced(&mut self, now: Micros, number: u64) {
--- a/crates/stairfront-raft/src/log.rs
+++ b/crates/stairfront-raft/src/log.rs
@@ -65,7 +65,9 @@
     }
 
     pub fn last_term(&self) -> Term {
-        self.entries.last().map_or(self.snapshot.term, |entry| entry.term)
+        self.entries
+            .last()
+            .map_or(self.snapshot.term, |entry| entry.term)
     }
 
     /// None for an index that is behind the snapshot or not there.
@@ -89,7 +91,8 @@
     /// Drops this entry and all behind it.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.snapshot.index + 1);
-        self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
+        self.entries
+            .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
     /// Entries from an index on, as many as fit, one at least.
@@ -110,7 +113,8 @@
     /// Puts a snapshot in the place of what it holds; what stands behind it stays if it fits.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let fits = self.term(snapshot.index) == Some(snapshot.term);
-        let gone = usize::try_from(snapshot.index.saturating_sub(self.snapshot.index)).unwrap_or(usize::MAX);
+        let gone = usize::try_from(snapshot.index.saturating_sub(self.snapshot.index))
+            .unwrap_or(usize::MAX);
         match fits {
             true => drop(self.entries.drain(..gone.min(self.entries.len()))),
             false => self.entries.clear(),
@@ -120,10 +124,17 @@
 
     /// The voters as the newest entry that names them says, settled or not (Diss. section 4.1), and where it stands.
     pub fn voters(&self) -> (Index, &[Voter]) {
-        let named = self.entries.iter().enumerate().rev().find_map(|(at, entry)| match &entry.payload {
-            Payload::Voters(voters) => Some((self.snapshot.index + 1 + at as Index, voters.as_slice())),
-            _ => None,
-        });
+        let named = self
+            .entries
+            .iter()
+            .enumerate()
+            .rev()
+            .find_map(|(at, entry)| match &entry.payload {
+                Payload::Voters(voters) => {
+                    Some((self.snapshot.index + 1 + at as Index, voters.as_slice()))
+                }
+                _ => None,
+            });
         named.unwrap_or((self.snapshot.index, &self.snapshot.voters))
     }
 }
--- a/crates/stairfront-raft/src/node.rs
+++ b/crates/stairfront-raft/src/node.rs
@@ -44,7 +44,16 @@
 
 impl Ready {
     fn is_empty(&self) -> bool {
-        let Ready { number: _, hard, snapshot, truncate, append, send, restored, settled } = self;
+        let Ready {
+            number: _,
+            hard,
+            snapshot,
+            truncate,
+            append,
+            send,
+            restored,
+            settled,
+        } = self;
         let kept = hard.is_none() && snapshot.is_none() && truncate.is_none() && append.is_empty();
         kept && send.is_empty() && restored.is_none() && settled.is_empty()
     }
@@ -186,8 +195,17 @@
         if !self.is_new() {
             return;
         }
-        let snapshot = Snapshot { index: 1, term: 1, voters, founding, data: Vec::new() };
-        self.hard = HardState { term: 1, vote: None };
+        let snapshot = Snapshot {
+            index: 1,
+            term: 1,
+            voters,
+            founding,
+            data: Vec::new(),
+        };
+        self.hard = HardState {
+            term: 1,
+            vote: None,
+        };
         self.log.compact(snapshot.clone());
         (self.commit, self.applied, self.synced) = (1, 1, 1);
         self.ready.hard = Some(self.hard.clone());
@@ -199,7 +217,9 @@
     /// How long the leader has not heard this voter.
     pub fn silent_for(&self, now: Micros, voter: &Voter) -> Micros {
         match &self.role {
-            Role::Leader { progress, .. } => progress.get(voter).map_or(Micros::MAX, |of| now - of.heard),
+            Role::Leader { progress, .. } => {
+                progress.get(voter).map_or(Micros::MAX, |of| now - of.heard)
+            }
             _ => Micros::MAX,
         }
     }
@@ -216,15 +236,22 @@
             return None;
         }
         self.numbers += 1;
-        let ready = Ready { number: self.numbers, ..std::mem::take(&mut self.ready) };
+        let ready = Ready {
+            number: self.numbers,
+            ..std::mem::take(&mut self.ready)
+        };
         self.unsynced.push((ready.number, self.log.last_index()));
         Some(ready)
     }
 
     /// All up to this `Ready` is durable. Danger: a leader that counted itself before would settle what a crash undoes.
     pub fn synced(&mut self, now: Micros, number: u64) {
-        let upto =
-            self.unsynced.iter().filter(|(known, _)| *known <= number).map(|(_, last)| *last).next_back();
+        let upto = self
+            .unsynced
+            .iter()
+            .filter(|(known, _)| *known <= number)
+            .map(|(_, last)| *last)
+            .next_back();
         self.unsynced.retain(|(known, _)| *known > number);
         if let Some(upto) = upto {
             // What was cut off meanwhile does not count.
@@ -243,7 +270,12 @@
 
     pub fn tick(&mut self, now: Micros) {
         let election = self.set.election;
-        if let Role::Leader { next_beat, hand_over, .. } = &mut self.role {
+        if let Role::Leader {
+            next_beat,
+            hand_over,
+            ..
+        } = &mut self.role
+        {
             if hand_over.as_ref().is_some_and(|(_, until)| *until <= now) {
                 *hand_over = None;
             }
@@ -272,10 +304,15 @@
     }
 
     fn hears_majority(&self, now: Micros, within: Micros) -> bool {
-        let Role::Leader { progress, .. } = &self.role else { return false };
+        let Role::Leader { progress, .. } = &self.role else {
+            return false;
+        };
         let me = &self.set.me;
         let heard = |voter: &&Voter| {
-            *voter == me || progress.get(*voter).is_some_and(|progress| now - progress.heard <= within)
+            *voter == me
+                || progress
+                    .get(*voter)
+                    .is_some_and(|progress| now - progress.heard <= within)
         };
         self.is_majority(self.voters().iter().filter(heard).count())
     }
@@ -303,21 +340,48 @@
 
     /// Danger: asked once, two of three voters on links that lose would elect nobody for many rounds (Raft section 5.1).
     fn ask(&mut self, now: Micros) {
-        let (last_index, last_term, term) = (self.log.last_index(), self.log.last_term(), self.hard.term);
+        let (last_index, last_term, term) =
+            (self.log.last_index(), self.log.last_term(), self.hard.term);
         let handed = self.handed;
         let (said, term, body) = match &self.role {
-            Role::PreCandidate(granted) => (granted, term + 1, Body::PreVote { last_index, last_term }),
-            Role::Candidate(granted) => (granted, term, Body::Vote { last_index, last_term, handed }),
+            Role::PreCandidate(granted) => (
+                granted,
+                term + 1,
+                Body::PreVote {
+                    last_index,
+                    last_term,
+                },
+            ),
+            Role::Candidate(granted) => (
+                granted,
+                term,
+                Body::Vote {
+                    last_index,
+                    last_term,
+                    handed,
+                },
+            ),
             _ => return,
         };
         let silent = self.voters().iter().filter(|voter| !said.contains(*voter));
         let silent: Vec<Voter> = silent.cloned().collect();
         self.next_ask = now + self.set.heartbeat;
-        silent.iter().for_each(|voter| self.send(voter, Message { term, body: body.clone() }));
+        silent.iter().for_each(|voter| {
+            self.send(
+                voter,
+                Message {
+                    term,
+                    body: body.clone(),
+                },
+            )
+        });
     }
 
     fn campaign(&mut self, now: Micros, handed: bool) {
-        self.hard = HardState { term: self.hard.term + 1, vote: Some(self.set.me.clone()) };
+        self.hard = HardState {
+            term: self.hard.term + 1,
+            vote: Some(self.set.me.clone()),
+        };
         self.ready.hard = Some(self.hard.clone());
         self.leader = None;
         self.role = Role::Candidate(BTreeSet::from([self.set.me.clone()]));
@@ -331,10 +395,23 @@
 
     fn lead(&mut self, now: Micros) {
         let next = self.log.last_index() + 1;
-        let new = |heard| Progress { next, matched: 0, heard, sent: None };
-        let progress = self.voters().iter().map(|voter| (voter.clone(), new(now))).collect();
-        self.role =
-            Role::Leader { progress, first: next, next_beat: now + self.set.heartbeat, hand_over: None };
+        let new = |heard| Progress {
+            next,
+            matched: 0,
+            heard,
+            sent: None,
+        };
+        let progress = self
+            .voters()
+            .iter()
+            .map(|voter| (voter.clone(), new(now)))
+            .collect();
+        self.role = Role::Leader {
+            progress,
+            first: next,
+            next_beat: now + self.set.heartbeat,
+            hand_over: None,
+        };
         self.leader = Some(self.set.me.clone());
         self.push(now, Payload::Nothing);
     }
@@ -362,12 +439,23 @@
     pub fn hear(&mut self, now: Micros, from: &Voter, message: Message) {
         let Message { term, body } = message;
         // A leader that was heard just now stands against all who would replace it unasked (Diss. section 4.2.3).
-        let settled = self.leader.is_some() && (self.is_leader() || now - self.heard < self.set.election);
+        let settled =
+            self.leader.is_some() && (self.is_leader() || now - self.heard < self.set.election);
         match &body {
-            Body::PreVote { last_index, last_term } => {
-                let granted = term > self.hard.term && !settled && self.is_as_new(*last_index, *last_term);
+            Body::PreVote {
+                last_index,
+                last_term,
+            } => {
+                let granted =
+                    term > self.hard.term && !settled && self.is_as_new(*last_index, *last_term);
                 let answer = if granted { term } else { self.hard.term };
-                return self.send(from, Message { term: answer, body: Body::PreVoteAnswer { granted } });
+                return self.send(
+                    from,
+                    Message {
+                        term: answer,
+                        body: Body::PreVoteAnswer { granted },
+                    },
+                );
             }
             Body::PreVoteAnswer { granted: true } => return self.hear_pre_vote(now, from, term),
             Body::Vote { handed: false, .. } if settled && term > self.hard.term => return,
@@ -381,17 +469,26 @@
             // Danger: one with an older term would go on leading.
             let term = self.hard.term;
             let answer = match body {
-                Body::Append { .. } | Body::Install { .. } => Body::AppendAnswer { matched: None, hint: 0 },
+                Body::Append { .. } | Body::Install { .. } => Body::AppendAnswer {
+                    matched: None,
+                    hint: 0,
+                },
                 Body::Vote { .. } => Body::VoteAnswer { granted: false },
                 _ => return,
             };
             return self.send(from, Message { term, body: answer });
         }
         match body {
-            Body::Vote { last_index, last_term, .. } => self.hear_vote(now, from, last_index, last_term),
+            Body::Vote {
+                last_index,
+                last_term,
+                ..
+            } => self.hear_vote(now, from, last_index, last_term),
             Body::VoteAnswer { granted: true } => {
                 let counts = self.voters().contains(from);
-                let Role::Candidate(granted) = &mut self.role else { return };
+                let Role::Candidate(granted) = &mut self.role else {
+                    return;
+                };
                 if counts {
                     granted.insert(from.clone());
                 }
@@ -400,10 +497,17 @@
                     self.lead(now);
                 }
             }
-            Body::Append { prev_index, prev_term, entries, commit } => {
+            Body::Append {
+                prev_index,
+                prev_term,
+                entries,
+                commit,
+            } => {
                 self.hear_append(now, from, prev_index, prev_term, entries, commit);
             }
-            Body::AppendAnswer { matched, hint } => self.hear_append_answer(now, from, matched, hint),
+            Body::AppendAnswer { matched, hint } => {
+                self.hear_append_answer(now, from, matched, hint)
+            }
             Body::Install { snapshot } => self.hear_install(now, from, snapshot),
             Body::Campaign if self.leader.as_ref() == Some(from) && self.is_voter() => {
                 self.campaign(now, true)
@@ -414,7 +518,9 @@
 
     fn hear_pre_vote(&mut self, now: Micros, from: &Voter, term: Term) {
         let counts = self.voters().contains(from) && term == self.hard.term + 1;
-        let Role::PreCandidate(granted) = &mut self.role else { return };
+        let Role::PreCandidate(granted) = &mut self.role else {
+            return;
+        };
         if counts {
             granted.insert(from.clone());
         }
@@ -434,7 +540,13 @@
             self.ready.hard = Some(self.hard.clone());
             self.put_off(now);
         }
-        self.send(from, Message { term: self.hard.term, body: Body::VoteAnswer { granted } });
+        self.send(
+            from,
+            Message {
+                term: self.hard.term,
+                body: Body::VoteAnswer { granted },
+            },
+        );
     }
 
     fn hear_append(
@@ -449,10 +561,20 @@
         self.follow(now, self.hard.term, Some(from.clone()));
         let term = self.hard.term;
         // What lies behind the snapshot is settled, and so the same.
-        let known = prev_index < self.log.snapshot.index || self.log.term(prev_index) == Some(prev_term);
+        let known =
+            prev_index < self.log.snapshot.index || self.log.term(prev_index) == Some(prev_term);
         if !known {
             let hint = self.hint(prev_index);
-            return self.send(from, Message { term, body: Body::AppendAnswer { matched: None, hint } });
+            return self.send(
+                from,
+                Message {
+                    term,
+                    body: Body::AppendAnswer {
+                        matched: None,
+                        hint,
+                    },
+                },
+            );
         }
         let mut at = prev_index;
         for entry in entries {
@@ -470,13 +592,24 @@
         }
         // Only what is the leader's own, as far as it was told: what stands behind may be void (Raft section 5.3).
         self.commit = self.commit.max(commit.min(at));
-        self.send(from, Message { term, body: Body::AppendAnswer { matched: Some(at), hint: 0 } });
+        self.send(
+            from,
+            Message {
+                term,
+                body: Body::AppendAnswer {
+                    matched: Some(at),
+                    hint: 0,
+                },
+            },
+        );
     }
 
     /// Where a leader should look next: before the first entry of the term that did not fit.
     fn hint(&self, prev_index: Index) -> Index {
         let mut at = prev_index.min(self.log.last_index() + 1);
-        let Some(term) = self.log.term(at) else { return at.max(1) };
+        let Some(term) = self.log.term(at) else {
+            return at.max(1);
+        };
         while at > self.log.snapshot.index + 1 && self.log.term(at - 1) == Some(term) {
             at -= 1;
         }
@@ -502,7 +635,9 @@
         }
         if index > self.commit {
             self.log.compact(snapshot.clone());
-            self.ready.append.retain(|(at, _)| *at > index && self.log.get(*at).is_some());
+            self.ready
+                .append
+                .retain(|(at, _)| *at > index && self.log.get(*at).is_some());
             self.ready.snapshot = Some(snapshot.clone());
             self.ready.restored = Some(snapshot);
             self.ready.settled.clear();
@@ -510,13 +645,34 @@
             self.synced = self.synced.clamp(index, self.log.last_index().max(index));
         }
         let matched = Some(self.commit.min(index));
-        self.send(from, Message { term, body: Body::AppendAnswer { matched, hint: 0 } });
+        self.send(
+            from,
+            Message {
+                term,
+                body: Body::AppendAnswer { matched, hint: 0 },
+            },
+        );
     }
 
-    fn hear_append_answer(&mut self, now: Micros, from: &Voter, matched: Option<Index>, hint: Index) {
+    fn hear_append_answer(
+        &mut self,
+        now: Micros,
+        from: &Voter,
+        matched: Option<Index>,
+        hint: Index,
+    ) {
         let last = self.log.last_index();
-        let Role::Leader { progress, hand_over, .. } = &mut self.role else { return };
-        let Some(of) = progress.get_mut(from) else { return };
+        let Role::Leader {
+            progress,
+            hand_over,
+            ..
+        } = &mut self.role
+        else {
+            return;
+        };
+        let Some(of) = progress.get_mut(from) else {
+            return;
+        };
         (of.heard, of.sent) = (now, None);
         let before = (of.matched, of.next);
         match matched {
@@ -537,7 +693,13 @@
         }
         if handed {
             let term = self.hard.term;
-            self.send(from, Message { term, body: Body::Campaign });
+            self.send(
+                from,
+                Message {
+                    term,
+                    body: Body::Campaign,
+                },
+            );
         }
         if behind && self.is_leader() {
             self.send_log(now, from);
@@ -547,7 +709,10 @@
     // --- leading ---
 
     fn push(&mut self, now: Micros, payload: Payload) -> Index {
-        let entry = Entry { term: self.hard.term, payload };
+        let entry = Entry {
+            term: self.hard.term,
+            payload,
+        };
         let index = self.log.push(entry.clone());
         self.ready.append.push((index, entry));
         self.send_all(now, false);
@@ -571,7 +736,13 @@
     /// Adds a voter or removes one (Diss. section 4.1): majorities before and after share one. Danger: before the leader
     /// has settled an entry of its own term, two changes by two leaders could overlap (the bug found in 2015).
     pub fn change(&mut self, now: Micros, voters: Vec<Voter>) -> Result<Index, Refusal> {
-        let Role::Leader { first, hand_over, progress, .. } = &self.role else {
+        let Role::Leader {
+            first,
+            hand_over,
+            progress,
+            ..
+        } = &self.role
+        else {
             return Err(Refusal::NotLeader(self.leader.clone()));
         };
         if hand_over.is_some() {
@@ -580,15 +751,25 @@
         let (at, current) = self.log.voters();
         let new = voters.iter().filter(|voter| !current.contains(voter));
         // Danger: counted before it has the log, one more loss leaves no majority that has it (Diss. section 4.2.1).
-        let has_log = |voter: &Voter| progress.get(voter).is_some_and(|of| of.matched >= self.commit);
+        let has_log = |voter: &Voter| {
+            progress
+                .get(voter)
+                .is_some_and(|of| of.matched >= self.commit)
+        };
         if !new.clone().all(has_log) {
             return Err(Refusal::Behind);
         }
         if at > self.commit || *first > self.commit {
             return Err(Refusal::Changing);
         }
-        let added = voters.iter().filter(|voter| !current.contains(voter)).count();
-        let removed = current.iter().filter(|voter| !voters.contains(voter)).count();
+        let added = voters
+            .iter()
+            .filter(|voter| !current.contains(voter))
+            .count();
+        let removed = current
+            .iter()
+            .filter(|voter| !voters.contains(voter))
+            .count();
         if added + removed != 1 || voters.is_empty() {
             return Err(Refusal::Step);
         }
@@ -600,46 +781,87 @@
         let known = self.voters().contains(to) && *to != self.set.me;
         let (until, term) = (now + self.set.election, self.hard.term);
         let last = self.log.last_index();
-        let Role::Leader { hand_over, progress, .. } = &mut self.role else {
+        let Role::Leader {
+            hand_over,
+            progress,
+            ..
+        } = &mut self.role
+        else {
             return Err(Refusal::NotLeader(self.leader.clone()));
         };
         if !known {
             return Err(Refusal::Step);
         }
         *hand_over = Some((to.clone(), until));
-        if progress.get(to).is_some_and(|progress| progress.matched == last) {
-            self.send(to, Message { term, body: Body::Campaign });
+        if progress
+            .get(to)
+            .is_some_and(|progress| progress.matched == last)
+        {
+            self.send(
+                to,
+                Message {
+                    term,
+                    body: Body::Campaign,
+                },
+            );
         }
         Ok(())
     }
 
     /// Settles what a majority has (Raft section 5.4.2): only entries of its own term by counting, and all before them.
     fn advance(&mut self) {
-        let Role::Leader { progress, .. } = &self.role else { return };
-        let mut matched: Vec<Index> =
-            self.voters().iter().map(|voter| progress.get(voter).map_or(0, |of| of.matched)).collect();
+        let Role::Leader { progress, .. } = &self.role else {
+            return;
+        };
+        let mut matched: Vec<Index> = self
+            .voters()
+            .iter()
+            .map(|voter| progress.get(voter).map_or(0, |of| of.matched))
+            .collect();
         matched.sort_unstable();
-        let Some(majority) = matched.get((matched.len() - 1) / 2).copied() else { return };
+        let Some(majority) = matched.get((matched.len() - 1) / 2).copied() else {
+            return;
+        };
         if majority > self.commit && self.log.term(majority) == Some(self.hard.term) {
             self.commit = majority;
         }
     }
 
     fn send_all(&mut self, now: Micros, beat: bool) {
-        let others = self.voters().iter().chain(&self.learners).filter(|voter| **voter != self.set.me);
+        let others = self
+            .voters()
+            .iter()
+            .chain(&self.learners)
+            .filter(|voter| **voter != self.set.me);
         let others: BTreeSet<Voter> = others.cloned().collect();
         let next = self.log.last_index();
         let election = self.set.election;
-        let Role::Leader { progress, .. } = &mut self.role else { return };
+        let Role::Leader { progress, .. } = &mut self.role else {
+            return;
+        };
         progress.retain(|voter, _| others.contains(voter) || *voter == self.set.me);
-        progress.entry(self.set.me.clone()).or_insert(Progress { next, matched: 0, heard: now, sent: None });
+        progress.entry(self.set.me.clone()).or_insert(Progress {
+            next,
+            matched: 0,
+            heard: now,
+            sent: None,
+        });
         for voter in &others {
-            let new = Progress { next, matched: 0, heard: now - election, sent: None };
+            let new = Progress {
+                next,
+                matched: 0,
+                heard: now - election,
+                sent: None,
+            };
             progress.entry(voter.clone()).or_insert(new);
         }
         for voter in others {
-            let Role::Leader { progress, .. } = &self.role else { return };
-            let waits = progress.get(&voter).is_some_and(|progress| progress.sent.is_some());
+            let Role::Leader { progress, .. } = &self.role else {
+                return;
+            };
+            let waits = progress
+                .get(&voter)
+                .is_some_and(|progress| progress.sent.is_some());
             if beat || !waits {
                 self.send_log(now, &voter);
             }
@@ -649,16 +871,27 @@
     /// The next entries for one, or a snapshot where they are gone; without news, that it is led.
     fn send_log(&mut self, now: Micros, to: &Voter) {
         let (term, last) = (self.hard.term, self.log.last_index());
-        let Role::Leader { progress, .. } = &mut self.role else { return };
-        let Some(of) = progress.get_mut(to) else { return };
+        let Role::Leader { progress, .. } = &mut self.role else {
+            return;
+        };
+        let Some(of) = progress.get_mut(to) else {
+            return;
+        };
         of.sent = (of.next <= last).then_some(now);
         let prev_index = of.next.saturating_sub(1);
         let body = match self.log.term(prev_index) {
             Some(prev_term) => {
                 let entries = self.log.from(of.next, self.set.batch_bytes);
-                Body::Append { prev_index, prev_term, entries, commit: self.commit }
+                Body::Append {
+                    prev_index,
+                    prev_term,
+                    entries,
+                    commit: self.commit,
+                }
             }
-            None => Body::Install { snapshot: self.log.snapshot.clone() },
+            None => Body::Install {
+                snapshot: self.log.snapshot.clone(),
+            },
         };
         self.send(to, Message { term, body });
     }
@@ -671,7 +904,9 @@
 
     fn settle(&mut self) {
         while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied + 1) else { return };
+            let Some(entry) = self.log.get(self.applied + 1) else {
+                return;
+            };
             self.ready.settled.push((self.applied + 1, entry.clone()));
             self.applied += 1;
         }
@@ -682,15 +917,25 @@
         if index <= self.log.snapshot.index || index > self.applied {
             return;
         }
-        let Some(term) = self.log.term(index) else { return };
+        let Some(term) = self.log.term(index) else {
+            return;
+        };
         // The voters as of that entry.
         let mut before = Log::new(self.log.snapshot.clone(), Vec::new());
-        (self.log.snapshot.index + 1..=index).filter_map(|at| self.log.get(at)).for_each(|entry| {
-            before.push(entry.clone());
-        });
+        (self.log.snapshot.index + 1..=index)
+            .filter_map(|at| self.log.get(at))
+            .for_each(|entry| {
+                before.push(entry.clone());
+            });
         let voters = before.voters().1.to_vec();
         let founding = self.log.snapshot.founding;
-        let snapshot = Snapshot { index, term, voters, founding, data };
+        let snapshot = Snapshot {
+            index,
+            term,
+            voters,
+            founding,
+            data,
+        };
         self.log.compact(snapshot.clone());
         self.ready.snapshot = Some(snapshot);
         self.ready.append.retain(|(at, _)| *at > index);
--- a/crates/stairfront-raft/src/settings.rs
+++ b/crates/stairfront-raft/src/settings.rs
@@ -21,6 +21,12 @@
 
 impl Settings {
     pub fn new(me: Voter, seed: u64) -> Self {
-        Settings { me, heartbeat: 100 * MS, election: SECOND, batch_bytes: 16 * 1024, seed }
+        Settings {
+            me,
+            heartbeat: 100 * MS,
+            election: SECOND,
+            batch_bytes: 16 * 1024,
+            seed,
+        }
     }
 }
