--- a/crates/stairfront-settings/src/lib.rs
+++ b/crates/stairfront-settings/src/lib.rs
@@ -8,8 +8,8 @@
 
 use serde::Deserialize;
 use stairfront_policy::interface::{
-    CacheMode, Class, DeduplicationScope, DiscoveryMode, Idempotency, Kind, Limits, Micros, ReportField,
-    Rules, Settings, TailLatency, Tenant, Zone, MS,
+    CacheMode, Class, DeduplicationScope, DiscoveryMode, Idempotency, Kind, Limits, Micros,
+    ReportField, Rules, Settings, TailLatency, Tenant, Zone, MS,
 };
 
 /// What a key of the settings has that it should not have.
@@ -23,7 +23,10 @@
 
 impl SettingsError {
     fn new(key: impl Into<String>, problem: impl Into<String>) -> Self {
-        SettingsError { key: key.into(), problem: problem.into() }
+        SettingsError {
+            key: key.into(),
+            problem: problem.into(),
+        }
     }
 }
 
@@ -62,13 +65,20 @@
     /// As the simulator's wire has them.
     pub fn from_text(text: &str) -> Result<Self, SettingsError> {
         let raw = Raw::read(&mut serde_json::Deserializer::from_str(text))?;
-        raw.faults().into_iter().next().map_or_else(|| raw.start(), Err)
+        raw.faults()
+            .into_iter()
+            .next()
+            .map_or_else(|| raw.start(), Err)
     }
 
     /// As an operator wrote them: two shapes of deployment in one are refused too.
     pub fn from_value(value: serde_json::Value) -> Result<Self, SettingsError> {
         let raw = Raw::read(value)?;
-        raw.faults().into_iter().chain(raw.mixes()).next().map_or_else(|| raw.start(), Err)
+        raw.faults()
+            .into_iter()
+            .chain(raw.mixes())
+            .next()
+            .map_or_else(|| raw.start(), Err)
     }
 
     /// Every fault that the settings have; none if `from_value` takes them.
@@ -226,7 +236,10 @@
 
 impl Default for RawFamily {
     fn default() -> Self {
-        RawFamily { mode: String::new(), origin_kind: no_kind() }
+        RawFamily {
+            mode: String::new(),
+            origin_kind: no_kind(),
+        }
     }
 }
 
@@ -253,7 +266,10 @@
 
 fn class(i: usize, raw: &RawClass) -> Result<Class, SettingsError> {
     let unknown = |key: &str, word: &str| {
-        Err(SettingsError::new(format!("profiles[{i}].{key}"), format!("unknown word {word:?}")))
+        Err(SettingsError::new(
+            format!("profiles[{i}].{key}"),
+            format!("unknown word {word:?}"),
+        ))
     };
     let semantics = match raw.semantics.as_str() {
         "free" => Idempotency::Idempotent,
@@ -305,7 +321,11 @@
 
     /// Figures that would only show up as strange decisions hours later.
     fn faults(&self) -> Vec<SettingsError> {
-        let mut checks = vec![must(!self.profiles.is_empty(), "profiles", "at least one class is needed")];
+        let mut checks = vec![must(
+            !self.profiles.is_empty(),
+            "profiles",
+            "at least one class is needed",
+        )];
         for (i, class) in self.profiles.iter().enumerate() {
             let key = |name: &str| format!("profiles[{i}].{name}");
             checks.push(positive(key("aim"), class.aim));
@@ -314,7 +334,10 @@
             checks.push(share(key("late_worth"), class.late_worth));
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            checks.push(at_least_zero(format!("tenants[{i}].quota_rps"), tenant.quota_rps));
+            checks.push(at_least_zero(
+                format!("tenants[{i}].quota_rps"),
+                tenant.quota_rps,
+            ));
         }
         let rules = &self.rules;
         checks.extend([
@@ -324,7 +347,11 @@
             time("caps.connect_timeout", self.caps.connect_timeout),
             positive("caps.keepalive", self.caps.keepalive),
             must(self.caps.open_cap > 0, "caps.open_cap", "must be above 0"),
-            must(self.caps.most_tries > 0, "caps.most_tries", "must be above 0"),
+            must(
+                self.caps.most_tries > 0,
+                "caps.most_tries",
+                "must be above 0",
+            ),
             time("rules.answer_slack", rules.answer_slack),
             time("rules.ask_every", rules.ask_every),
             time("rules.stop_sending_within", rules.stop_sending_within),
@@ -339,14 +366,24 @@
     }
 
     fn start(&self) -> Result<Start, SettingsError> {
-        let mode = match (self.family_info.mode.as_str(), u16::try_from(self.family_info.origin_kind)) {
+        let mode = match (
+            self.family_info.mode.as_str(),
+            u16::try_from(self.family_info.origin_kind),
+        ) {
             ("aside", Ok(kind)) => CacheMode::Aside { origin: Kind(kind) },
             ("aside", Err(_)) => {
-                return Err(SettingsError::new("family_info.origin_kind", "mode aside needs an origin kind"))
+                return Err(SettingsError::new(
+                    "family_info.origin_kind",
+                    "mode aside needs an origin kind",
+                ))
             }
             _ => CacheMode::Through,
         };
-        let classes = self.profiles.iter().enumerate().map(|(i, raw)| class(i, raw));
+        let classes = self
+            .profiles
+            .iter()
+            .enumerate()
+            .map(|(i, raw)| class(i, raw));
         let classes = classes.collect::<Result<Vec<_>, _>>()?;
         Ok(Start {
             names: Names {
@@ -356,20 +393,30 @@
                 kinds: self.models.clone(),
                 report: self.report.fields.clone(),
             },
-            host: HostLimits { open_requests: self.caps.open_cap, idle: us(self.caps.keepalive) },
+            host: HostLimits {
+                open_requests: self.caps.open_cap,
+                idle: us(self.caps.keepalive),
+            },
             settings: self.settings(mode, classes),
         })
     }
 
     fn settings(&self, mode: CacheMode, classes: Vec<Class>) -> Settings {
-        let tenant = |t: &RawTenant| Tenant { quota_per_s: t.quota_rps, share: t.share };
+        let tenant = |t: &RawTenant| Tenant {
+            quota_per_s: t.quota_rps,
+            share: t.share,
+        };
         Settings {
             instance: self.me,
             balancers: self.replicas_of_me.max(1),
             zone: Zone(self.locality),
             tick: us(self.tick),
             mode,
-            discovery: if self.registry_mode == "ask" { DiscoveryMode::Poll } else { DiscoveryMode::Push },
+            discovery: if self.registry_mode == "ask" {
+                DiscoveryMode::Poll
+            } else {
+                DiscoveryMode::Push
+            },
             classes,
             tenants: self.tenants.iter().map(tenant).collect(),
             over_share_weight: self.over_share_worth,
@@ -393,7 +440,11 @@
             may_cancel: self.cancel,
             may_probe: self.probes,
             may_gossip: self.peer_messages,
-            max_retry_after: if self.retry_after { us(self.max_retry_after) } else { 0 },
+            max_retry_after: if self.retry_after {
+                us(self.max_retry_after)
+            } else {
+                0
+            },
             connect_timeout: us(self.connect_timeout),
         }
     }
@@ -415,15 +466,24 @@
 }
 
 fn must(good: bool, key: impl Into<String>, problem: &str) -> Result<(), SettingsError> {
-    good.then_some(()).ok_or_else(|| SettingsError::new(key, problem))
+    good.then_some(())
+        .ok_or_else(|| SettingsError::new(key, problem))
 }
 
 fn positive(key: impl Into<String>, ms: f64) -> Result<(), SettingsError> {
-    must(ms > 0.0 && ms <= LONGEST_MS, key, "must be a time in milliseconds above 0, a day at most")
+    must(
+        ms > 0.0 && ms <= LONGEST_MS,
+        key,
+        "must be a time in milliseconds above 0, a day at most",
+    )
 }
 
 fn time(key: impl Into<String>, ms: f64) -> Result<(), SettingsError> {
-    must((0.0..=LONGEST_MS).contains(&ms), key, "must be a time in milliseconds, a day at most")
+    must(
+        (0.0..=LONGEST_MS).contains(&ms),
+        key,
+        "must be a time in milliseconds, a day at most",
+    )
 }
 
 fn share(key: impl Into<String>, value: f64) -> Result<(), SettingsError> {
--- a/crates/stairfront-settings/src/retune.rs
+++ b/crates/stairfront-settings/src/retune.rs
@@ -31,14 +31,30 @@
 impl Start {
     /// These settings as they follow those in use, of which `retired` classes were dropped before.
     pub fn following(self, in_use: &Start, retired: &[usize]) -> Retuned {
-        let Start { settings: new, names, host } = self;
-        let (mut classes, mut class_names) = (in_use.settings.classes.clone(), in_use.names.classes.clone());
-        let mut dropped: Vec<usize> =
-            (0..classes.len()).filter(|i| !names.classes.contains(&class_names[*i])).collect();
+        let Start {
+            settings: new,
+            names,
+            host,
+        } = self;
+        let (mut classes, mut class_names) = (
+            in_use.settings.classes.clone(),
+            in_use.names.classes.clone(),
+        );
+        let mut dropped: Vec<usize> = (0..classes.len())
+            .filter(|i| !names.classes.contains(&class_names[*i]))
+            .collect();
         // Those dropped by an earlier file are long over; the places of the latest are kept.
-        let mut free: Vec<usize> = dropped.iter().copied().filter(|i| retired.contains(i)).collect();
+        let mut free: Vec<usize> = dropped
+            .iter()
+            .copied()
+            .filter(|i| retired.contains(i))
+            .collect();
         for (name, class) in names.classes.iter().zip(&new.classes) {
-            match class_names.iter().position(|known| known == name).or_else(|| free.pop()) {
+            match class_names
+                .iter()
+                .position(|known| known == name)
+                .or_else(|| free.pop())
+            {
                 Some(i) => {
                     (class_names[i], classes[i]) = (name.clone(), *class);
                     dropped.retain(|other| *other != i);
@@ -63,7 +79,19 @@
             sized: kept.sized,
             ..new
         };
-        let names = Names { classes: class_names, tenants: names.tenants, ..in_use.names.clone() };
-        Retuned { start: Start { settings, names, host }, retired: dropped, tenants }
+        let names = Names {
+            classes: class_names,
+            tenants: names.tenants,
+            ..in_use.names.clone()
+        };
+        Retuned {
+            start: Start {
+                settings,
+                names,
+                host,
+            },
+            retired: dropped,
+            tenants,
+        }
     }
 }
--- a/crates/stairfront-simulator-adapter/src/host.rs
+++ b/crates/stairfront-simulator-adapter/src/host.rs
@@ -34,7 +34,12 @@
         reply: &mut Reply,
     ) -> Result<(), FrameError> {
         let Some(instance) = event.instance() else {
-            if let WireEvent::Sheet { sheet, lines, record } = event {
+            if let WireEvent::Sheet {
+                sheet,
+                lines,
+                record,
+            } = event
+            {
                 wire::members(lines, record, self.sheets.entry(sheet).or_default())?;
             }
             return Ok(());
@@ -46,7 +51,8 @@
                     field: "params",
                     problem: error.to_string(),
                 })?;
-                self.instances.insert(instance, Policy::new(start.settings, seed));
+                self.instances
+                    .insert(instance, Policy::new(start.settings, seed));
                 return Ok(());
             }
             WireEvent::Killed { .. } => {
@@ -59,7 +65,11 @@
                     (_, Some(lines)) => lines.as_slice(),
                     (_, None) => {
                         let problem = format!("no SHEET {sheet} came before");
-                        return Err(FrameError::Field { record, field: "ref", problem });
+                        return Err(FrameError::Field {
+                            record,
+                            field: "ref",
+                            problem,
+                        });
                     }
                 };
                 Event::EndpointList(match scope {
@@ -74,17 +84,33 @@
             WireEvent::Fired { nonce, .. } => Event::Timer { token: nonce },
             WireEvent::Withdrawn { id, .. } => Event::ClientDisconnected { id },
             WireEvent::HeadReceived { id, attempt, .. } => Event::ResponseStarted { id, attempt },
-            WireEvent::HealthResult { cache, outcome, elapsed, load, .. } => {
-                Event::HealthChecked { cache, outcome, elapsed, load }
-            }
-            WireEvent::NeighbourSays { author, content, .. } => {
-                Event::PeerMessage { from: author, body: content }
-            }
+            WireEvent::HealthResult {
+                cache,
+                outcome,
+                elapsed,
+                load,
+                ..
+            } => Event::HealthChecked {
+                cache,
+                outcome,
+                elapsed,
+                load,
+            },
+            WireEvent::NeighbourSays {
+                author, content, ..
+            } => Event::PeerMessage {
+                from: author,
+                body: content,
+            },
             WireEvent::Sheet { .. } => return Ok(()),
         };
         let Some(policy) = self.instances.get_mut(&instance) else {
             let problem = format!("instance {instance} was never started");
-            return Err(FrameError::Field { record, field: "i", problem });
+            return Err(FrameError::Field {
+                record,
+                field: "i",
+                problem,
+            });
         };
         self.actions.clear();
         let actions = &mut self.actions;
--- a/crates/stairfront-simulator-adapter/src/wire.rs
+++ b/crates/stairfront-simulator-adapter/src/wire.rs
@@ -45,7 +45,11 @@
             FrameError::Header { field, value } => {
                 write!(f, "batch header: {field} is out of range: {value}")
             }
-            FrameError::Field { record, field, problem } => write!(f, "record {record}, {field}: {problem}"),
+            FrameError::Field {
+                record,
+                field,
+                problem,
+            } => write!(f, "record {record}, {field}: {problem}"),
         }
     }
 }
@@ -58,17 +62,29 @@
         return Ok(false);
     }
     if got < BATCH_HEADER {
-        return Err(FrameError::Truncated { got, wanted: BATCH_HEADER });
+        return Err(FrameError::Truncated {
+            got,
+            wanted: BATCH_HEADER,
+        });
     }
     let size = u32::from_le_bytes([frame[8], frame[9], frame[10], frame[11]]) as usize;
     if !(BATCH_HEADER..=MAX_FRAME).contains(&size) {
-        return Err(FrameError::Header { field: "length", value: size as u64 });
+        return Err(FrameError::Header {
+            field: "length",
+            value: size as u64,
+        });
     }
     // Grown as the bytes arrive, so that a false length cannot claim memory for nothing.
-    let rest =
-        input.by_ref().take((size - BATCH_HEADER) as u64).read_to_end(frame).map_err(FrameError::Io)?;
+    let rest = input
+        .by_ref()
+        .take((size - BATCH_HEADER) as u64)
+        .read_to_end(frame)
+        .map_err(FrameError::Io)?;
     if BATCH_HEADER + rest < size {
-        return Err(FrameError::Truncated { got: BATCH_HEADER + rest, wanted: size });
+        return Err(FrameError::Truncated {
+            got: BATCH_HEADER + rest,
+            wanted: size,
+        });
     }
     Ok(true)
 }
@@ -96,21 +112,40 @@
 impl<'a> Batch<'a> {
     pub fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
         if frame.len() < BATCH_HEADER {
-            return Err(FrameError::Truncated { got: frame.len(), wanted: BATCH_HEADER });
+            return Err(FrameError::Truncated {
+                got: frame.len(),
+                wanted: BATCH_HEADER,
+            });
         }
-        let header = Record { bytes: &frame[..BATCH_HEADER], index: 0 };
+        let header = Record {
+            bytes: &frame[..BATCH_HEADER],
+            index: 0,
+        };
         let now = header.f64(0);
-        let now = to_micros(now).ok_or(FrameError::Header { field: "clock", value: now.to_bits() })?;
+        let now = to_micros(now).ok_or(FrameError::Header {
+            field: "clock",
+            value: now.to_bits(),
+        })?;
         let (size, count) = (header.u32(8) as usize, header.u32(12) as usize);
         if size != frame.len() {
-            return Err(FrameError::Header { field: "length", value: size as u64 });
+            return Err(FrameError::Header {
+                field: "length",
+                value: size as u64,
+            });
         }
-        let end = count.checked_mul(EVENT_SIZE).and_then(|n| n.checked_add(BATCH_HEADER));
+        let end = count
+            .checked_mul(EVENT_SIZE)
+            .and_then(|n| n.checked_add(BATCH_HEADER));
         match end {
-            Some(end) if end <= frame.len() => {
-                Ok(Batch { now, records: &frame[BATCH_HEADER..end], tail: &frame[end..] })
-            }
-            _ => Err(FrameError::Header { field: "number of records", value: count as u64 }),
+            Some(end) if end <= frame.len() => Ok(Batch {
+                now,
+                records: &frame[BATCH_HEADER..end],
+                tail: &frame[end..],
+            }),
+            _ => Err(FrameError::Header {
+                field: "number of records",
+                value: count as u64,
+            }),
         }
     }
 
@@ -133,17 +168,60 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum WireEvent<'a> {
-    Sheet { sheet: u16, lines: &'a [u8], record: usize },
-    WorkItem { instance: u16, request: Request },
-    Settled { instance: u16, settled: AttemptResult },
-    Fired { instance: u16, nonce: u64 },
-    Withdrawn { instance: u16, id: RequestId },
-    RosterChange { instance: u16, sheet: u16, version: u32, scope: Scope },
-    Boot { instance: u16, seed: u64, params: &'a str },
-    HeadReceived { instance: u16, id: RequestId, attempt: u8, cache: CacheId, elapsed: Micros },
-    HealthResult { instance: u16, cache: CacheId, outcome: Outcome, elapsed: Micros, load: LoadReport },
-    Killed { instance: u16 },
-    NeighbourSays { instance: u16, author: u32, content: &'a [u8] },
+    Sheet {
+        sheet: u16,
+        lines: &'a [u8],
+        record: usize,
+    },
+    WorkItem {
+        instance: u16,
+        request: Request,
+    },
+    Settled {
+        instance: u16,
+        settled: AttemptResult,
+    },
+    Fired {
+        instance: u16,
+        nonce: u64,
+    },
+    Withdrawn {
+        instance: u16,
+        id: RequestId,
+    },
+    RosterChange {
+        instance: u16,
+        sheet: u16,
+        version: u32,
+        scope: Scope,
+    },
+    Boot {
+        instance: u16,
+        seed: u64,
+        params: &'a str,
+    },
+    HeadReceived {
+        instance: u16,
+        id: RequestId,
+        attempt: u8,
+        cache: CacheId,
+        elapsed: Micros,
+    },
+    HealthResult {
+        instance: u16,
+        cache: CacheId,
+        outcome: Outcome,
+        elapsed: Micros,
+        load: LoadReport,
+    },
+    Killed {
+        instance: u16,
+    },
+    NeighbourSays {
+        instance: u16,
+        author: u32,
+        content: &'a [u8],
+    },
 }
 
 impl WireEvent<'_> {
@@ -200,7 +278,11 @@
         CacheId(u64::from_le_bytes(raw))
     }
     fn error(&self, field: &'static str, problem: impl Into<String>) -> FrameError {
-        FrameError::Field { record: self.index, field, problem: problem.into() }
+        FrameError::Field {
+            record: self.index,
+            field,
+            problem: problem.into(),
+        }
     }
     fn time(&self, at: usize, field: &'static str) -> Result<Micros, FrameError> {
         let ms = self.f64(at);
@@ -219,7 +301,10 @@
             .and_then(|end| tail.get(offset..end))
             .ok_or_else(|| {
                 let room = tail.len();
-                self.error(field, format!("offset {offset}, length {len} outside a tail of {room} bytes"))
+                self.error(
+                    field,
+                    format!("offset {offset}, length {len} outside a tail of {room} bytes"),
+                )
             })
     }
     fn load(&self, at: usize) -> Result<LoadReport, FrameError> {
@@ -255,10 +340,22 @@
                 lines: self.tail(3, LINE_SIZE, tail, "lines")?,
                 record: self.index,
             },
-            2 => WireEvent::WorkItem { instance, request: self.request()? },
-            3 => WireEvent::Settled { instance, settled: self.settled()? },
-            4 => WireEvent::Fired { instance, nonce: self.u64(3) },
-            5 => WireEvent::Withdrawn { instance, id: RequestId(self.u32(3)) },
+            2 => WireEvent::WorkItem {
+                instance,
+                request: self.request()?,
+            },
+            3 => WireEvent::Settled {
+                instance,
+                settled: self.settled()?,
+            },
+            4 => WireEvent::Fired {
+                instance,
+                nonce: self.u64(3),
+            },
+            5 => WireEvent::Withdrawn {
+                instance,
+                id: RequestId(self.u32(3)),
+            },
             6 => WireEvent::RosterChange {
                 instance,
                 sheet: self.u16(3),
@@ -336,7 +433,10 @@
 pub fn members(lines: &[u8], record: usize, out: &mut Vec<Endpoint>) -> Result<(), FrameError> {
     out.clear();
     for bytes in lines.chunks_exact(LINE_SIZE) {
-        let line = Record { bytes, index: record };
+        let line = Record {
+            bytes,
+            index: record,
+        };
         out.push(Endpoint {
             size: line.f32(0),
             id: line.cache(4),
@@ -382,7 +482,9 @@
         let mut record = [0; ACTION_SIZE];
         record[1..3].copy_from_slice(&instance.to_le_bytes());
         record[0] = match action {
-            Action::Send { id, cache, timeout, .. } => {
+            Action::Send {
+                id, cache, timeout, ..
+            } => {
                 record[3..7].copy_from_slice(&id.0.to_le_bytes());
                 put_cache(&mut record, 7, *cache);
                 put_ms(&mut record, 13, *timeout);
--- a/crates/stairfront/src/command_line.rs
+++ b/crates/stairfront/src/command_line.rs
@@ -36,8 +36,10 @@
 #[derive(Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM.
-    #[command(after_help = "Examples:\n  stairfront serve --config deploy/stairfront.toml\n  \
-                            ROUTER_CONFIG=config.json stairfront serve")]
+    #[command(
+        after_help = "Examples:\n  stairfront serve --config deploy/stairfront.toml\n  \
+                            ROUTER_CONFIG=config.json stairfront serve"
+    )]
     Serve {
         /// The configuration; without it ROUTER_CONFIG names it.
         #[arg(long)]
@@ -58,9 +60,11 @@
     #[command(subcommand)]
     StandIn(StandIn),
     /// Show who is there of a balancer's group, as that balancer sees it.
-    #[command(after_help = "Examples:\n  stairfront members --ops 127.0.0.1:19000\n  \
+    #[command(
+        after_help = "Examples:\n  stairfront members --ops 127.0.0.1:19000\n  \
                             stairfront members --ops 127.0.0.1:19000 --watch\n\n\
-                            Exit codes: 0 the group is whole, 1 it is not, 2 the balancer does not answer or is in none.")]
+                            Exit codes: 0 the group is whole, 1 it is not, 2 the balancer does not answer or is in none."
+    )]
     Members(MembersArguments),
     /// Plan the work at machines of a group of balancers, and show how far it is.
     #[command(
@@ -71,9 +75,11 @@
     )]
     Maintenance(MaintenanceArguments),
     /// Run an experiment with stand-ins, clients and balancer processes on this machine.
-    #[command(after_help = "Examples:\n  stairfront lab experiments/one-slow-cache.toml\n  \
+    #[command(
+        after_help = "Examples:\n  stairfront lab experiments/one-slow-cache.toml\n  \
                             stairfront lab experiments/knee.toml --json knee.json --report knee.html\n\n\
-                            Exit codes: 0 all rules held, 1 a rule was broken or a run failed, 2 a faulty experiment.")]
+                            Exit codes: 0 all rules held, 1 a rule was broken or a run failed, 2 a faulty experiment."
+    )]
     Lab(LabArguments),
 }
 
@@ -129,7 +135,11 @@
     /// End a plan; what is out stays out until its work is done.
     Drop { plan: u64 },
     /// Do not wait for a member's word at a machine, which it may still send to.
-    Force { plan: u64, machine: String, member: String },
+    Force {
+        plan: u64,
+        machine: String,
+        member: String,
+    },
 }
 
 #[derive(Args)]
@@ -153,7 +163,9 @@
 #[derive(Subcommand)]
 pub enum StandIn {
     /// A cache host that speaks RESP2.
-    #[command(after_help = "Example:\n  stairfront stand-in cache --listen 127.0.0.1:7001 --work-ms 5")]
+    #[command(
+        after_help = "Example:\n  stairfront stand-in cache --listen 127.0.0.1:7001 --work-ms 5"
+    )]
     Cache {
         #[arg(long)]
         listen: SocketAddr,
@@ -193,8 +205,10 @@
         seed: u64,
     },
     /// Discovery's agent with a list that does not change.
-    #[command(after_help = "Example:\n  stairfront stand-in discovery --listen 127.0.0.1:8500 \\\n    \
-                            --server c1=127.0.0.1:7001 --server origin=127.0.0.1:7000")]
+    #[command(
+        after_help = "Example:\n  stairfront stand-in discovery --listen 127.0.0.1:8500 \\\n    \
+                            --server c1=127.0.0.1:7001 --server origin=127.0.0.1:7000"
+    )]
     Discovery {
         #[arg(long)]
         listen: SocketAddr,
--- a/crates/stairfront/src/demo.rs
+++ b/crates/stairfront/src/demo.rs
@@ -11,8 +11,12 @@
 const EXPERIMENT: &str = include_str!("../../../experiments/demo.toml");
 
 pub fn demo() -> ExitCode {
-    eprintln!("Six stand-in caches, an origin, two balancers and their clients, all on this machine.");
-    eprintln!("Below: answers in each second, and the attempts that each cache and the origin got.\n");
+    eprintln!(
+        "Six stand-in caches, an origin, two balancers and their clients, all on this machine."
+    );
+    eprintln!(
+        "Below: answers in each second, and the attempts that each cache and the origin got.\n"
+    );
     let ran = Experiment::from_text("demo.toml", EXPERIMENT)
         .map_err(io::Error::other)
         .and_then(|experiment| compare::experiment(&experiment, &surroundings(Progress::Table)?));
--- a/crates/stairfront/src/door.rs
+++ b/crates/stairfront/src/door.rs
@@ -28,10 +28,21 @@
         let mut wire = Framed::new(socket, HttpCodec::new(LARGEST, &Budget::new(LARGEST)));
         let headers = vec![("Host", Bytes::from(ops.to_string()))];
         let body = body.map_or(Body::None, |body| Body::Here(body.into()));
-        let request = Request { method, target: target.to_string(), headers, body };
+        let request = Request {
+            method,
+            target: target.to_string(),
+            headers,
+            body,
+        };
         wire.send(request).await.map_err(io::Error::other)?;
-        let answer = wire.next().await.ok_or(io::ErrorKind::UnexpectedEof)?.map_err(io::Error::other)?;
+        let answer = wire
+            .next()
+            .await
+            .ok_or(io::ErrorKind::UnexpectedEof)?
+            .map_err(io::Error::other)?;
         Ok((answer.status, answer.body))
     };
-    timeout(LIMIT, whole).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(LIMIT, whole)
+        .await
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/stairfront/src/lab.rs
+++ b/crates/stairfront/src/lab.rs
@@ -22,7 +22,10 @@
     let beside = |name: &str| program.parent().unwrap_or(Path::new(".")).join(name);
     Ok(Surroundings {
         baseline: beside(BASELINE),
-        balancer: Build { program, arguments: vec!["serve".to_string()] },
+        balancer: Build {
+            program,
+            arguments: vec!["serve".to_string()],
+        },
         folder: env::temp_dir().join("stairfront-lab"),
         progress,
     })
@@ -39,7 +42,11 @@
     if !arguments.seeds.is_empty() {
         experiment.seeds.clone_from(&arguments.seeds);
     }
-    let progress = if arguments.quiet { Progress::Nothing } else { Progress::Line };
+    let progress = if arguments.quiet {
+        Progress::Nothing
+    } else {
+        Progress::Line
+    };
     let ran = surroundings(progress).and_then(|around| compare::experiment(&experiment, &around));
     let told = ran.and_then(|results| tell(&results, arguments).map(|()| results.rules_hold()));
     match told {
--- a/crates/stairfront/src/main.rs
+++ b/crates/stairfront/src/main.rs
@@ -18,7 +18,11 @@
 const FAULTY: u8 = 2;
 
 fn main() -> ExitCode {
-    let Arguments { log_format, log_level, command } = Arguments::parse();
+    let Arguments {
+        log_format,
+        log_level,
+        command,
+    } = Arguments::parse();
     match command {
         None => serve::serve(None, log_format, log_level),
         Some(Command::Serve { config }) => serve::serve(config.as_deref(), log_format, log_level),
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -16,7 +16,10 @@
 const PATH: &str = "/admin/maintenance";
 
 pub fn maintenance(arguments: &MaintenanceArguments) -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(problem) => return failed(&problem.to_string()),
     };
@@ -33,12 +36,20 @@
 }
 
 async fn carry_out(arguments: &MaintenanceArguments) -> io::Result<ExitCode> {
-    let MaintenanceArguments { ops, json, author, command } = arguments;
-    let author =
-        author.clone().or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "operator".to_string());
+    let MaintenanceArguments {
+        ops,
+        json,
+        author,
+        command,
+    } = arguments;
+    let author = author
+        .clone()
+        .or_else(|| std::env::var("USER").ok())
+        .unwrap_or_else(|| "operator".to_string());
     let act = |verb: &str, plan: &u64, more: &[(&str, &str)]| {
         let mut target = format!("{PATH}/{verb}?plan={plan}&author={}", escaped(&author));
-        more.iter().for_each(|(key, value)| target += &format!("&{key}={}", escaped(value)));
+        more.iter()
+            .for_each(|(key, value)| target += &format!("&{key}={}", escaped(value)));
         target
     };
     let target = match command {
@@ -63,9 +74,11 @@
         MaintenanceCommand::Hold { plan, why } => act("hold", plan, &[("why", why)]),
         MaintenanceCommand::Resume { plan } => act("resume", plan, &[]),
         MaintenanceCommand::Drop { plan } => act("drop", plan, &[]),
-        MaintenanceCommand::Force { plan, machine, member } => {
-            act("force", plan, &[("machine", machine), ("member", member)])
-        }
+        MaintenanceCommand::Force {
+            plan,
+            machine,
+            member,
+        } => act("force", plan, &[("machine", machine), ("member", member)]),
     };
     settled(door::call(*ops, "POST", &target, None).await?, *json)
 }
@@ -80,7 +93,9 @@
     let mut text = String::new();
     match file.to_str() {
         Some("-") => io::stdin().take(LARGEST_PLAN).read_to_string(&mut text)?,
-        _ => std::fs::File::open(file)?.take(LARGEST_PLAN).read_to_string(&mut text)?,
+        _ => std::fs::File::open(file)?
+            .take(LARGEST_PLAN)
+            .read_to_string(&mut text)?,
     };
     let mut plan: serde_json::Value = serde_json::from_str(&text).map_err(io::Error::other)?;
     if let Some(keys) = plan.as_object_mut() {
@@ -94,7 +109,11 @@
     if status != 200 || json {
         return said(status, &answer);
     }
-    let DryRun { order, rounds, at_most_s } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
+    let DryRun {
+        order,
+        rounds,
+        at_most_s,
+    } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
     let mut out = io::stdout().lock();
     for (at, machine) in order.iter().enumerate() {
         writeln!(out, "{:4}  {machine}", at + 1)?;
@@ -110,7 +129,12 @@
     if status != 200 || json {
         return said(status, &answer);
     }
-    let Settled { via, leader, index, term } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
+    let Settled {
+        via,
+        leader,
+        index,
+        term,
+    } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
     let leader = leader.unwrap_or_else(|| "nobody by now".to_string());
     writeln!(
         io::stdout().lock(),
@@ -133,7 +157,9 @@
 fn escaped(text: &str) -> String {
     text.bytes()
         .map(|byte| match byte {
-            b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' => (byte as char).to_string(),
+            b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' => {
+                (byte as char).to_string()
+            }
             other => format!("%{other:02X}"),
         })
         .collect()
@@ -143,7 +169,10 @@
     let (status, answer) = door::call(ops, "GET", PATH, None).await?;
     if status != 200 {
         let text = String::from_utf8_lossy(&answer);
-        return Err(io::Error::other(format!("status {status}: {}", text.trim())));
+        return Err(io::Error::other(format!(
+            "status {status}: {}",
+            text.trim()
+        )));
     }
     let mut out = io::stdout().lock();
     if json {
@@ -151,14 +180,22 @@
         return out.flush();
     }
     let shown: Shown = serde_json::from_slice(&answer).map_err(io::Error::other)?;
-    let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+    let now_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64;
     write!(out, "{}", table(&shown, now_ms))?;
     out.flush()
 }
 
 /// Each machine's step, since when, and why it waits.
 pub fn table(shown: &Shown, now_ms: u64) -> String {
-    let Shown { me, agreement, view, waits } = shown;
+    let Shown {
+        me,
+        agreement,
+        view,
+        waits,
+    } = shown;
     let leader = agreement.leader.as_deref().unwrap_or("nobody");
     let mut text = format!(
         "{me} {}; {leader} leads in term {}, settled up to {}; voters {}\n",
@@ -168,7 +205,10 @@
         agreement.voters.join(", ")
     );
     if !agreement.not_in.is_empty() {
-        text += &format!("not among the voters yet, or any more: {}\n", agreement.not_in.join(", "));
+        text += &format!(
+            "not among the voters yet, or any more: {}\n",
+            agreement.not_in.join(", ")
+        );
     }
     if let Some(trouble) = &view.trouble {
         text += &format!("nothing further is taken out: {trouble}\n");
@@ -176,10 +216,18 @@
     for plan in &view.plans {
         text += &format!("\nplan {} by {}: {}", plan.plan, plan.author, plan.reason);
         text += if plan.dropped { " (dropped)" } else { "" };
-        text += &plan.held.as_ref().map_or(String::new(), |why| format!(" (held: {why})"));
-        text += &format!("\n{:24}{:10}{:10}{:>10}  waits for\n", "machine", "kind", "stage", "since");
+        text += &plan
+            .held
+            .as_ref()
+            .map_or(String::new(), |why| format!(" (held: {why})"));
+        text += &format!(
+            "\n{:24}{:10}{:10}{:>10}  waits for\n",
+            "machine", "kind", "stage", "since"
+        );
         for row in &plan.machines {
-            let why = waits.iter().find(|waits| waits.plan == plan.plan && waits.machine == row.machine);
+            let why = waits
+                .iter()
+                .find(|waits| waits.plan == plan.plan && waits.machine == row.machine);
             let since = now_ms.saturating_sub(row.since_ms) / 1000;
             let forced = match row.forced.is_empty() {
                 true => String::new(),
--- a/crates/stairfront/src/members.rs
+++ b/crates/stairfront/src/members.rs
@@ -13,15 +13,26 @@
 const WATCH_EVERY: Duration = Duration::from_secs(1);
 
 pub fn members(arguments: &MembersArguments) -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(problem) => return failed(&problem.to_string()),
     };
     runtime.block_on(async {
         loop {
-            let told = ask(arguments.ops).await.and_then(|report| tell(&report, arguments.json));
+            let told = ask(arguments.ops)
+                .await
+                .and_then(|report| tell(&report, arguments.json));
             match (told, arguments.watch) {
-                (Ok(whole), false) => return if whole { ExitCode::SUCCESS } else { ExitCode::FAILURE },
+                (Ok(whole), false) => {
+                    return if whole {
+                        ExitCode::SUCCESS
+                    } else {
+                        ExitCode::FAILURE
+                    }
+                }
                 (Err(problem), false) => return failed(&format!("{}: {problem}", arguments.ops)),
                 // Whoever reads it no more has seen enough.
                 (Err(problem), true) if problem.kind() == io::ErrorKind::BrokenPipe => {
@@ -44,7 +55,10 @@
     let (status, body) = door::call(ops, "GET", "/admin/members", None).await?;
     match status {
         200 => serde_json::from_slice(&body).map_err(io::Error::other),
-        _ => Err(io::Error::other(format!("status {status}: {}", String::from_utf8_lossy(&body).trim()))),
+        _ => Err(io::Error::other(format!(
+            "status {status}: {}",
+            String::from_utf8_lossy(&body).trim()
+        ))),
     }
 }
 
@@ -78,14 +92,22 @@
         text += &format!("another roster at: {}\n", report.roster_differs.join(", "));
     }
     if report.disagree_ms > 0 {
-        text += &format!("somebody has seen the group otherwise for {}\n", seconds(report.disagree_ms));
+        text += &format!(
+            "somebody has seen the group otherwise for {}\n",
+            seconds(report.disagree_ms)
+        );
     }
     if !report.cordons.is_empty() {
         text += &format!("out for the group: {}\n", report.cordons.join(", "));
     }
-    text += &format!("{:20}{:24}{:10}{:>16}{:>12}\n", "member", "address", "state", "incarnation", "since");
+    text += &format!(
+        "{:20}{:24}{:10}{:>16}{:>12}\n",
+        "member", "address", "state", "incarnation", "since"
+    );
     for member in &report.members {
-        let address = member.address.map_or("never heard of".to_string(), |address| address.to_string());
+        let address = member
+            .address
+            .map_or("never heard of".to_string(), |address| address.to_string());
         text += &format!(
             "{:20}{:24}{:10}{:>16}{:>12}\n",
             member.name,
--- a/crates/stairfront/src/serve.rs
+++ b/crates/stairfront/src/serve.rs
@@ -39,7 +39,11 @@
     };
     // Danger: the log's own complaint about a standard error that nobody reads any more would panic.
     let log = tracing_subscriber::fmt().log_internal_errors(false);
-    let log = log.with_max_level(level).with_writer(std::io::stderr).with_ansi(false).with_target(false);
+    let log = log
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false);
     match format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
