--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -10,7 +10,7 @@
 use stairfront_maintenance::{
     Balancer, Command, DoneBy, Fleet, Host, Maintenance, Plan, Seen, Stage, Stay, What,
 };
-use stairfront_raft::council::Council;
+use stairfront_raft::cluster_manager::ClusterManager;
 use stairfront_raft::{
     Envelope, HardState, Log, Message, Micros, Payload, Ready, Recovered, Settings, Voter, MS,
     SECOND,
@@ -41,7 +41,7 @@
 
 #[derive(Default)]
 struct Place {
-    council: Option<Council>,
+    council: Option<ClusterManager>,
     machine: Maintenance,
     applied: u64,
     disk: (HardState, Log),
@@ -139,9 +139,9 @@
         };
         let me = Voter {
             name: name(at),
-            life: place.life,
+            incarnation: place.life,
         };
-        place.council = Some(Council::new(
+        place.council = Some(ClusterManager::new(
             now,
             Settings::new(me, seed),
             &names,
@@ -204,7 +204,7 @@
         let there = newest
             .voters()
             .iter()
-            .filter(|voter| self.places[place_of(&voter.name)].life == voter.life);
+            .filter(|voter| self.places[place_of(&voter.name)].life == voter.incarnation);
         self.log_lost |= !newest.voters().is_empty() && there.count() * 2 <= newest.voters().len();
     }
 
@@ -224,7 +224,7 @@
             return;
         };
         let answer = match parcel {
-            Parcel::Raft(envelope) => return council.hear(now, *envelope),
+            Parcel::Raft(envelope) => return council.handle_message(now, *envelope),
             Parcel::Hold(host, told) => {
                 // Lifted here already by what was agreed since.
                 let over =
@@ -268,7 +268,7 @@
         let Some(council) = place.council.as_mut().filter(|_| !place.asleep) else {
             return;
         };
-        let mut out = council.words();
+        let mut out = council.take_messages();
         if place.writing.as_ref().is_some_and(|(due, ..)| *due <= now) {
             let Some((_, ready, send)) = place.writing.take() else {
                 return;
@@ -287,7 +287,7 @@
                 send.into_iter()
                     .map(|(to, message)| council.envelope(to, message)),
             );
-            council.synced(now, ready.number);
+            council.persisted(now, ready.number);
         }
         while place.writing.is_none() {
             let Some(mut ready) = council.ready() else {
@@ -297,7 +297,7 @@
                 place.machine = Maintenance::restore(&snapshot.data).unwrap_or_default();
                 place.applied = snapshot.index;
             }
-            for (index, entry) in std::mem::take(&mut ready.settled) {
+            for (index, entry) in std::mem::take(&mut ready.committed) {
                 place.applied = index;
                 if let Payload::Order(order) = &entry.payload {
                     let agreed = self.agreed.entry(index).or_insert_with(|| order.clone());
@@ -307,7 +307,7 @@
                         self.seed
                     );
                     if let Some(id) = place.machine.apply(index, entry.term, order) {
-                        council.settled(id);
+                        council.committed(id);
                     }
                 }
             }
@@ -374,7 +374,7 @@
             what,
         };
         if let Some(council) = &mut self.places[at].council {
-            let _ = council.order(self.now, command.id, command.write(), 2 * SECOND);
+            let _ = council.propose(self.now, command.id, command.write(), 2 * SECOND);
         }
     }
 
@@ -384,12 +384,12 @@
         let Some(council) = place.council.as_mut().filter(|_| !place.asleep) else {
             return;
         };
-        if !council.node().is_leader() || !council.may_settle() {
+        if !council.node().is_leader() || !council.may_commit() {
             return;
         }
         let term = council.node().term();
         if place.machine.turn_of(&name(me)) == Some(Stage::Told) {
-            let _ = council.hand_over(self.now);
+            let _ = council.transfer_leadership(self.now);
         }
         let (told, held): (Vec<Key>, Vec<Key>) = {
             let at = |stage| {
@@ -684,7 +684,7 @@
                     .iter()
                     .filter_map(|place| place.council.as_ref());
                 for founding in foundings
-                    .map(Council::founding)
+                    .map(ClusterManager::founding)
                     .filter(|founding| *founding != 0)
                 {
                     let one = self.founding == 0 || self.founding == founding || self.log_lost;
--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 use stairfront_membership_agent::Members;
-use stairfront_raft::council::{Council, Envelope, OrderRefusal};
+use stairfront_raft::cluster_manager::{ClusterManager, Envelope, ProposalError};
 use stairfront_raft::{Index, Message, Micros, Payload, Ready, Recovered, Settings, Voter};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
@@ -88,7 +88,7 @@
     path: Option<PathBuf>,
     seed: u64,
     start: Instant,
-    council: RefCell<Option<Council>>,
+    council: RefCell<Option<ClusterManager>>,
     machine: RefCell<M>,
     under_way: RefCell<Option<UnderWay>>,
     /// Up to where the machine is, and the last snapshot.
@@ -150,7 +150,7 @@
             let life = self.seed ^ self.members.run_number();
             let voter = Voter {
                 name: self.me.clone(),
-                life,
+                incarnation: life,
             };
             let mut store = None;
             match &self.path {
@@ -244,12 +244,16 @@
     }
 
     fn begin(&self, me: Voter, recovered: Recovered) {
-        info!("agreement: this is life {:x} of {}", me.life, me.name);
+        info!(
+            "agreement: this is life {:x} of {}",
+            me.incarnation, me.name
+        );
         self.fault.borrow_mut().take();
         self.applied.set((0, 0));
         self.machine.borrow_mut().restore(0, &[]);
         let set = Settings::new(me, self.seed ^ self.members.run_number());
-        *self.council.borrow_mut() = Some(Council::new(self.now(), set, &self.names, recovered));
+        *self.council.borrow_mut() =
+            Some(ClusterManager::new(self.now(), set, &self.names, recovered));
     }
 
     /// Until the store fails.
@@ -308,7 +312,7 @@
             .map_or(String::new(), |path| path.display().to_string())
     }
 
-    fn with<T: Default>(&self, work: impl FnOnce(&mut Council, Micros) -> T) -> T {
+    fn with<T: Default>(&self, work: impl FnOnce(&mut ClusterManager, Micros) -> T) -> T {
         let now = self.now();
         self.council
             .borrow_mut()
@@ -320,7 +324,7 @@
         match postcard::from_bytes::<Parcel>(bytes) {
             // Danger: a member that speaks in another's name would vote twice.
             Ok(Parcel::Agreement(envelope)) if envelope.from.name == from => {
-                self.with(|council, now| council.hear(now, envelope));
+                self.with(|council, now| council.handle_message(now, envelope));
             }
             Ok(Parcel::Aside(bytes)) => self.hear_aside(from, bytes),
             _ => self.unreadable.set(self.unreadable.get() + 1),
@@ -336,7 +340,7 @@
             return;
         };
         self.send(send);
-        self.with(|council, now| council.synced(now, number));
+        self.with(|council, now| council.persisted(now, number));
     }
 
     fn send(&self, send: Vec<(Voter, Message)>) {
@@ -397,13 +401,17 @@
 
     /// Which group it is, 0 for none, and up to where its orders are applied.
     pub fn settled_upto(&self) -> (u64, u64) {
-        let founding = self.council.borrow().as_ref().map_or(0, Council::founding);
+        let founding = self
+            .council
+            .borrow()
+            .as_ref()
+            .map_or(0, ClusterManager::founding);
         (founding, self.applied.get().0)
     }
 
     /// Does what the core wants, as long as nothing waits for the disk.
     fn pump(&self, store: Option<&Thread>) {
-        let words = self.with(|council, _| council.words());
+        let words = self.with(|council, _| council.take_messages());
         words
             .into_iter()
             .for_each(|(to, envelope)| self.carry(&to, envelope));
@@ -426,7 +434,7 @@
                 }
                 None => {
                     self.send(send);
-                    self.with(|council, now| council.synced(now, number));
+                    self.with(|council, now| council.persisted(now, number));
                 }
             }
         }
@@ -441,12 +449,12 @@
             (applied, cut) = (snapshot.index, snapshot.index);
         }
         let mut any = false;
-        for (index, entry) in std::mem::take(&mut ready.settled) {
+        for (index, entry) in std::mem::take(&mut ready.committed) {
             applied = index;
             if let Payload::Order(order) = &entry.payload {
                 let id = self.machine.borrow_mut().apply(index, entry.term, order);
                 if let Some(id) = id {
-                    self.with(|council, _| council.settled(id));
+                    self.with(|council, _| council.committed(id));
                 }
             }
             any = true;
@@ -471,7 +479,7 @@
         id: u64,
         bytes: Vec<u8>,
         limit: Duration,
-    ) -> Result<bool, OrderRefusal> {
+    ) -> Result<bool, ProposalError> {
         let micros = limit.as_micros() as Micros;
         let there = self.council.borrow().is_some();
         if !there {
@@ -479,7 +487,7 @@
         }
         let now = self.now();
         if let Some(council) = self.council.borrow_mut().as_mut() {
-            council.order(now, id, bytes, micros)?;
+            council.propose(now, id, bytes, micros)?;
         }
         self.changed.notify_one();
         let settled = async {
@@ -500,7 +508,7 @@
         let micros = limit.as_micros() as Micros;
         if let Some(council) = self.council.borrow_mut().as_mut() {
             // Too many at once: looked at again.
-            let _ = council.order(self.now(), id, bytes, micros);
+            let _ = council.propose(self.now(), id, bytes, micros);
         }
         self.changed.notify_one();
     }
@@ -513,12 +521,12 @@
     pub fn leads(&self) -> Option<u64> {
         let council = self.council.borrow();
         let council = council.as_ref()?;
-        (council.node().is_leader() && council.may_settle()).then(|| council.node().term())
+        (council.node().is_leader() && council.may_commit()).then(|| council.node().term())
     }
 
     pub fn hand_over(&self) {
         self.with(|council, now| {
-            if let Err(refusal) = council.hand_over(now) {
+            if let Err(refusal) = council.transfer_leadership(now) {
                 info!("agreement: the leadership stays here: {refusal}");
             }
         });
--- a/crates/stairfront-raft-node/tests/store.rs
+++ b/crates/stairfront-raft-node/tests/store.rs
@@ -103,7 +103,7 @@
 fn voter(life: u64) -> Voter {
     Voter {
         name: "b0".to_string(),
-        life,
+        incarnation: life,
     }
 }
 
@@ -284,7 +284,7 @@
     drop(store);
     let other = Voter {
         name: "b1".to_string(),
-        life: 3,
+        incarnation: 3,
     };
     let foreign = Store::open(&path, "g", other).err().expect("it is b0's");
     assert!(
--- a/crates/stairfront-raft/src/council.rs
+++ b/crates/stairfront-raft/src/cluster_manager.rs
@@ -6,7 +6,7 @@
 
 use crate::log::{Index, Term, Voter};
 use crate::message::Message;
-use crate::node::{Node, Ready, Recovered, Refusal};
+use crate::node::{Node, RaftError, Ready, Recovered};
 use crate::settings::{Micros, Settings, MS, SECOND};
 
 /// Between two words of one that is in no group, or has no leader, or only learns.
@@ -20,17 +20,17 @@
 /// Between two sendings of an order to the leader.
 const ORDER_EVERY: Micros = 300 * MS;
 /// Orders of this member under way at once, and their bytes.
-pub const MOST_ORDERS: usize = 64;
-pub const LARGEST_ORDER: usize = 64 * 1024;
+pub const MAX_PENDING_PROPOSALS: usize = 64;
+pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
 /// Lives remembered of those who spoke: two for each of some hundred members.
 const MOST_HERE: usize = 1024;
 /// Orders remembered as taken in this term.
 const MOST_TAKEN: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum ClusterMessage {
     /// This life of the name is there.
-    Here,
+    Heartbeat,
     Raft(Message),
     /// An order for the leader, with a number that is given to no other.
     Order {
@@ -46,14 +46,14 @@
     pub to: Option<Voter>,
     /// Which founding the sender belongs to; 0 for none.
     pub founding: u64,
-    pub word: Word,
+    pub message: ClusterMessage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OrderRefusal {
+pub enum ProposalError {
     #[error("too many orders of this member are under way; ask again")]
     Busy,
-    #[error("an order of {0} bytes, and {LARGEST_ORDER} are the most")]
+    #[error("a proposal of {0} bytes, and {MAX_PROPOSAL_BYTES} are the most")]
     TooLarge(usize),
 }
 
@@ -64,14 +64,14 @@
     until: Micros,
 }
 
-struct Seen {
+struct PeerStatus {
     at: Micros,
     founding: u64,
 }
 
 /// Counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     pub foreign: u64,
     pub older_life: u64,
     pub taken_in: u64,
@@ -79,23 +79,23 @@
     pub given_up: u64,
 }
 
-pub struct Council {
+pub struct ClusterManager {
     me: Voter,
     /// The voters that there are to be, the founder first.
     names: Vec<String>,
     node: Node,
-    here: BTreeMap<Voter, Seen>,
+    here: BTreeMap<Voter, PeerStatus>,
     pending: Vec<Pending>,
     taken: BTreeMap<u64, (Term, Index)>,
     next_here: Micros,
     next_change: Micros,
-    pub figures: Figures,
+    pub figures: Metrics,
     out: Vec<(String, Envelope)>,
 }
 
-impl Council {
+impl ClusterManager {
     pub fn new(now: Micros, set: Settings, names: &[String], recovered: Recovered) -> Self {
-        Council {
+        ClusterManager {
             me: set.me.clone(),
             names: names.to_vec(),
             node: Node::new(now, set, recovered),
@@ -104,7 +104,7 @@
             taken: BTreeMap::new(),
             next_here: now,
             next_change: now,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             out: Vec::new(),
         }
     }
@@ -123,7 +123,7 @@
 
     /// As many of the configured voters are in as a majority of them: before that nothing is settled, since what a
     /// lesser number agreed could be lost with one disk.
-    pub fn may_settle(&self) -> bool {
+    pub fn may_commit(&self) -> bool {
         let voters = self.node.voters();
         let there = self
             .names
@@ -166,15 +166,15 @@
                 .collect(),
         };
         to.into_iter()
-            .for_each(|name| self.say(&name, None, Word::Here));
+            .for_each(|name| self.say(&name, None, ClusterMessage::Heartbeat));
     }
 
-    fn say(&mut self, name: &str, to: Option<Voter>, word: Word) {
+    fn say(&mut self, name: &str, to: Option<Voter>, word: ClusterMessage) {
         let envelope = Envelope {
             from: self.me.clone(),
             to,
             founding: self.founding(),
-            word,
+            message: word,
         };
         self.out.push((name.to_string(), envelope));
     }
@@ -201,14 +201,14 @@
             }
             voters.push(voter.clone());
         }
-        self.node.found(now, voters, self.me.life.max(1));
+        self.node.bootstrap(now, voters, self.me.incarnation.max(1));
     }
 
     /// Takes in who has come back with another disk, and out whom the configuration does not name any more.
     fn look_at_voters(&mut self, now: Micros) {
         let current: BTreeSet<Voter> = self.node.voters().iter().cloned().collect();
         let founding = self.founding();
-        let there = |seen: &Seen| {
+        let there = |seen: &PeerStatus| {
             now - seen.at <= HERE_LASTS && (seen.founding == 0 || seen.founding == founding)
         };
         let learners = self
@@ -266,18 +266,18 @@
     // --- orders ---
 
     /// Brings an order to whoever leads, until `settled` is told of it or the time is over.
-    pub fn order(
+    pub fn propose(
         &mut self,
         now: Micros,
         id: u64,
         bytes: Vec<u8>,
         limit: Micros,
-    ) -> Result<(), OrderRefusal> {
-        if bytes.len() > LARGEST_ORDER {
-            return Err(OrderRefusal::TooLarge(bytes.len()));
+    ) -> Result<(), ProposalError> {
+        if bytes.len() > MAX_PROPOSAL_BYTES {
+            return Err(ProposalError::TooLarge(bytes.len()));
         }
-        if self.pending.len() >= MOST_ORDERS {
-            return Err(OrderRefusal::Busy);
+        if self.pending.len() >= MAX_PENDING_PROPOSALS {
+            return Err(ProposalError::Busy);
         }
         self.pending.push(Pending {
             id,
@@ -290,7 +290,7 @@
     }
 
     /// This order has come out of the log.
-    pub fn settled(&mut self, id: u64) {
+    pub fn committed(&mut self, id: u64) {
         self.pending.retain(|order| order.id != id);
     }
 
@@ -315,7 +315,7 @@
                 Some(leader) => self.say(
                     &leader.name.clone(),
                     Some(leader),
-                    Word::Order { id, bytes },
+                    ClusterMessage::Order { id, bytes },
                 ),
                 None => {}
             }
@@ -326,7 +326,7 @@
     /// whoever applies the log has to know the orders that it has seen by their numbers.
     fn take(&mut self, now: Micros, id: u64, bytes: Vec<u8>) {
         let term = self.node.term();
-        if !self.may_settle() || self.taken.get(&id).is_some_and(|(taken, _)| *taken == term) {
+        if !self.may_commit() || self.taken.get(&id).is_some_and(|(taken, _)| *taken == term) {
             return;
         }
         if let Ok(index) = self.node.propose(now, bytes) {
@@ -343,26 +343,26 @@
     }
 
     /// Gives the leadership to another voter, the one with the lowest name that is there.
-    pub fn hand_over(&mut self, now: Micros) -> Result<(), Refusal> {
+    pub fn transfer_leadership(&mut self, now: Micros) -> Result<(), RaftError> {
         let others = self.node.voters().iter().filter(|voter| **voter != self.me);
         let there = others
             .filter(|voter| self.node.silent_for(now, voter) < SECOND)
             .cloned()
             .min();
         match there {
-            Some(to) => self.node.hand_over(now, &to),
-            None => Err(Refusal::Step),
+            Some(to) => self.node.transfer_leadership(now, &to),
+            None => Err(RaftError::Step),
         }
     }
 
     // --- messages ---
 
-    pub fn hear(&mut self, now: Micros, envelope: Envelope) {
+    pub fn handle_message(&mut self, now: Micros, envelope: Envelope) {
         let Envelope {
             from,
             to,
             founding,
-            word,
+            message,
         } = envelope;
         let own = self.founding();
         if from.name == self.me.name {
@@ -378,20 +378,23 @@
             return;
         }
         if self.here.len() < MOST_HERE || self.here.contains_key(&from) {
-            self.here.insert(from.clone(), Seen { at: now, founding });
+            self.here
+                .insert(from.clone(), PeerStatus { at: now, founding });
         }
-        match word {
-            Word::Here => {}
-            Word::Raft(message) => self.node.hear(now, &from, message),
-            Word::Order { id, bytes } if self.node.is_leader() && bytes.len() <= LARGEST_ORDER => {
+        match message {
+            ClusterMessage::Heartbeat => {}
+            ClusterMessage::Raft(message) => self.node.handle_message(now, &from, message),
+            ClusterMessage::Order { id, bytes }
+                if self.node.is_leader() && bytes.len() <= MAX_PROPOSAL_BYTES =>
+            {
                 self.take(now, id, bytes);
             }
-            Word::Order { .. } => {}
+            ClusterMessage::Order { .. } => {}
         }
     }
 
     /// What may go out at once.
-    pub fn words(&mut self) -> Vec<(String, Envelope)> {
+    pub fn take_messages(&mut self) -> Vec<(String, Envelope)> {
         std::mem::take(&mut self.out)
     }
 
@@ -409,13 +412,13 @@
                 from,
                 to: Some(to),
                 founding,
-                word: Word::Raft(message),
+                message: ClusterMessage::Raft(message),
             },
         )
     }
 
-    pub fn synced(&mut self, now: Micros, number: u64) {
-        self.node.synced(now, number);
+    pub fn persisted(&mut self, now: Micros, number: u64) {
+        self.node.persisted(now, number);
     }
 
     /// All up to this index stands in `data`.
--- a/crates/stairfront-raft/src/lib.rs
+++ b/crates/stairfront-raft/src/lib.rs
@@ -8,15 +8,15 @@
 //! Raft: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 (sections named as
 //! "Raft"); Ongaro, "Consensus: Bridging Theory and Practice", dissertation, Stanford 2014 ("Diss."), for pre-vote,
 //! leadership hand-over and one change of voters at a time.
-pub mod council;
+pub mod cluster_manager;
 mod dice;
 pub mod log;
 pub mod message;
 pub mod node;
 pub mod settings;
 
-pub use council::{Council, Envelope, Word};
+pub use cluster_manager::{ClusterManager, ClusterMessage, Envelope};
 pub use log::{Entry, Index, Log, Payload, Snapshot, Term, Voter};
 pub use message::Message;
-pub use node::{HardState, Node, Ready, Recovered, Refusal};
+pub use node::{HardState, Node, RaftError, Ready, Recovered};
 pub use settings::{Micros, Settings, MS, SECOND};
--- a/crates/stairfront-raft/src/log.rs
+++ b/crates/stairfront-raft/src/log.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     pub name: String,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/stairfront-raft/src/node.rs
+++ b/crates/stairfront-raft/src/node.rs
@@ -11,7 +11,7 @@
 /// Learners that a leader brings the log to at once.
 const MOST_LEARNERS: usize = 512;
 /// Entries that a leader takes beyond those that are settled; a further order is refused.
-pub const MOST_UNSETTLED: Index = 1024;
+pub const MAX_UNCOMMITTED: Index = 1024;
 
 /// What must never be forgotten beside the log (Raft figure 2).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     pub send: Vec<(Voter, Message)>,
     /// A snapshot in place of all settled before, then entries in order.
     pub restored: Option<Snapshot>,
-    pub settled: Vec<(Index, Entry)>,
+    pub committed: Vec<(Index, Entry)>,
 }
 
 impl Ready {
@@ -52,15 +52,15 @@
             append,
             send,
             restored,
-            settled,
+            committed,
         } = self;
         let kept = hard.is_none() && snapshot.is_none() && truncate.is_none() && append.is_empty();
-        kept && send.is_empty() && restored.is_none() && settled.is_empty()
+        kept && send.is_empty() && restored.is_none() && committed.is_empty()
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum RaftError {
     #[error("not the leader, which is {}", .0.as_ref().map_or("not known", |voter| &voter.name))]
     NotLeader(Option<Voter>),
     #[error("too much is under way that is not settled; ask again")]
@@ -191,7 +191,7 @@
     }
 
     /// Begins a group: its voters are its first settled fact. Only for a node that is new, and once in a group's life.
-    pub fn found(&mut self, now: Micros, voters: Vec<Voter>, founding: u64) {
+    pub fn bootstrap(&mut self, now: Micros, voters: Vec<Voter>, founding: u64) {
         if !self.is_new() {
             return;
         }
@@ -245,7 +245,7 @@
     }
 
     /// All up to this `Ready` is durable. Danger: a leader that counted itself before would settle what a crash undoes.
-    pub fn synced(&mut self, now: Micros, number: u64) {
+    pub fn persisted(&mut self, now: Micros, number: u64) {
         let upto = self
             .unsynced
             .iter()
@@ -436,7 +436,7 @@
 
     // --- messages ---
 
-    pub fn hear(&mut self, now: Micros, from: &Voter, message: Message) {
+    pub fn handle_message(&mut self, now: Micros, from: &Voter, message: Message) {
         let Message { term, body } = message;
         // A leader that was heard just now stands against all who would replace it unasked (Diss. section 4.2.3).
         let settled =
@@ -640,7 +640,7 @@
                 .retain(|(at, _)| *at > index && self.log.get(*at).is_some());
             self.ready.snapshot = Some(snapshot.clone());
             self.ready.restored = Some(snapshot);
-            self.ready.settled.clear();
+            self.ready.committed.clear();
             (self.commit, self.applied) = (index, index);
             self.synced = self.synced.clamp(index, self.log.last_index().max(index));
         }
@@ -720,22 +720,22 @@
     }
 
     /// An order to be settled: its index. It is settled once it comes out of `Ready::settled` with this leader's term.
-    pub fn propose(&mut self, now: Micros, order: Vec<u8>) -> Result<Index, Refusal> {
+    pub fn propose(&mut self, now: Micros, order: Vec<u8>) -> Result<Index, RaftError> {
         let Role::Leader { hand_over, .. } = &self.role else {
-            return Err(Refusal::NotLeader(self.leader.clone()));
+            return Err(RaftError::NotLeader(self.leader.clone()));
         };
         if hand_over.is_some() {
-            return Err(Refusal::HandingOver);
+            return Err(RaftError::HandingOver);
         }
-        if self.log.last_index() - self.commit >= MOST_UNSETTLED {
-            return Err(Refusal::Busy);
+        if self.log.last_index() - self.commit >= MAX_UNCOMMITTED {
+            return Err(RaftError::Busy);
         }
         Ok(self.push(now, Payload::Order(order)))
     }
 
     /// Adds a voter or removes one (Diss. section 4.1): majorities before and after share one. Danger: before the leader
     /// has settled an entry of its own term, two changes by two leaders could overlap (the bug found in 2015).
-    pub fn change(&mut self, now: Micros, voters: Vec<Voter>) -> Result<Index, Refusal> {
+    pub fn change(&mut self, now: Micros, voters: Vec<Voter>) -> Result<Index, RaftError> {
         let Role::Leader {
             first,
             hand_over,
@@ -743,10 +743,10 @@
             ..
         } = &self.role
         else {
-            return Err(Refusal::NotLeader(self.leader.clone()));
+            return Err(RaftError::NotLeader(self.leader.clone()));
         };
         if hand_over.is_some() {
-            return Err(Refusal::HandingOver);
+            return Err(RaftError::HandingOver);
         }
         let (at, current) = self.log.voters();
         let new = voters.iter().filter(|voter| !current.contains(voter));
@@ -757,10 +757,10 @@
                 .is_some_and(|of| of.matched >= self.commit)
         };
         if !new.clone().all(has_log) {
-            return Err(Refusal::Behind);
+            return Err(RaftError::Behind);
         }
         if at > self.commit || *first > self.commit {
-            return Err(Refusal::Changing);
+            return Err(RaftError::Changing);
         }
         let added = voters
             .iter()
@@ -771,13 +771,13 @@
             .filter(|voter| !voters.contains(voter))
             .count();
         if added + removed != 1 || voters.is_empty() {
-            return Err(Refusal::Step);
+            return Err(RaftError::Step);
         }
         Ok(self.push(now, Payload::Voters(voters)))
     }
 
     /// Hands the leadership to another voter, for work at this one: it is brought the whole log and told to stand.
-    pub fn hand_over(&mut self, now: Micros, to: &Voter) -> Result<(), Refusal> {
+    pub fn transfer_leadership(&mut self, now: Micros, to: &Voter) -> Result<(), RaftError> {
         let known = self.voters().contains(to) && *to != self.set.me;
         let (until, term) = (now + self.set.election, self.hard.term);
         let last = self.log.last_index();
@@ -787,10 +787,10 @@
             ..
         } = &mut self.role
         else {
-            return Err(Refusal::NotLeader(self.leader.clone()));
+            return Err(RaftError::NotLeader(self.leader.clone()));
         };
         if !known {
-            return Err(Refusal::Step);
+            return Err(RaftError::Step);
         }
         *hand_over = Some((to.clone(), until));
         if progress
@@ -907,7 +907,7 @@
             let Some(entry) = self.log.get(self.applied + 1) else {
                 return;
             };
-            self.ready.settled.push((self.applied + 1, entry.clone()));
+            self.ready.committed.push((self.applied + 1, entry.clone()));
             self.applied += 1;
         }
     }
--- a/crates/stairfront-raft/tests/council.rs
+++ b/crates/stairfront-raft/tests/cluster_manager.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use stairfront_emulator::dice::Dice;
-use stairfront_raft::council::Council;
+use stairfront_raft::cluster_manager::ClusterManager;
 use stairfront_raft::message::Body;
 use stairfront_raft::{
-    Envelope, HardState, Log, Message, Micros, Payload, Recovered, Settings, Voter, Word, MS,
-    SECOND,
+    ClusterMessage, Envelope, HardState, Log, Message, Micros, Payload, Recovered, Settings, Voter,
+    MS, SECOND,
 };
 
 const TICK: Micros = 50 * MS;
@@ -15,7 +15,7 @@
 /// A place where one process after another runs under a name.
 struct Place {
     name: String,
-    council: Option<Council>,
+    council: Option<ClusterManager>,
     /// What its disk holds; none for one without.
     disk: Option<(HardState, Log)>,
     keeps: bool,
@@ -80,10 +80,10 @@
         place.settled.clear();
         let me = Voter {
             name: place.name.clone(),
-            life: place.life,
+            incarnation: place.life,
         };
         let seed = self.dice.below(1 << 40);
-        place.council = Some(Council::new(
+        place.council = Some(ClusterManager::new(
             self.now,
             Settings::new(me, seed),
             &self.names,
@@ -100,7 +100,7 @@
         let id = self.orders;
         if let Some(council) = &mut self.places[at].council {
             council
-                .order(self.now, id, id.to_le_bytes().to_vec(), 20 * SECOND)
+                .propose(self.now, id, id.to_le_bytes().to_vec(), 20 * SECOND)
                 .unwrap();
         }
         id
@@ -126,7 +126,7 @@
                 };
                 let now = self.now;
                 if let Some(council) = &mut self.places[at].council {
-                    council.hear(now, envelope);
+                    council.handle_message(now, envelope);
                 }
                 self.pump(at);
             }
@@ -138,7 +138,7 @@
         let Some(council) = &mut place.council else {
             return;
         };
-        let mut out = council.words();
+        let mut out = council.take_messages();
         while let Some(ready) = council.ready() {
             let (mut hard, mut log) = place.disk.take().unwrap_or_default();
             hard = ready.hard.clone().unwrap_or(hard);
@@ -151,10 +151,10 @@
                 log.push(entry.clone());
             }
             place.disk = Some((hard, log));
-            for (_, entry) in &ready.settled {
+            for (_, entry) in &ready.committed {
                 if let Payload::Order(bytes) = &entry.payload {
                     let id = u64::from_le_bytes(bytes[..].try_into().unwrap());
-                    council.settled(id);
+                    council.committed(id);
                     // An order may stand there twice after a change of the leader; it is known by its number.
                     if !place.settled.contains(&id) {
                         place.settled.push(id);
@@ -167,7 +167,7 @@
                     .into_iter()
                     .map(|(to, message)| council.envelope(to, message)),
             );
-            council.synced(now, ready.number);
+            council.persisted(now, ready.number);
         }
         for (to, envelope) in out {
             let lost = self.dice.happens(self.loss);
@@ -190,7 +190,7 @@
             .iter()
             .filter_map(|place| place.council.as_ref());
         councils
-            .map(Council::founding)
+            .map(ClusterManager::founding)
             .filter(|founding| *founding != 0)
             .collect()
     }
@@ -266,7 +266,7 @@
         let lives: Vec<u64> = voters
             .iter()
             .filter(|voter| voter.name == name)
-            .map(|voter| voter.life)
+            .map(|voter| voter.incarnation)
             .collect();
         assert_eq!(
             (voters.len(), lives),
@@ -333,7 +333,7 @@
     let (me, founding) = (at.me().clone(), at.founding());
     let from = Voter {
         name: "v0".to_string(),
-        life: 77,
+        incarnation: 77,
     };
     let append = Body::Append {
         prev_index: 1,
@@ -341,41 +341,41 @@
         entries: Vec::new(),
         commit: 1,
     };
-    let word = Word::Raft(Message {
+    let word = ClusterMessage::Raft(Message {
         term: 99,
         body: append,
     });
     let older = Voter {
-        life: me.life + 100,
+        incarnation: me.incarnation + 100,
         ..me.clone()
     };
-    at.hear(
+    at.handle_message(
         now,
         Envelope {
             from: from.clone(),
             to: Some(older),
             founding,
-            word: word.clone(),
+            message: word.clone(),
         },
     );
-    at.hear(
+    at.handle_message(
         now,
         Envelope {
             from: from.clone(),
             to: Some(me.clone()),
             founding: founding + 1,
-            word: word.clone(),
+            message: word.clone(),
         },
     );
     assert!(at.node().term() < 99);
     assert_eq!((at.figures.older_life, at.figures.foreign), (1, 1));
-    at.hear(
+    at.handle_message(
         now,
         Envelope {
             from,
             to: Some(me),
             founding,
-            word,
+            message: word,
         },
     );
     assert_eq!(at.node().term(), 99);
--- a/crates/stairfront-raft/tests/every_order.rs
+++ b/crates/stairfront-raft/tests/every_order.rs
@@ -44,7 +44,7 @@
 fn voter(at: usize) -> Voter {
     Voter {
         name: format!("v{at}"),
-        life: at as u64,
+        incarnation: at as u64,
     }
 }
 
@@ -121,7 +121,7 @@
             Step::Deliver(at) => {
                 let (from, to, message) = self.road.remove(at);
                 let place = &mut self.places[to];
-                place.node.hear(place.now, &voter(from), message);
+                place.node.handle_message(place.now, &voter(from), message);
                 self.pump(to)
             }
             Step::RunOut(at) => {
@@ -159,7 +159,7 @@
             let Some(mut ready) = self.places[at].node.ready() else {
                 break;
             };
-            for (index, entry) in std::mem::take(&mut ready.settled) {
+            for (index, entry) in std::mem::take(&mut ready.committed) {
                 match self.settled.get(&index) {
                     Some(known) if *known != entry => {
                         return Err(format!("entry {index} is {known:?} and {entry:?}"))
@@ -204,10 +204,10 @@
         }
         for (to, message) in ready.send {
             if self.road.len() < MOST_MESSAGES {
-                self.road.push((at, to.life as usize, message));
+                self.road.push((at, to.incarnation as usize, message));
             }
         }
-        place.node.synced(place.now, ready.number);
+        place.node.persisted(place.now, ready.number);
         self.pump(at)
     }
 
--- a/crates/stairfront-raft/tests/rules.rs
+++ b/crates/stairfront-raft/tests/rules.rs
@@ -1,14 +1,14 @@
 //! Single rules, each by the shortest exchange that would break it; drawn schedules meet some of them once in thousands.
 use stairfront_raft::message::Body;
 use stairfront_raft::{
-    Entry, HardState, Index, Log, Message, Node, Payload, Recovered, Refusal, Settings, Snapshot,
+    Entry, HardState, Index, Log, Message, Node, Payload, RaftError, Recovered, Settings, Snapshot,
     Voter, SECOND,
 };
 
 fn voter(at: u64) -> Voter {
     Voter {
         name: format!("v{at}"),
-        life: at,
+        incarnation: at,
     }
 }
 
@@ -41,7 +41,7 @@
     let mut last = 0;
     while let Some(ready) = node.ready() {
         last = ready.number;
-        node.synced(now, last);
+        node.persisted(now, last);
     }
     last
 }
@@ -52,7 +52,7 @@
     node.tick(now);
     store(node, now);
     let term = node.term() + 1;
-    node.hear(
+    node.handle_message(
         now,
         &voter(1),
         Message {
@@ -62,7 +62,7 @@
     );
     store(node, now);
     assert_eq!(node.term(), term);
-    node.hear(
+    node.handle_message(
         now,
         &voter(1),
         Message {
@@ -79,7 +79,7 @@
         matched: Some(index),
         hint: 0,
     };
-    node.hear(
+    node.handle_message(
         3 * SECOND,
         &voter(who),
         Message {
@@ -110,7 +110,7 @@
         entries: Vec::new(),
         commit: 3,
     };
-    node.hear(0, &voter(1), Message { term: 3, body });
+    node.handle_message(0, &voter(1), Message { term: 3, body });
     assert_eq!(node.commit(), 1);
 }
 
@@ -125,7 +125,7 @@
     let second = node.propose(3 * SECOND, vec![2]).unwrap();
     has(&mut node, 1, second);
     // The first is stored, the second is not.
-    node.synced(3 * SECOND, ready.number);
+    node.persisted(3 * SECOND, ready.number);
     assert_eq!(node.commit(), first);
     store(&mut node, 3 * SECOND);
     assert_eq!(node.commit(), second);
@@ -145,13 +145,13 @@
     node.tick(3 * SECOND + 200_000);
     assert!(matches!(
         node.change(3 * SECOND, four.clone()),
-        Err(Refusal::Behind)
+        Err(RaftError::Behind)
     ));
     has(&mut node, 3, 2);
     let at = node.change(3 * SECOND, four).unwrap();
     assert!(matches!(
         node.change(3 * SECOND, vec![voter(0), voter(1), voter(2)]),
-        Err(Refusal::Changing)
+        Err(RaftError::Changing)
     ));
     store(&mut node, 3 * SECOND);
     has(&mut node, 1, at);
@@ -175,6 +175,6 @@
     assert_eq!(node.term(), term);
     assert!(matches!(
         node.propose(23 * SECOND, vec![1]),
-        Err(Refusal::NotLeader(_))
+        Err(RaftError::NotLeader(_))
     ));
 }
--- a/crates/stairfront-raft/tests/simulation.rs
+++ b/crates/stairfront-raft/tests/simulation.rs
@@ -103,7 +103,7 @@
         let all: Vec<Voter> = (0..voters)
             .map(|i| Voter {
                 name: format!("v{i}"),
-                life: 0,
+                incarnation: 0,
             })
             .collect();
         let snapshot = Snapshot {
@@ -201,7 +201,7 @@
         place.life += 1;
         place.me = Voter {
             name: place.me.name.clone(),
-            life: place.life,
+            incarnation: place.life,
         };
         place.disk = Disk::default();
     }
@@ -216,7 +216,7 @@
                 Payload::Voters(voters) => Some(voters.contains(me)),
                 _ => None,
             });
-        named.unwrap_or(me.life == 0)
+        named.unwrap_or(me.incarnation == 0)
     }
 
     fn run_until(&mut self, until: Micros) {
@@ -246,7 +246,7 @@
                 }) => {
                     let place = &mut self.places[to];
                     if let Some(node) = place.node.as_mut().filter(|_| place.boots == boots) {
-                        node.hear(at, &from, message);
+                        node.handle_message(at, &from, message);
                         self.carry_out(to);
                     }
                 }
@@ -261,7 +261,7 @@
                             self.send(who, ready.send);
                         }
                         if let Some(node) = &mut self.places[who].node {
-                            node.synced(at, number);
+                            node.persisted(at, number);
                         }
                         self.carry_out(who);
                     }
@@ -305,7 +305,7 @@
                     snapshot.index
                 );
             }
-            for (index, entry) in ready.settled.drain(..) {
+            for (index, entry) in ready.committed.drain(..) {
                 assert_eq!(
                     place.applied.0 + 1,
                     index,
@@ -373,7 +373,7 @@
             let _ = node.propose(now, self.orders.to_le_bytes().to_vec());
         }
         if hands {
-            let _ = node.hand_over(now, &to);
+            let _ = node.transfer_leadership(now, &to);
         }
         node.set_learners(lives.iter().cloned());
         let mut voters = node.voters().to_vec();
