--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/config.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use stairfront_membership_agent::{RawMembership, DESCRIPTORS};
-use stairfront_raft_node::{RawAgreement, STORE_DESCRIPTORS};
+use stairfront_raft_node::{AgreementSection, STORE_DESCRIPTORS};
 use stairfront_settings::{Start, NOT_RETUNED};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -62,7 +62,7 @@
     #[serde(default)]
     known: RawList,
     membership: Option<RawMembership>,
-    agreement: Option<RawAgreement>,
+    agreement: Option<AgreementSection>,
     settings: Value,
 }
 
@@ -102,7 +102,7 @@
     /// The group of balancers that this one is a member of; none, and nothing of it is there.
     pub membership: Option<RawMembership>,
     /// What the balancers agree on, and through whom; none, and nothing of it is there.
-    pub agreement: Option<RawAgreement>,
+    pub agreement: Option<AgreementSection>,
     pub start: Start,
 }
 
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -12,7 +12,7 @@
 };
 use stairfront_membership_agent::{Members, State};
 use stairfront_policy::interface::EndpointState;
-use stairfront_raft_node::{Status, Voters};
+use stairfront_raft_node::{RaftNode, Status};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{interval, Instant, MissedTickBehavior};
@@ -53,7 +53,7 @@
 #[derive(Default)]
 pub struct Plans(pub Maintenance);
 
-impl stairfront_raft_node::Machine for Plans {
+impl stairfront_raft_node::StateMachine for Plans {
     fn apply(&mut self, index: u64, term: u64, order: &[u8]) -> Option<u64> {
         self.0.apply(index, term, order)
     }
@@ -174,7 +174,7 @@
 
 /// What a keeper is made of.
 pub struct Parts {
-    pub voters: Rc<Voters<Plans>>,
+    pub voters: Rc<RaftNode<Plans>>,
     pub members: Rc<Members>,
     pub orders: mpsc::Sender<Ordered>,
     pub inbox: mpsc::Sender<Input>,
@@ -216,7 +216,7 @@
 
     /// Has the group's ledger follow what is agreed.
     fn follow(&self) {
-        let (founding, upto) = self.of.voters.settled_upto();
+        let (founding, upto) = self.of.voters.committed_up_to();
         if founding == 0 {
             return;
         }
@@ -269,7 +269,7 @@
         // Texts, numbers and lists of them alone, which cannot fail.
         self.of
             .voters
-            .say_aside(to, postcard::to_stdvec(aside).unwrap_or_default());
+            .send_side_message(to, postcard::to_stdvec(aside).unwrap_or_default());
     }
 
     /// It is held here, and no attempt is open there in any process of this balancer.
@@ -306,19 +306,19 @@
 
     async fn look(&self) {
         let turn = self.of.voters.machine().0.turn_of(&self.of.me);
-        let Some(term) = self.of.voters.leads() else {
+        let Some(term) = self.of.voters.leader_term() else {
             *self.leading.borrow_mut() = Leading::default();
             return;
         };
         if turn == Some(Stage::Told) {
-            self.of.voters.hand_over();
+            self.of.voters.transfer_leadership();
         }
         let Some(mut seen) = self.see().await else {
             return;
         };
         self.ask(&mut seen);
         let (due, waits) = self.of.voters.machine().0.lead(&seen);
-        if self.of.voters.leads() != Some(term) {
+        if self.of.voters.leader_term() != Some(term) {
             return;
         }
         for what in due {
@@ -563,8 +563,8 @@
 
     /// This process ends on purpose: another leads, without an election's wait.
     pub fn leave(&self) {
-        if self.of.voters.leads().is_some() {
-            self.of.voters.hand_over();
+        if self.of.voters.leader_term().is_some() {
+            self.of.voters.transfer_leadership();
         }
     }
 
@@ -582,7 +582,7 @@
     }
 
     pub fn figures(&self) -> String {
-        let mut text = self.of.voters.figures();
+        let mut text = self.of.voters.metrics_text();
         for (stage, count) in self.of.voters.machine().0.count() {
             text += &format!("maintenance_{stage}:{count}\r\n");
         }
--- a/crates/stairfront-balancer/src/product.rs
+++ b/crates/stairfront-balancer/src/product.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 use stairfront_membership_agent::RawMembership;
-use stairfront_raft_node::RawAgreement;
+use stairfront_raft_node::AgreementSection;
 use toml::de::{DeTable, DeValue};
 
 /// What is wrong with a file, by its own keys.
@@ -34,7 +34,7 @@
     #[serde(default)]
     group: ProductGroup,
     membership: Option<RawMembership>,
-    agreement: Option<RawAgreement>,
+    agreement: Option<AgreementSection>,
     #[serde(default)]
     servers: Vec<ProductServer>,
     classes: Vec<ProductClass>,
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/server.rs
@@ -8,7 +8,7 @@
 use stairfront_codec::budget::Budget;
 use stairfront_membership_agent::{LedgerFile, Members};
 use stairfront_policy::interface::Settings;
-use stairfront_raft_node::{RawAgreement, Voters};
+use stairfront_raft_node::{AgreementSection, RaftNode};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
@@ -284,14 +284,14 @@
     let keeper = match (&members, agreement) {
         (
             Some(members),
-            Some(RawAgreement {
+            Some(AgreementSection {
                 voters: names,
                 store,
             }),
         ) => {
             let group = members.report().group;
             let of = (name.as_str(), group.as_str());
-            let voters = Voters::new(
+            let voters = RaftNode::new(
                 Rc::clone(members),
                 of,
                 &names,
--- a/crates/stairfront-raft-node/src/config.rs
+++ b/crates/stairfront-raft-node/src/config.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawAgreement {
+pub struct AgreementSection {
     /// The balancers that vote, the same in all files; the first of them founds the group.
     pub voters: Vec<String>,
     /// Where a voter keeps its term, vote and log; in memory where it is left out.
@@ -16,7 +16,7 @@
     pub store: Option<PathBuf>,
 }
 
-impl RawAgreement {
+impl AgreementSection {
     pub fn votes(&self, me: &str) -> bool {
         self.voters.iter().any(|name| name == me)
     }
--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -16,7 +16,7 @@
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
 
-use crate::store::{Store, StoreFault};
+use crate::store::{Store, StoreError};
 
 /// Half of a leader's heartbeat.
 const TICK: Duration = Duration::from_millis(50);
@@ -26,7 +26,7 @@
 const OPEN_AGAIN: Duration = Duration::from_secs(1);
 
 /// What the settled orders are for. The same orders in the same order make the same machine at each member.
-pub trait Machine {
+pub trait StateMachine {
     /// The number of the order, so that its sender is told.
     fn apply(&mut self, index: Index, term: u64, order: &[u8]) -> Option<u64>;
     /// All that was applied, for those who were away.
@@ -42,7 +42,7 @@
     pub role: String,
     pub leader: Option<String>,
     pub term: u64,
-    pub settled: u64,
+    pub committed: u64,
     pub voters: Vec<String>,
     /// Configured voters that are not in.
     pub not_in: Vec<String>,
@@ -66,7 +66,7 @@
 enum Stored {
     Opened(Voter, Recovered),
     Saved(u64),
-    Failed(StoreFault),
+    Failed(StoreError),
 }
 
 struct Thread {
@@ -80,7 +80,7 @@
     send: Vec<(Voter, Message)>,
 }
 
-pub struct Voters<M> {
+pub struct RaftNode<M> {
     members: Rc<Members>,
     me: String,
     group: String,
@@ -105,7 +105,7 @@
     logged: RefCell<Option<Status>>,
 }
 
-impl<M: Machine> Voters<M> {
+impl<M: StateMachine> RaftNode<M> {
     pub fn new(
         members: Rc<Members>,
         (me, group): (&str, &str),
@@ -114,7 +114,7 @@
         seed: u64,
         machine: M,
     ) -> Rc<Self> {
-        Rc::new(Voters {
+        Rc::new(RaftNode {
             members,
             me: me.to_string(),
             group: group.to_string(),
@@ -198,7 +198,7 @@
                     path.display().to_string(),
                     "it cannot be read at all".to_string(),
                 );
-                Err(StoreFault::Spoilt { path, what })
+                Err(StoreError::Spoilt { path, what })
             });
             let (store, recovered) = match opened {
                 Ok(opened) => opened,
@@ -257,7 +257,7 @@
     }
 
     /// Until the store fails.
-    async fn serve(&self, mut store: Option<&mut Thread>) -> StoreFault {
+    async fn serve(&self, mut store: Option<&mut Thread>) -> StoreError {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -276,7 +276,7 @@
                 stored = stored => match stored {
                     Some(Stored::Saved(number)) => self.saved(number),
                     Some(Stored::Failed(fault)) => return fault,
-                    _ => return StoreFault::Disk { path: self.path_text(), problem: "its thread has ended".to_string() },
+                    _ => return StoreError::Disk { path: self.path_text(), problem: "its thread has ended".to_string() },
                 },
                 () = self.changed.notified() => {}
             }
@@ -287,7 +287,7 @@
     /// One line for each change of who leads and who votes, and from which term on.
     fn log_changes(&self) {
         let now = Status {
-            settled: 0,
+            committed: 0,
             ..self.status()
         };
         let before = self.logged.replace(Some(now.clone()));
@@ -370,7 +370,7 @@
     }
 
     /// Says something to a member that is not agreed; to this one itself, too.
-    pub fn say_aside(&self, to: &str, bytes: Vec<u8>) {
+    pub fn send_side_message(&self, to: &str, bytes: Vec<u8>) {
         if to == self.me {
             return self.hear_aside(to, bytes);
         }
@@ -400,7 +400,7 @@
     }
 
     /// Which group it is, 0 for none, and up to where its orders are applied.
-    pub fn settled_upto(&self) -> (u64, u64) {
+    pub fn committed_up_to(&self) -> (u64, u64) {
         let founding = self
             .council
             .borrow()
@@ -518,13 +518,13 @@
     }
 
     /// The term in which this one leads and may settle, if it does.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leader_term(&self) -> Option<u64> {
         let council = self.council.borrow();
         let council = council.as_ref()?;
         (council.node().is_leader() && council.may_commit()).then(|| council.node().term())
     }
 
-    pub fn hand_over(&self) {
+    pub fn transfer_leadership(&self) {
         self.with(|council, now| {
             if let Err(refusal) = council.transfer_leadership(now) {
                 info!("agreement: the leadership stays here: {refusal}");
@@ -559,7 +559,7 @@
             role: role.to_string(),
             leader: node.leader().map(|leader| leader.name.clone()),
             term: node.term(),
-            settled: self.applied.get().0,
+            committed: self.applied.get().0,
             voters: node
                 .voters()
                 .iter()
@@ -575,7 +575,7 @@
     }
 
     /// One `name:value` a line, for `INFO`.
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let council = self.council.borrow();
         let mut text = String::new();
         let Some(council) = council.as_ref() else {
--- a/crates/stairfront-raft-node/src/lib.rs
+++ b/crates/stairfront-raft-node/src/lib.rs
@@ -9,6 +9,6 @@
 /// Descriptors that a voter's store holds.
 pub const STORE_DESCRIPTORS: usize = 1;
 
-pub use config::RawAgreement;
-pub use driver::{Machine, Status, Voters};
-pub use store::{Store, StoreFault};
+pub use config::AgreementSection;
+pub use driver::{RaftNode, StateMachine, Status};
+pub use store::{Store, StoreError};
--- a/crates/stairfront-raft-node/src/store.rs
+++ b/crates/stairfront-raft-node/src/store.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum StoreFault {
+pub enum StoreError {
     #[error("{path}: {problem}; another process may have it open, or the disk is full or gone")]
     Disk { path: String, problem: String },
     #[error(
@@ -78,17 +78,17 @@
 
 impl Store {
     /// Opens the store of this voter, or makes one with the life that is given.
-    pub fn open(path: &Path, group: &str, new: Voter) -> Result<(Store, Recovered), StoreFault> {
+    pub fn open(path: &Path, group: &str, new: Voter) -> Result<(Store, Recovered), StoreError> {
         let db = Database::builder().set_cache_size(CACHE_BYTES).create(path);
         Store::of(path, db, group, new)
     }
 
     /// On anything that stores bytes: for tests of what a crash leaves behind.
-    pub fn on(
+    pub fn open_on(
         backend: impl StorageBackend,
         group: &str,
         new: Voter,
-    ) -> Result<(Store, Recovered), StoreFault> {
+    ) -> Result<(Store, Recovered), StoreError> {
         let db = Database::builder()
             .set_cache_size(CACHE_BYTES)
             .create_with_backend(backend);
@@ -100,19 +100,19 @@
         db: Result<Database, redb::DatabaseError>,
         group: &str,
         new: Voter,
-    ) -> Result<(Store, Recovered), StoreFault> {
+    ) -> Result<(Store, Recovered), StoreError> {
         use redb::{DatabaseError, StorageError};
         let text = path.display().to_string();
         let db = db.map_err(|problem| match problem {
-            DatabaseError::Storage(StorageError::Corrupted(what)) => StoreFault::Spoilt {
+            DatabaseError::Storage(StorageError::Corrupted(what)) => StoreError::Spoilt {
                 path: text.clone(),
                 what,
             },
-            DatabaseError::Storage(StorageError::Io(io)) if is_form(&io) => StoreFault::Spoilt {
+            DatabaseError::Storage(StorageError::Io(io)) if is_form(&io) => StoreError::Spoilt {
                 path: text.clone(),
                 what: io.to_string(),
             },
-            other => StoreFault::Disk {
+            other => StoreError::Disk {
                 path: text.clone(),
                 problem: other.to_string(),
             },
@@ -130,21 +130,21 @@
         &self.voter
     }
 
-    fn disk(&self, problem: &dyn std::fmt::Display) -> StoreFault {
-        StoreFault::Disk {
+    fn disk(&self, problem: &dyn std::fmt::Display) -> StoreError {
+        StoreError::Disk {
             path: self.path.display().to_string(),
             problem: problem.to_string(),
         }
     }
 
-    fn spoilt(&self, what: impl Into<String>) -> StoreFault {
-        StoreFault::Spoilt {
+    fn spoilt(&self, what: impl Into<String>) -> StoreError {
+        StoreError::Spoilt {
             path: self.path.display().to_string(),
             what: what.into(),
         }
     }
 
-    fn recover(&mut self, group: &str) -> Result<Recovered, StoreFault> {
+    fn recover(&mut self, group: &str) -> Result<Recovered, StoreError> {
         let disk = |problem: redb::Error| self.disk(&problem);
         let read = self
             .db
@@ -170,7 +170,7 @@
         let owner = owner.ok_or_else(|| self.spoilt("whose it is cannot be read"))?;
         let path = self.path.display().to_string();
         if owner.form != FORM {
-            return Err(StoreFault::Form {
+            return Err(StoreError::Form {
                 path,
                 form: owner.form,
             });
@@ -180,7 +180,7 @@
                 format!("{} of {}", owner.voter.name, owner.group),
                 format!("{} of {group}", self.voter.name),
             );
-            return Err(StoreFault::Foreign { path, owner, me });
+            return Err(StoreError::Foreign { path, owner, me });
         }
         let hard = match value(HARD)? {
             None => HardState::default(),
@@ -222,7 +222,7 @@
         })
     }
 
-    fn found(&self, group: &str) -> Result<(), StoreFault> {
+    fn found(&self, group: &str) -> Result<(), StoreError> {
         let owner = Owner {
             form: FORM,
             group: group.to_string(),
@@ -241,7 +241,7 @@
 
     /// Keeps all that a `Ready` names. It is on the disk when this returns without a fault; after one, nothing of it
     /// counts, and the store has to be opened anew.
-    pub fn save(&self, ready: &Ready) -> Result<(), StoreFault> {
+    pub fn save(&self, ready: &Ready) -> Result<(), StoreError> {
         let Ready {
             hard,
             snapshot,
--- a/crates/stairfront-raft-node/tests/store.rs
+++ b/crates/stairfront-raft-node/tests/store.rs
@@ -6,7 +6,7 @@
 use redb::StorageBackend;
 use stairfront_emulator::dice::Dice;
 use stairfront_raft::{Entry, HardState, Payload, Ready, Recovered, Snapshot, Voter};
-use stairfront_raft_node::{Store, StoreFault};
+use stairfront_raft_node::{Store, StoreError};
 
 /// A disk that forgets, when it loses power, what was not synced: some of those writes, or the end of one.
 #[derive(Debug, Default)]
@@ -107,8 +107,8 @@
     }
 }
 
-fn open(disk: &Disk, life: u64) -> Result<(Store, Recovered), StoreFault> {
-    Store::on(disk.clone(), "g", voter(life))
+fn open(disk: &Disk, life: u64) -> Result<(Store, Recovered), StoreError> {
+    Store::open_on(disk.clone(), "g", voter(life))
 }
 
 /// One thing that a voter keeps, and what is there once it is kept.
@@ -303,5 +303,5 @@
     let (store, known) = open(&disk, 1).unwrap();
     disk.0.lock().unwrap().room = Some(0);
     let (ready, _) = draw(&mut Dice::new(4, "full"), &known);
-    assert!(matches!(store.save(&ready), Err(StoreFault::Disk { .. })));
+    assert!(matches!(store.save(&ready), Err(StoreError::Disk { .. })));
 }
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -201,7 +201,7 @@
         "{me} {}; {leader} leads in term {}, settled up to {}; voters {}\n",
         agreement.role,
         agreement.term,
-        agreement.settled,
+        agreement.committed,
         agreement.voters.join(", ")
     );
     if !agreement.not_in.is_empty() {
