--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -42,6 +42,7 @@
     pub role: String,
     pub leader: Option<String>,
     pub term: u64,
+    #[serde(rename = "settled")]
     pub committed: u64,
     pub voters: Vec<String>,
     /// Configured voters that are not in.
