--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use stairfront_membership_agent::{RawMembership, DESCRIPTORS};
+use stairfront_membership_agent::{MembershipSection, DESCRIPTORS};
 use stairfront_raft_node::{AgreementSection, STORE_DESCRIPTORS};
 use stairfront_settings::{Start, NOT_RETUNED};
 use xxhash_rust::xxh3::xxh3_64;
@@ -61,7 +61,7 @@
     limits: RawLimits,
     #[serde(default)]
     known: RawList,
-    membership: Option<RawMembership>,
+    membership: Option<MembershipSection>,
     agreement: Option<AgreementSection>,
     settings: Value,
 }
@@ -100,7 +100,7 @@
     pub memory: Memory,
     pub known: ServerList,
     /// The group of balancers that this one is a member of; none, and nothing of it is there.
-    pub membership: Option<RawMembership>,
+    pub membership: Option<MembershipSection>,
     /// What the balancers agree on, and through whom; none, and nothing of it is there.
     pub agreement: Option<AgreementSection>,
     pub start: Start,
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 use stairfront_admin_api::{Done, HostRegistry, Order, Word};
-use stairfront_membership_agent::{Members, Told};
+use stairfront_membership_agent::{DrainAnnouncement, MembershipAgent};
 use stairfront_overload::Door;
 use stairfront_policy::interface::{
     Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
@@ -54,7 +54,7 @@
     /// What the clients' tasks read commands against.
     pub terms: Rc<RefCell<Terms>>,
     /// The others of this balancer's group, and the cache hosts that they hold out; none where there is no group.
-    pub members: Option<(Rc<Members>, Vec<String>)>,
+    pub members: Option<(Rc<MembershipAgent>, Vec<String>)>,
     /// Counted where there is a group that asks for it.
     pub origin: Rc<OriginUse>,
 }
@@ -84,7 +84,7 @@
     registry: HostRegistry,
     /// Cache hosts that somebody else's discovery says leave, and this one's does not say so yet.
     hearsay: FxHashSet<CacheId>,
-    members: Option<Rc<Members>>,
+    members: Option<Rc<MembershipAgent>>,
     /// Attempts by cache host, where there is a group that asks for them.
     sent: FxHashMap<CacheId, u64>,
     origin: Rc<OriginUse>,
@@ -168,7 +168,7 @@
         self.learn(known, true);
         if let Some(members) = &self.members {
             // What others tell of older lists than this one is nothing new.
-            members.told(&Told {
+            members.told(&DrainAnnouncement {
                 index,
                 hosts: self.caches(),
                 leaving: Vec::new(),
@@ -242,7 +242,7 @@
                 let told = self.members.is_some().then(|| self.leaving_in(&list));
                 self.learn(list, false);
                 if let (Some(members), Some(told)) = (&self.members, told) {
-                    members.told(&Told {
+                    members.told(&DrainAnnouncement {
                         hosts: self.caches(),
                         ..told
                     });
@@ -413,7 +413,7 @@
     }
 
     /// Which cache hosts leave by a list, among those that were in use.
-    fn leaving_in(&self, list: &ServerList) -> Told {
+    fn leaving_in(&self, list: &ServerList) -> DrainAnnouncement {
         let said = |line: &&Line| line.member.state != EndpointState::Ready;
         let mut leaving: Vec<String> = list
             .lines
@@ -432,7 +432,7 @@
                 .is_some_and(|member| member.state == EndpointState::Ready)
         };
         leaving.retain(in_use);
-        Told {
+        DrainAnnouncement {
             index: list.index,
             hosts: 0,
             leaving,
--- a/crates/stairfront-balancer/src/group.rs
+++ b/crates/stairfront-balancer/src/group.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use stairfront_admin_api::{Done, Order, Word};
-use stairfront_membership_agent::{Members, Turn};
+use stairfront_membership_agent::{MembershipAgent, MembershipEvent};
 use tokio::sync::{mpsc, oneshot, Notify};
 
 use crate::handover::Link;
@@ -12,7 +12,7 @@
 
 /// Carries what the group wants for as long as the balancer runs.
 pub struct Carrier {
-    pub members: Rc<Members>,
+    pub members: Rc<MembershipAgent>,
     pub orders: mpsc::Sender<Ordered>,
     pub inbox: mpsc::Sender<Input>,
     /// Other processes of this balancer, during an upgrade: what the group holds, both hold.
@@ -25,12 +25,12 @@
     pub async fn run(self) {
         loop {
             match self.members.next_turn().await {
-                Turn::Cordon { host, held } => {
+                MembershipEvent::Cordon { host, held } => {
                     if self.cordon(&host, held).await.is_none() {
                         return;
                     }
                 }
-                Turn::Hearsay { host, stop } => {
+                MembershipEvent::Hearsay { host, stop } => {
                     if self
                         .inbox
                         .send(Input::Hearsay { host, stop })
@@ -40,7 +40,7 @@
                         return;
                     }
                 }
-                Turn::AskAgent => self.ask_agent.notify_one(),
+                MembershipEvent::AskAgent => self.ask_agent.notify_one(),
             }
         }
     }
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -10,7 +10,7 @@
 use stairfront_maintenance::{
     Balancer, Command, Fleet, Host, Maintenance, Outcome, Plan, Seen, Stage, View, Waits, What,
 };
-use stairfront_membership_agent::{Members, State};
+use stairfront_membership_agent::{MemberState, MembershipAgent};
 use stairfront_policy::interface::EndpointState;
 use stairfront_raft_node::{RaftNode, Status};
 use tokio::sync::{mpsc, oneshot};
@@ -175,7 +175,7 @@
 /// What a keeper is made of.
 pub struct Parts {
     pub voters: Rc<RaftNode<Plans>>,
-    pub members: Rc<Members>,
+    pub members: Rc<MembershipAgent>,
     pub orders: mpsc::Sender<Ordered>,
     pub inbox: mpsc::Sender<Input>,
     pub links: [Rc<Link>; 2],
@@ -413,8 +413,8 @@
         let balancers: Vec<Balancer> = balancers
             .map(|member| Balancer {
                 name: member.name.clone(),
-                there: matches!(member.state, State::Alive | State::Suspect),
-                left: member.state == State::Left,
+                there: matches!(member.state, MemberState::Alive | MemberState::Suspect),
+                left: member.state == MemberState::Left,
                 votes: self.of.names.contains(&member.name),
                 leads: member.name == self.of.me,
                 run: member.run,
--- a/crates/stairfront-balancer/src/operators.rs
+++ b/crates/stairfront-balancer/src/operators.rs
@@ -13,7 +13,7 @@
 use stairfront_codec::http::HttpError;
 use stairfront_codec::http_server::{HttpServerCodec, Received, Reply};
 use stairfront_maintenance::{Plan, What};
-use stairfront_membership_agent::{Members, Order as GroupOrder};
+use stairfront_membership_agent::{CordonOrder as GroupOrder, MembershipAgent};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::{spawn_local, AbortHandle};
@@ -52,7 +52,7 @@
     /// This process can serve.
     pub ready: watch::Receiver<bool>,
     /// The group, where there is one.
-    pub members: Option<Rc<Members>>,
+    pub members: Option<Rc<MembershipAgent>>,
     /// The plans that the group has agreed on, where it agrees on any.
     pub keeper: Option<Rc<Keeper>>,
 }
@@ -201,7 +201,7 @@
     if let Some(slept) = desk
         .members
         .as_ref()
-        .and_then(|members| members.stood_still())
+        .and_then(|members| members.stalled_for())
     {
         let slept = slept.as_millis();
         let problem = format!(
@@ -258,7 +258,7 @@
         return no(404, "Not Found", NO_GROUP);
     };
     // Danger: a call that lay here while this process slept is from before whatever the others have done since.
-    if let Some(slept) = members.stood_still() {
+    if let Some(slept) = members.stalled_for() {
         let problem = format!(
             "this process stood still for {} ms, and the call may be as old: nothing was done; ask again",
             slept.as_millis()
--- a/crates/stairfront-balancer/src/product.rs
+++ b/crates/stairfront-balancer/src/product.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 use serde_json::{json, Value};
-use stairfront_membership_agent::RawMembership;
+use stairfront_membership_agent::MembershipSection;
 use stairfront_raft_node::AgreementSection;
 use toml::de::{DeTable, DeValue};
 
@@ -33,7 +33,7 @@
     limits: ProductLimits,
     #[serde(default)]
     group: ProductGroup,
-    membership: Option<RawMembership>,
+    membership: Option<MembershipSection>,
     agreement: Option<AgreementSection>,
     #[serde(default)]
     servers: Vec<ProductServer>,
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/server.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use stairfront_codec::budget::Budget;
-use stairfront_membership_agent::{LedgerFile, Members};
+use stairfront_membership_agent::{CordonSetFile, MembershipAgent};
 use stairfront_policy::interface::Settings;
 use stairfront_raft_node::{AgreementSection, RaftNode};
 use tokio::net::TcpListener;
@@ -82,8 +82,8 @@
             spawn_local(reload::pass_on(hangups, rung)),
         );
         let members = config.membership.as_ref().map(|raw| {
-            let record = LedgerFile::within(folder.as_deref(), &raw.group, &config.name);
-            Members::new(raw, &config.name, config.seed, record)
+            let record = CordonSetFile::within(folder.as_deref(), &raw.group, &config.name);
+            MembershipAgent::new(raw, &config.name, config.seed, record)
         });
         let around = Around {
             network: Tcp,
@@ -128,7 +128,7 @@
     pub predecessor: Option<Predecessor>,
     pub successor: Rc<Link>,
     /// The group that this balancer is a member of, where there is one.
-    pub members: Option<Rc<Members>>,
+    pub members: Option<Rc<MembershipAgent>>,
     pub clock: Clock,
     pub phase: watch::Receiver<Phase>,
     pub hangups: mpsc::Receiver<()>,
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use stairfront_membership_agent::Members;
+use stairfront_membership_agent::MembershipAgent;
 use stairfront_overload::{Arrival, Door, Verdict};
 use stairfront_policy::interface::{ClassId, Key, Micros, Request, RequestId, TenantId, MS};
 use tokio::sync::watch;
@@ -36,7 +36,7 @@
     /// There is a list of servers to serve from.
     pub ready: watch::Receiver<bool>,
     /// The others of this balancer's group, where there is one.
-    pub members: Option<Rc<Members>>,
+    pub members: Option<Rc<MembershipAgent>>,
     /// The plans that the group agrees on, once they are there.
     pub keeper: Rc<OnceCell<Rc<Keeper>>>,
 }
@@ -46,7 +46,7 @@
         let group = self
             .members
             .as_ref()
-            .map_or(String::new(), |members| members.figures());
+            .map_or(String::new(), |members| members.metrics_text());
         let plans = self
             .keeper
             .get()
--- a/crates/stairfront-gossip-membership/src/claim.rs
+++ b/crates/stairfront-gossip-membership/src/claim.rs
@@ -5,12 +5,12 @@
 
 /// Raised by a member alone, to refute what is said of it. Beyond `LARGEST_INCARNATION` no refutation would be left.
 pub type Incarnation = u64;
-pub const LARGEST_INCARNATION: Incarnation = 1 << 62;
+pub const MAX_INCARNATION: Incarnation = 1 << 62;
 
 /// What a member is to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum MemberState {
     Alive,
     /// Did not answer; it may refute that for a while.
     Suspect,
@@ -19,19 +19,19 @@
     Left,
 }
 
-impl State {
-    pub fn word(self) -> &'static str {
+impl MemberState {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Failed => "failed",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Failed => "failed",
+            MemberState::Left => "left",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claim {
+pub enum StateAssertion {
     /// Said by the member itself: where it is, and which process it is.
     Alive { address: SocketAddr, run: u64 },
     /// Did not answer `by`.
@@ -44,8 +44,8 @@
 
 /// A claim about a member, at one of its incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
-    pub about: String,
+pub struct GossipMessage {
+    pub member: String,
     pub incarnation: Incarnation,
-    pub claim: Claim,
+    pub assertion: StateAssertion,
 }
--- a/crates/stairfront-gossip-membership/src/cordons.rs
+++ b/crates/stairfront-gossip-membership/src/cordons.rs
@@ -10,7 +10,7 @@
 use crate::settings::Micros;
 
 /// Entries kept, the lifted among them. Each takes some hundred bytes.
-pub const MOST_ENTRIES: usize = 1024;
+pub const MAX_ENTRIES: usize = 1024;
 /// A lifted entry is kept so long for those that were away: one that missed the lift for longer would bring its cordon
 /// back, which is seen and lifted again, and sends nothing to a host that is out.
 const KEEP_LIFTED: Micros = 7 * 86_400 * 1_000_000;
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct CordonEntry {
     pub host: String,
     pub tag: Tag,
     pub lifted: bool,
@@ -42,7 +42,7 @@
 
 /// What a change of the ledger means for a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct CordonTransition {
     pub host: String,
     pub held: bool,
 }
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct CordonSet {
     hosts: BTreeMap<String, Host>,
     count: usize,
     /// Of the last cordon given here.
@@ -71,10 +71,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the ledger is full: {MOST_ENTRIES} cordons, none of them lifted")]
-pub struct Full;
+#[error("the ledger is full: {MAX_ENTRIES} cordons, none of them lifted")]
+pub struct CordonSetFull;
 
-impl Ledger {
+impl CordonSet {
     /// Sets a new cordon.
     pub fn cordon(
         &mut self,
@@ -82,14 +82,14 @@
         host: &str,
         author: &str,
         run: u64,
-    ) -> Result<(Entry, Vec<Turn>), Full> {
+    ) -> Result<(CordonEntry, Vec<CordonTransition>), CordonSetFull> {
         self.last += 1;
         let tag = Tag {
             author: author.to_string(),
             run,
             number: self.last,
         };
-        let entry = Entry {
+        let entry = CordonEntry {
             host: host.to_string(),
             tag,
             lifted: false,
@@ -99,7 +99,12 @@
     }
 
     /// Lifts all that is known to hold a host, but what a plan of this founding does.
-    pub fn lift(&mut self, now: Micros, host: &str, founding: u64) -> (Vec<Entry>, Vec<Turn>) {
+    pub fn lift(
+        &mut self,
+        now: Micros,
+        host: &str,
+        founding: u64,
+    ) -> (Vec<CordonEntry>, Vec<CordonTransition>) {
         let tags = self
             .hosts
             .get(host)
@@ -107,8 +112,8 @@
             .flat_map(|known| known.tags.iter());
         let held = tags.filter(|(tag, lifted)| lifted.is_none() && !tag.is_planned(founding));
         let held = held.map(|(tag, _)| tag.clone());
-        let entries: Vec<Entry> = held
-            .map(|tag| Entry {
+        let entries: Vec<CordonEntry> = held
+            .map(|tag| CordonEntry {
                 host: host.to_string(),
                 tag,
                 lifted: true,
@@ -131,7 +136,7 @@
     }
 
     /// The entry by which a plan holds a host.
-    pub fn planned(host: &str, founding: u64, number: u64) -> Entry {
+    pub fn planned(host: &str, founding: u64, number: u64) -> CordonEntry {
         // A log of 4,000 million entries is none that this program keeps.
         let number = u32::try_from(number).unwrap_or(u32::MAX);
         let tag = Tag {
@@ -139,7 +144,7 @@
             run: founding,
             number,
         };
-        Entry {
+        CordonEntry {
             host: host.to_string(),
             tag,
             lifted: false,
@@ -148,13 +153,13 @@
 
     /// What has to be entered so that the plans hold these and no others, as agreed up to an entry of the log. Danger: a
     /// member that is behind would lift what was held after the last entry that it knows.
-    pub fn follow(&self, founding: u64, held: &[(String, u64)], upto: u64) -> Vec<Entry> {
-        let wanted: Vec<Entry> = held
+    pub fn follow(&self, founding: u64, held: &[(String, u64)], upto: u64) -> Vec<CordonEntry> {
+        let wanted: Vec<CordonEntry> = held
             .iter()
-            .map(|(host, number)| Ledger::planned(host, founding, *number))
+            .map(|(host, number)| CordonSet::planned(host, founding, *number))
             .collect();
-        let known = |entry: &Entry| self.knows(entry);
-        let mut entries: Vec<Entry> = wanted
+        let known = |entry: &CordonEntry| self.knows(entry);
+        let mut entries: Vec<CordonEntry> = wanted
             .iter()
             .filter(|entry| !known(entry))
             .cloned()
@@ -163,7 +168,7 @@
             let ours = entry.tag.is_planned(founding) && u64::from(entry.tag.number) <= upto;
             ours && !entry.lifted && !wanted.iter().any(|wanted| wanted.tag == entry.tag)
         });
-        entries.extend(over.map(|entry| Entry {
+        entries.extend(over.map(|entry| CordonEntry {
             lifted: true,
             ..entry
         }));
@@ -171,12 +176,16 @@
     }
 
     /// Takes entries over; what has turned is to be done by the engine, then told by `applied`.
-    pub fn merge(&mut self, now: Micros, entries: &[Entry]) -> Result<Vec<Turn>, Full> {
-        let mut turns: Vec<Turn> = Vec::new();
+    pub fn merge(
+        &mut self,
+        now: Micros,
+        entries: &[CordonEntry],
+    ) -> Result<Vec<CordonTransition>, CordonSetFull> {
+        let mut turns: Vec<CordonTransition> = Vec::new();
         let mut changed = false;
         let mut full = false;
         for entry in entries {
-            if self.count >= MOST_ENTRIES && !self.knows(entry) && !self.make_room() {
+            if self.count >= MAX_ENTRIES && !self.knows(entry) && !self.make_room() {
                 full = true;
                 continue;
             }
@@ -196,7 +205,7 @@
             if host.is_held() != before {
                 host.applied = false;
                 turns.retain(|turn| turn.host != entry.host);
-                turns.push(Turn {
+                turns.push(CordonTransition {
                     host: entry.host.clone(),
                     held: host.is_held(),
                 });
@@ -209,13 +218,13 @@
             self.digest = self.digest_now();
         }
         if full {
-            Err(Full)
+            Err(CordonSetFull)
         } else {
             Ok(turns)
         }
     }
 
-    fn knows(&self, entry: &Entry) -> bool {
+    fn knows(&self, entry: &CordonEntry) -> bool {
         self.hosts
             .get(&entry.host)
             .is_some_and(|host| host.tags.contains_key(&entry.tag))
@@ -273,7 +282,7 @@
     }
 
     /// Whether what stands here of these entries is done by the engine, too.
-    pub fn has_applied(&self, entries: &[Entry]) -> bool {
+    pub fn has_applied(&self, entries: &[CordonEntry]) -> bool {
         entries.iter().all(|entry| {
             self.hosts
                 .get(&entry.host)
@@ -288,9 +297,9 @@
             .map(|(name, _)| name.as_str())
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
+    pub fn entries(&self) -> impl Iterator<Item = CordonEntry> + '_ {
         self.hosts.iter().flat_map(|(name, host)| {
-            host.tags.iter().map(|(tag, lifted)| Entry {
+            host.tags.iter().map(|(tag, lifted)| CordonEntry {
                 host: name.clone(),
                 tag: tag.clone(),
                 lifted: lifted.is_some(),
@@ -325,20 +334,20 @@
 #[derive(Serialize, Deserialize)]
 struct Record {
     version: u32,
-    entries: Vec<Entry>,
+    entries: Vec<CordonEntry>,
 }
 
 const RECORD_VERSION: u32 = 1;
 
 #[derive(Debug, thiserror::Error)]
-pub enum RecordFault {
+pub enum RecordError {
     #[error("not a ledger of cordons: {0}")]
     Json(#[from] serde_json::Error),
     #[error("version {0} is not known here, {RECORD_VERSION} is")]
     Version(u32),
 }
 
-pub fn write_record(ledger: &Ledger) -> String {
+pub fn write_record(ledger: &CordonSet) -> String {
     let record = Record {
         version: RECORD_VERSION,
         entries: ledger.entries().collect(),
@@ -348,10 +357,10 @@
 }
 
 /// A torn one is an error, never part of a ledger.
-pub fn read_record(text: &str) -> Result<Vec<Entry>, RecordFault> {
+pub fn read_record(text: &str) -> Result<Vec<CordonEntry>, RecordError> {
     let Record { version, entries } = serde_json::from_str(text)?;
     match version {
         RECORD_VERSION => Ok(entries),
-        other => Err(RecordFault::Version(other)),
+        other => Err(RecordError::Version(other)),
     }
 }
--- a/crates/stairfront-gossip-membership/src/core.rs
+++ b/crates/stairfront-gossip-membership/src/core.rs
@@ -7,19 +7,20 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claim::{Claim, Incarnation, Rumour, State};
-use crate::cordons::{Entry, Ledger, Turn};
+use crate::claim::{GossipMessage, Incarnation, MemberState, StateAssertion};
+use crate::cordons::{CordonEntry, CordonSet, CordonTransition};
 use crate::detector::{Detector, Probe, HELPERS};
 use crate::dice::Dice;
 use crate::gossip::Queue;
-use crate::news::{self, Hearsay, Told};
+use crate::news::{self, DrainAnnouncement, DrainHints};
 use crate::packet::{
-    group_mark, Body, Item, Packet, PacketFault, Sender, Writer, LARGEST_DATAGRAM, LARGEST_EXCHANGE,
+    group_mark, Body, Item, Packet, PacketError, Sender, Writer, MAX_DATAGRAM_BYTES,
+    MAX_EXCHANGE_BYTES,
 };
 use crate::report::{MemberReport, Missing, Progress, Report};
 use crate::settings::{Micros, Settings, MS, SECOND};
-use crate::standing::{Stand, Standing};
-use crate::table::{suspicion_lasts, Peer, Suspicion, Table, View};
+use crate::standing::{QuorumStatus, QuorumView};
+use crate::table::{suspicion_timeout, Peer, Suspicion, Table, View};
 
 /// Nobody calls for so long unless the process stood still: the driver ticks twenty times a second.
 const SLEPT: Micros = 800 * MS;
@@ -46,7 +47,7 @@
 /// Then the ledgers' own comparison has it alone.
 const ORDER_LASTS: Micros = 60 * SECOND;
 /// Orders under way at once.
-pub const MOST_ORDERS: usize = 16;
+pub const MAX_ORDERS: usize = 16;
 /// Confirmations owed to others at once.
 const MOST_OWED: usize = 64;
 /// Members probed at once since somebody doubts them: some, so that large groups do not all ask one.
@@ -104,9 +105,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
-    #[error("{} here, and nothing is lifted without a majority of the roster", .0.word())]
-    NoMajority(Standing),
+pub enum OrderError {
+    #[error("{} here, and nothing is lifted without a majority of the roster", .0.as_str())]
+    NoMajority(QuorumStatus),
     #[error("too many orders for the group are under way; ask again")]
     Busy,
     #[error("the ledger of the group's cordons is full")]
@@ -119,7 +120,7 @@
 
 /// Counted since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Metrics {
     pub datagrams_in: u64,
     pub datagrams_out: u64,
     pub bytes_in: u64,
@@ -156,7 +157,7 @@
     number: u64,
     host: String,
     cordon: bool,
-    entries: Vec<Entry>,
+    entries: Vec<CordonEntry>,
     confirmed: BTreeSet<String>,
     began: Micros,
     next: Micros,
@@ -165,7 +166,7 @@
 struct Owed {
     to: SocketAddr,
     number: u64,
-    entries: Vec<Entry>,
+    entries: Vec<CordonEntry>,
 }
 
 #[derive(Default)]
@@ -193,11 +194,11 @@
     /// Probed before their turn.
     urgent: Vec<String>,
     queue: Queue,
-    ledger: Ledger,
+    ledger: CordonSet,
     /// Of the agreement that plans stand on; 0 for none.
     founding: u64,
-    hearsay: Hearsay,
-    stand: Stand,
+    hearsay: DrainHints,
+    stand: QuorumView,
     orders: Vec<Order>,
     owed: Vec<Owed>,
     next_order: u64,
@@ -213,14 +214,14 @@
     next_sweep: Micros,
     /// Members to compare everything with, soon.
     compare: Vec<SocketAddr>,
-    pub figures: Figures,
+    pub figures: Metrics,
     out: Vec<Action>,
 }
 
 impl Membership {
     /// `restored` is what a record of the ledger held.
-    pub fn new(now: Micros, set: Settings, restored: &[Entry]) -> Self {
-        let mut ledger = Ledger::default();
+    pub fn new(now: Micros, set: Settings, restored: &[CordonEntry]) -> Self {
+        let mut ledger = CordonSet::default();
         // A record was written from a ledger, so it fits.
         let _ = ledger.merge(now, restored);
         let mut roster = set.roster.clone();
@@ -243,8 +244,8 @@
             queue: Queue::default(),
             ledger,
             founding: 0,
-            hearsay: Hearsay::default(),
-            stand: Stand::new(now),
+            hearsay: DrainHints::default(),
+            stand: QuorumView::new(now),
             orders: Vec::new(),
             owed: Vec::new(),
             next_order: 0,
@@ -259,7 +260,7 @@
             last_exchange: Micros::MIN / 2,
             next_sweep: now + SECOND,
             compare: Vec::new(),
-            figures: Figures::default(),
+            figures: Metrics::default(),
             out: Vec::new(),
             set,
         }
@@ -270,11 +271,11 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> QuorumStatus {
         self.stand.now
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &CordonSet {
         &self.ledger
     }
 
@@ -283,7 +284,7 @@
     }
 
     /// Takes a record over once more: the process before this one may have written it since.
-    pub fn restore(&mut self, now: Micros, entries: &[Entry]) {
+    pub fn restore(&mut self, now: Micros, entries: &[CordonEntry]) {
         self.merge(now, entries);
     }
 
@@ -321,20 +322,20 @@
             self.refute(now, self.incarnation + 1);
         }
         let census = self.census();
-        if let Some(standing) = self.stand.look(now, census) {
+        if let Some(standing) = self.stand.update(now, census) {
             let (sure, of) = (census.sure, census.roster);
             self.out.push(Action::Log(format!(
                 "standing is {} now: {sure} of the {of} of the roster are there without doubt",
-                standing.word()
+                standing.as_str()
             )));
         }
     }
 
-    fn census(&self) -> crate::standing::Census {
-        let census = self.table.census();
+    fn census(&self) -> crate::standing::RosterCount {
+        let census = self.table.roster_count();
         match &self.rival {
             // Two processes cannot both stand for one name: neither does.
-            Some(_) => crate::standing::Census {
+            Some(_) => crate::standing::RosterCount {
                 sure: 1,
                 doubtful: 0,
                 ..census
@@ -360,7 +361,7 @@
                 suspicion.began += slept;
             }
         }
-        self.stand.settle_again(now);
+        self.stand.reset(now);
         self.out.push(Action::Warn(format!(
             "this process stood still for {} ms: asking the others before anything is believed",
             slept / MS
@@ -400,7 +401,7 @@
             self.begin_probe(now, &name);
         }
         let unproven = self.table.peers.iter().filter(|(name, peer)| {
-            peer.unproven && peer.is_there() && !self.detector.is_probing(name)
+            peer.unproven && peer.is_present() && !self.detector.is_probing(name)
         });
         let unproven: Vec<String> = unproven
             .map(|(name, _)| name.clone())
@@ -420,13 +421,17 @@
     fn next_of_ring(&mut self) -> Option<String> {
         for _ in 0..2 {
             while let Some(name) = self.ring.pop() {
-                if self.table.peers.get(&name).is_some_and(Peer::is_there)
+                if self.table.peers.get(&name).is_some_and(Peer::is_present)
                     && !self.detector.is_probing(&name)
                 {
                     return Some(name);
                 }
             }
-            let there = self.table.peers.iter().filter(|(_, peer)| peer.is_there());
+            let there = self
+                .table
+                .peers
+                .iter()
+                .filter(|(_, peer)| peer.is_present());
             self.ring = there.map(|(name, _)| name.clone()).collect();
             self.dice.shuffle(&mut self.ring);
         }
@@ -434,7 +439,7 @@
     }
 
     fn begin_probe(&mut self, now: Micros, name: &str) {
-        let Some(peer) = self.table.peers.get(name).filter(|peer| peer.is_there()) else {
+        let Some(peer) = self.table.peers.get(name).filter(|peer| peer.is_present()) else {
             return;
         };
         let Some(address) = peer.address else { return };
@@ -462,21 +467,21 @@
         let Some(peer) = self.table.peers.get(name) else {
             return Vec::new();
         };
-        let own = |claim| Rumour {
-            about: name.to_string(),
+        let own = |claim| GossipMessage {
+            member: name.to_string(),
             incarnation: peer.incarnation,
-            claim,
+            assertion: claim,
         };
         let charge = match (peer.state, &peer.suspicion) {
-            (State::Suspect, Some(suspicion)) => {
+            (MemberState::Suspect, Some(suspicion)) => {
                 let by = suspicion
                     .by
                     .first()
                     .cloned()
                     .unwrap_or_else(|| self.set.me.clone());
-                Some(own(Claim::Suspect { by }))
+                Some(own(StateAssertion::Suspect { by }))
             }
-            (State::Failed, _) if peer.incarnation > 0 => Some(own(Claim::Failed {
+            (MemberState::Failed, _) if peer.incarnation > 0 => Some(own(StateAssertion::Failed {
                 by: self.set.me.clone(),
             })),
             _ => peer.accusation.clone(),
@@ -529,7 +534,7 @@
         let Some(peer) = self.table.peers.get_mut(&probe.target) else {
             return;
         };
-        if !peer.is_there() {
+        if !peer.is_present() {
             return;
         }
         (peer.doubted, peer.unproven) = (true, false);
@@ -543,10 +548,10 @@
             (now - probe.sent) / MS
         );
         let me = self.set.me.clone();
-        let rumour = Rumour {
-            about: probe.target.clone(),
+        let rumour = GossipMessage {
+            member: probe.target.clone(),
             incarnation,
-            claim: Claim::Suspect { by: me },
+            assertion: StateAssertion::Suspect { by: me },
         };
         self.hear_rumour(now, rumour, &cause);
     }
@@ -556,7 +561,7 @@
         let size = self.table.size();
         let least = self.set.times.suspicion;
         let lasted = |peer: &Peer| {
-            let over = |s: &Suspicion| now - s.began >= suspicion_lasts(least, size, s.by.len());
+            let over = |s: &Suspicion| now - s.began >= suspicion_timeout(least, size, s.by.len());
             peer.suspicion.as_ref().is_some_and(over)
         };
         let failed: Vec<String> = self
@@ -574,7 +579,7 @@
                 continue;
             };
             self.figures.failures += 1;
-            peer.turn(now, State::Failed);
+            peer.transition_to(now, MemberState::Failed);
             self.view = None;
             let (incarnation, lasted) = (peer.incarnation, (now - began) / MS);
             self.out.push(Action::Log(format!(
@@ -582,10 +587,10 @@
                 by.join(", ")
             )));
             let by = self.set.me.clone();
-            self.queue.push(Item::Member(Rumour {
-                about: name,
+            self.queue.push(Item::Member(GossipMessage {
+                member: name,
                 incarnation,
-                claim: Claim::Failed { by },
+                assertion: StateAssertion::Failed { by },
             }));
         }
     }
@@ -620,7 +625,7 @@
                 .table
                 .peers
                 .iter()
-                .filter(|(_, peer)| peer.state == State::Failed);
+                .filter(|(_, peer)| peer.state == MemberState::Failed);
             let failed: Vec<(String, SocketAddr)> = failed
                 .filter_map(|(name, peer)| Some((name.clone(), peer.address?)))
                 .collect();
@@ -685,11 +690,11 @@
             self.mark,
             &self.sender(),
             &Body::Exchange { reply },
-            LARGEST_EXCHANGE,
+            MAX_EXCHANGE_BYTES,
         );
         let rumours = self
             .table
-            .rumours(&self.set.me)
+            .gossip_messages(&self.set.me)
             .into_iter()
             .map(Item::Member);
         for item in self.ledger.entries().map(Item::Cordon).chain(rumours) {
@@ -722,7 +727,7 @@
 
     /// A datagram with what must go along first, and of the rest what fits.
     fn send(&mut self, to: SocketAddr, body: &Body, first: Vec<Item>) {
-        let mut writer = Writer::new(self.mark, &self.sender(), body, LARGEST_DATAGRAM);
+        let mut writer = Writer::new(self.mark, &self.sender(), body, MAX_DATAGRAM_BYTES);
         for item in &first {
             // One that does not fit is told by the queue, or by an exchange.
             writer.add(item);
@@ -741,11 +746,11 @@
             return;
         };
         let body = Body::Carried { bytes };
-        let packet = Writer::new(self.mark, &self.sender(), &body, LARGEST_DATAGRAM);
+        let packet = Writer::new(self.mark, &self.sender(), &body, MAX_DATAGRAM_BYTES);
         if packet.fits() {
             return self.send(address, &body, Vec::new());
         }
-        let packet = Writer::new(self.mark, &self.sender(), &body, LARGEST_EXCHANGE);
+        let packet = Writer::new(self.mark, &self.sender(), &body, MAX_EXCHANGE_BYTES);
         if packet.fits() {
             self.out.push(Action::Stream {
                 to: address,
@@ -768,16 +773,16 @@
 
     fn own_claim(&self) -> Item {
         let claim = match self.leaving {
-            true => Claim::Left,
-            false => Claim::Alive {
+            true => StateAssertion::Left,
+            false => StateAssertion::Alive {
                 address: self.set.advertise,
                 run: self.set.run,
             },
         };
-        Item::Member(Rumour {
-            about: self.set.me.clone(),
+        Item::Member(GossipMessage {
+            member: self.set.me.clone(),
             incarnation: self.incarnation,
-            claim,
+            assertion: claim,
         })
     }
 
@@ -808,7 +813,7 @@
         self.awake(now);
         self.figures.datagrams_in += 1;
         self.figures.bytes_in += bytes.len() as u64;
-        match Packet::read(self.mark, bytes, LARGEST_DATAGRAM) {
+        match Packet::read(self.mark, bytes, MAX_DATAGRAM_BYTES) {
             Ok(packet) => self.hear(now, packet),
             Err(fault) => self.odd(fault),
         }
@@ -817,7 +822,7 @@
     /// What came by stream; the reply that is owed, if one is.
     pub fn exchanged(&mut self, now: Micros, bytes: &[u8]) -> Option<Vec<u8>> {
         self.awake(now);
-        let packet = match Packet::read(self.mark, bytes, LARGEST_EXCHANGE) {
+        let packet = match Packet::read(self.mark, bytes, MAX_EXCHANGE_BYTES) {
             Ok(packet) => packet,
             Err(fault) => {
                 self.odd(fault);
@@ -844,11 +849,11 @@
         self.figures.exchanges_failed += 1;
     }
 
-    fn odd(&mut self, fault: PacketFault) {
+    fn odd(&mut self, fault: PacketError) {
         let count = match fault {
-            PacketFault::Version(_) => &mut self.figures.other_version,
-            PacketFault::Group => &mut self.figures.other_group,
-            PacketFault::Check => &mut self.figures.spoilt,
+            PacketError::Version(_) => &mut self.figures.other_version,
+            PacketError::Group => &mut self.figures.other_group,
+            PacketError::Check => &mut self.figures.spoilt,
             _ => &mut self.figures.unreadable,
         };
         *count += 1;
@@ -868,14 +873,14 @@
             }
             return;
         }
-        let claim = Claim::Alive {
+        let claim = StateAssertion::Alive {
             address: from.address,
             run: from.run,
         };
-        let claim = Rumour {
-            about: from.name.clone(),
+        let claim = GossipMessage {
+            member: from.name.clone(),
             incarnation: from.incarnation,
-            claim,
+            assertion: claim,
         };
         self.hear_rumour(now, claim, "it says so itself");
         let known = self.table.peers.get(&from.name);
@@ -886,7 +891,7 @@
         }
         let own_view = self.view();
         if let Some(peer) = self.table.peers.get_mut(&from.name).filter(|_| is_current) {
-            if peer.is_there() {
+            if peer.is_present() {
                 let (roster, view, ledger) = (from.roster, from.view, from.ledger);
                 peer.view = Some(View {
                     roster,
@@ -912,23 +917,23 @@
         };
         let (incarnation, about) = (peer.incarnation, from.name.clone());
         let claim = match (peer.state, peer.address) {
-            (State::Left, _) => Claim::Left,
-            (_, Some(address)) => Claim::Alive {
+            (MemberState::Left, _) => StateAssertion::Left,
+            (_, Some(address)) => StateAssertion::Alive {
                 address,
                 run: peer.run,
             },
             _ => return,
         };
-        let item = Item::Member(Rumour {
-            about,
+        let item = Item::Member(GossipMessage {
+            member: about,
             incarnation,
-            claim,
+            assertion: claim,
         });
         self.send(from.address, &Body::Gossip, vec![item]);
     }
 
     /// Takes over what stands behind a body; the cordons among it.
-    fn hear_items(&mut self, now: Micros, items: Vec<Item>, from: &str) -> Vec<Entry> {
+    fn hear_items(&mut self, now: Micros, items: Vec<Item>, from: &str) -> Vec<CordonEntry> {
         let mut entries = Vec::new();
         for item in items {
             match item {
@@ -961,34 +966,35 @@
 
     /// Takes over what is told of a member (SWIM section 4.2). What this one has not seen for itself never ends a
     /// member: a rumour that one has failed is a reason to look.
-    fn hear_rumour(&mut self, now: Micros, rumour: Rumour, cause: &str) {
-        if rumour.about == self.set.me {
+    fn hear_rumour(&mut self, now: Micros, rumour: GossipMessage, cause: &str) {
+        if rumour.member == self.set.me {
             return self.hear_of_me(now, rumour);
         }
-        let alive = matches!(rumour.claim, Claim::Alive { .. });
-        let known = self.table.peers.contains_key(&rumour.about);
-        if !(known || alive && self.table.admit(&rumour.about, rumour.incarnation, now)) {
+        let alive = matches!(rumour.assertion, StateAssertion::Alive { .. });
+        let known = self.table.peers.contains_key(&rumour.member);
+        if !(known || alive && self.table.admit(&rumour.member, rumour.incarnation, now)) {
             return;
         }
-        let Some(peer) = self.table.peers.get_mut(&rumour.about) else {
+        let Some(peer) = self.table.peers.get_mut(&rumour.member) else {
             return;
         };
-        let Rumour {
-            about,
+        let GossipMessage {
+            member,
             incarnation,
-            claim,
+            assertion,
         } = &rumour;
         let (before, newer) = (peer.state, *incarnation > peer.incarnation);
-        match claim {
-            Claim::Alive { address, run } => {
+        match assertion {
+            StateAssertion::Alive { address, run } => {
                 peer.address = peer.address.or(Some(*address));
                 // Danger: what only tells where a failed one can be reached would raise it.
                 if peer.run == 0 && *incarnation == peer.incarnation && *incarnation > 0 {
                     (peer.run, peer.address) = (*run, Some(*address));
                     return;
                 }
-                let other =
-                    *incarnation == peer.incarnation && *run > peer.run && before != State::Left;
+                let other = *incarnation == peer.incarnation
+                    && *run > peer.run
+                    && before != MemberState::Left;
                 if !newer && !other {
                     return;
                 }
@@ -996,30 +1002,30 @@
                 (peer.incarnation, peer.run, peer.address) = (*incarnation, *run, Some(*address));
                 // Danger: one that hears all and is heard by none would take what others say of each other for its own
                 // being in touch. It is sure of those again who have answered itself.
-                peer.unproven |= !first && (before == State::Failed || peer.doubted);
+                peer.unproven |= !first && (before == MemberState::Failed || peer.doubted);
                 (peer.doubted, peer.accusation) = (false, None);
-                peer.turn(now, State::Alive);
-                if before != State::Alive || restarted {
+                peer.transition_to(now, MemberState::Alive);
+                if before != MemberState::Alive || restarted {
                     let how = match (first, restarted) {
                         (true, _) => "is there",
                         (_, true) => "has started anew",
-                        _ if before == State::Suspect => "has refuted the suspicion",
+                        _ if before == MemberState::Suspect => "has refuted the suspicion",
                         _ => "is back",
                     };
                     self.out
-                        .push(Action::Log(format!("{about} {how} at {address}: {cause}")));
+                        .push(Action::Log(format!("{member} {how} at {address}: {cause}")));
                 }
-                if before == State::Failed && !first {
+                if before == MemberState::Failed && !first {
                     self.compare.push(*address);
                 }
             }
-            Claim::Suspect { by } => {
+            StateAssertion::Suspect { by } => {
                 if *incarnation < peer.incarnation {
                     return;
                 }
                 match (before, &mut peer.suspicion) {
-                    (State::Left | State::Failed, _) if !newer => return,
-                    (State::Suspect, Some(suspicion)) if !newer => {
+                    (MemberState::Left | MemberState::Failed, _) if !newer => return,
+                    (MemberState::Suspect, Some(suspicion)) if !newer => {
                         if suspicion.by.contains(by) || suspicion.by.len() > HELPERS {
                             return;
                         }
@@ -1027,25 +1033,25 @@
                     }
                     _ => {
                         peer.incarnation = *incarnation;
-                        peer.turn(now, State::Suspect);
+                        peer.transition_to(now, MemberState::Suspect);
                         peer.suspicion = Some(Suspicion {
                             began: now,
                             by: vec![by.clone()],
                         });
                         self.figures.suspicions += 1;
                         self.out
-                            .push(Action::Log(format!("{about} is suspect: {cause}")));
-                        self.second_opinion(about);
+                            .push(Action::Log(format!("{member} is suspect: {cause}")));
+                        self.second_opinion(member);
                     }
                 }
             }
-            Claim::Failed { by } => {
+            StateAssertion::Failed { by } => {
                 if *incarnation < peer.incarnation {
                     return;
                 }
                 match before {
-                    State::Failed => peer.incarnation = *incarnation,
-                    State::Suspect if !newer => {
+                    MemberState::Failed => peer.incarnation = *incarnation,
+                    MemberState::Suspect if !newer => {
                         if let Some(suspicion) = &mut peer.suspicion {
                             if !suspicion.by.contains(by) && suspicion.by.len() <= HELPERS {
                                 suspicion.by.push(by.clone());
@@ -1054,24 +1060,25 @@
                     }
                     // Danger: after a cut each side says of the other's members that they have failed. Taken over, it
                     // would end those that are here.
-                    State::Alive => {
+                    MemberState::Alive => {
                         peer.accusation = Some(rumour.clone());
-                        if self.urgent.len() < HELPERS * 2 && !self.urgent.contains(about) {
-                            self.urgent.push(about.clone());
+                        if self.urgent.len() < HELPERS * 2 && !self.urgent.contains(member) {
+                            self.urgent.push(member.clone());
                         }
                     }
                     _ => {}
                 }
                 return;
             }
-            Claim::Left => {
-                if *incarnation < peer.incarnation || before == State::Left {
+            StateAssertion::Left => {
+                if *incarnation < peer.incarnation || before == MemberState::Left {
                     return;
                 }
                 peer.incarnation = *incarnation;
-                peer.turn(now, State::Left);
-                self.out
-                    .push(Action::Log(format!("{about} has left on purpose: {cause}")));
+                peer.transition_to(now, MemberState::Left);
+                self.out.push(Action::Log(format!(
+                    "{member} has left on purpose: {cause}"
+                )));
             }
         }
         self.view = None;
@@ -1089,17 +1096,20 @@
         }
     }
 
-    fn hear_of_me(&mut self, now: Micros, rumour: Rumour) {
-        let Rumour {
-            incarnation, claim, ..
+    fn hear_of_me(&mut self, now: Micros, rumour: GossipMessage) {
+        let GossipMessage {
+            incarnation,
+            assertion,
+            ..
         } = rumour;
         if incarnation < self.incarnation || self.leaving {
             return;
         }
         let keeps = self.rival.as_ref().is_some_and(|rival| rival.keeps);
-        match claim {
-            Claim::Alive { run, .. } if run == self.set.run && incarnation == self.incarnation => {}
-            Claim::Alive { address, run } if run != self.set.run => {
+        match assertion {
+            StateAssertion::Alive { run, .. }
+                if run == self.set.run && incarnation == self.incarnation => {}
+            StateAssertion::Alive { address, run } if run != self.set.run => {
                 // The process before this one, or one that lives beside it: it is asked.
                 self.other_run = Some(run);
                 if address != self.set.advertise && now - self.namesake_told >= NAMESAKE_EVERY {
@@ -1111,8 +1121,10 @@
             }
             // What is said of the one that keeps the name is its own to refute.
             _ if keeps => {}
-            Claim::Alive { .. } => self.refute(now, incarnation + 1),
-            Claim::Suspect { .. } | Claim::Failed { .. } | Claim::Left => {
+            StateAssertion::Alive { .. } => self.refute(now, incarnation + 1),
+            StateAssertion::Suspect { .. }
+            | StateAssertion::Failed { .. }
+            | StateAssertion::Left => {
                 // Others did not hear from it: its own fault, perhaps (Lifeguard section IV.A).
                 self.detector.worse();
                 self.figures.refutations += 1;
@@ -1175,7 +1187,7 @@
         from: &Sender,
         body: Body,
         is_current: bool,
-        entries: Vec<Entry>,
+        entries: Vec<CordonEntry>,
     ) {
         match body {
             // Danger: a member that was restarted elsewhere must not be taken for the one that has its address now.
@@ -1209,7 +1221,7 @@
                     }
                 } else if let Some((to, seq)) = self.detector.relayed(seq) {
                     // What the target said of itself came with its answer, and goes on with this one.
-                    let claim = self.table.rumours_of(&from.name);
+                    let claim = self.table.gossip_messages_about(&from.name);
                     self.send(
                         to,
                         &Body::Ack { seq },
@@ -1242,7 +1254,7 @@
 
     // --- cordons of the group ---
 
-    fn merge(&mut self, now: Micros, entries: &[Entry]) {
+    fn merge(&mut self, now: Micros, entries: &[CordonEntry]) {
         if entries.is_empty() {
             return;
         }
@@ -1264,8 +1276,8 @@
         self.turn_cordons(turns);
     }
 
-    fn turn_cordons(&mut self, turns: Vec<Turn>) {
-        for Turn { host, held } in turns {
+    fn turn_cordons(&mut self, turns: Vec<CordonTransition>) {
+        for CordonTransition { host, held } in turns {
             let word = if held {
                 "is held out by the group"
             } else {
@@ -1276,16 +1288,16 @@
         }
     }
 
-    fn turn_hearsay(&mut self, turn: news::Turn) {
+    fn turn_hearsay(&mut self, turn: news::HintTransition) {
         let (host, stop) = match turn {
-            news::Turn::Stop(host) => (host, true),
-            news::Turn::Trust(host) => (host, false),
+            news::HintTransition::Stop(host) => (host, true),
+            news::HintTransition::Trust(host) => (host, false),
         };
         self.out.push(Action::Hearsay { host, stop });
     }
 
     /// What this member's own discovery has told.
-    pub fn told(&mut self, now: Micros, told: &Told) {
+    pub fn told(&mut self, now: Micros, told: &DrainAnnouncement) {
         self.awake(now);
         let (news, turns) = self.hearsay.told(told, &self.set.me);
         news.into_iter()
@@ -1294,18 +1306,18 @@
     }
 
     /// An operator's order for the whole group; `progress` tells how far it is.
-    pub fn order(&mut self, now: Micros, host: &str, cordon: bool) -> Result<u64, Refusal> {
+    pub fn order(&mut self, now: Micros, host: &str, cordon: bool) -> Result<u64, OrderError> {
         self.awake(now);
         if self.leaving {
-            return Err(Refusal::Leaving);
+            return Err(OrderError::Leaving);
         }
         // Danger: lifted on the lesser side of a cut, a host would be used while it is worked on.
-        if !cordon && !self.stand.now.may_bind() {
-            return Err(Refusal::NoMajority(self.stand.now));
+        if !cordon && !self.stand.now.has_quorum() {
+            return Err(OrderError::NoMajority(self.stand.now));
         }
         self.orders.retain(|order| now - order.began < ORDER_LASTS);
-        if self.orders.len() >= MOST_ORDERS {
-            return Err(Refusal::Busy);
+        if self.orders.len() >= MAX_ORDERS {
+            return Err(OrderError::Busy);
         }
         let (entries, turns) = match cordon {
             true => {
@@ -1313,11 +1325,13 @@
                 let (entry, turns) = self
                     .ledger
                     .cordon(now, host, &me, run)
-                    .map_err(|_| Refusal::Full)?;
+                    .map_err(|_| OrderError::Full)?;
                 (vec![entry], turns)
             }
             // Danger: lifted by hand, it would be used while somebody works on it.
-            false if self.ledger.is_planned(host, self.founding) => return Err(Refusal::Planned),
+            false if self.ledger.is_planned(host, self.founding) => {
+                return Err(OrderError::Planned)
+            }
             false => self.ledger.lift(now, host, self.founding),
         };
         entries
@@ -1329,7 +1343,13 @@
         Ok(self.begin_order(now, host, cordon, entries))
     }
 
-    fn begin_order(&mut self, now: Micros, host: &str, cordon: bool, entries: Vec<Entry>) -> u64 {
+    fn begin_order(
+        &mut self,
+        now: Micros,
+        host: &str,
+        cordon: bool,
+        entries: Vec<CordonEntry>,
+    ) -> u64 {
         self.next_order += 1;
         let mut order = Order {
             number: self.next_order,
@@ -1357,13 +1377,13 @@
     }
 
     /// Has all members confirm what a plan holds; its `progress` tells who has.
-    pub fn ask_planned(&mut self, now: Micros, host: &str, number: u64) -> Result<u64, Refusal> {
+    pub fn ask_planned(&mut self, now: Micros, host: &str, number: u64) -> Result<u64, OrderError> {
         self.awake(now);
         self.orders.retain(|order| now - order.began < ORDER_LASTS);
-        if self.orders.len() >= MOST_ORDERS {
-            return Err(Refusal::Busy);
+        if self.orders.len() >= MAX_ORDERS {
+            return Err(OrderError::Busy);
         }
-        let entry = Ledger::planned(host, self.founding, number);
+        let entry = CordonSet::planned(host, self.founding, number);
         Ok(self.begin_order(now, host, true, vec![entry]))
     }
 
@@ -1376,8 +1396,9 @@
             let young = now - order.began < ORDER_AT_FIRST;
             order.next = now + if young { ORDER_EVERY } else { ORDER_LATER };
             for (name, peer) in &self.table.peers {
-                let wanted =
-                    peer.in_roster && peer.state != State::Left && !order.confirmed.contains(name);
+                let wanted = peer.in_roster
+                    && peer.state != MemberState::Left
+                    && !order.confirmed.contains(name);
                 if let Some(address) = peer.address.filter(|_| wanted) {
                     sends.push((address, order.number, order.entries.clone()));
                 }
@@ -1391,7 +1412,7 @@
 
     /// The entries came as items and are merged; they are confirmed once the engine has done them.
     /// Danger: what found no room in the ledger is held nowhere, and must not be confirmed.
-    fn hear_order(&mut self, to: SocketAddr, number: u64, entries: Vec<Entry>) {
+    fn hear_order(&mut self, to: SocketAddr, number: u64, entries: Vec<CordonEntry>) {
         if self.ledger.has_applied(&entries) {
             return self.send(to, &Body::Done { number }, Vec::new());
         }
@@ -1452,15 +1473,15 @@
         add(me, own && !rival, own_why);
         for (name, peer) in self.table.peers.iter().filter(|(_, peer)| peer.in_roster) {
             let why = match peer.state {
-                State::Left => {
+                MemberState::Left => {
                     left += 1;
                     continue;
                 }
                 _ if peer.view.is_some_and(|view| view.namesake) => "two processes have its name",
-                State::Failed if peer.incarnation == 0 => "was never heard of",
-                State::Failed => "failed or cut off",
-                State::Suspect => "does not answer",
-                State::Alive => "has not confirmed yet",
+                MemberState::Failed if peer.incarnation == 0 => "was never heard of",
+                MemberState::Failed => "failed or cut off",
+                MemberState::Suspect => "does not answer",
+                MemberState::Alive => "has not confirmed yet",
             };
             let namesake = peer.view.is_some_and(|view| view.namesake);
             // Danger: one that has failed may still send; that it confirmed once says nothing of a new process.
@@ -1557,7 +1578,7 @@
     }
 
     fn send_ledger(&mut self, to: SocketAddr) {
-        let entries: Vec<Entry> = self.ledger.entries().collect();
+        let entries: Vec<CordonEntry> = self.ledger.entries().collect();
         // Pages are cut by size with the largest head there is, so that each fits whole.
         let sender = self.sender();
         let room = || {
@@ -1568,7 +1589,7 @@
                     page: u16::MAX,
                     pages: u16::MAX,
                 },
-                LARGEST_DATAGRAM,
+                MAX_DATAGRAM_BYTES,
             )
         };
         let mut pages: Vec<Vec<Item>> = vec![Vec::new()];
@@ -1604,9 +1625,9 @@
     pub fn report(&self, now: Micros) -> Report {
         let since = |at: Micros| ((now - at).max(0) / MS) as u64;
         let state = if self.leaving {
-            State::Left
+            MemberState::Left
         } else {
-            State::Alive
+            MemberState::Alive
         };
         let mut members = vec![MemberReport {
             name: self.set.me.clone(),
@@ -1619,7 +1640,7 @@
         members.extend(self.table.peers.iter().map(|(name, peer)| MemberReport {
             name: name.clone(),
             address: peer.address,
-            state: peer.shown(),
+            state: peer.displayed_state(),
             incarnation: peer.incarnation,
             run: peer.run,
             since_ms: since(peer.since),
@@ -1644,14 +1665,14 @@
     }
 
     /// Members by state, this one among the living.
-    pub fn count(&self, state: State) -> usize {
+    pub fn count(&self, state: MemberState) -> usize {
         let others = self
             .table
             .peers
             .values()
-            .filter(|peer| peer.shown() == state)
+            .filter(|peer| peer.displayed_state() == state)
             .count();
-        others + usize::from(state == State::Alive)
+        others + usize::from(state == MemberState::Alive)
     }
 
     pub fn longest_difference(&self, now: Micros) -> Micros {
--- a/crates/stairfront-gossip-membership/src/gossip.rs
+++ b/crates/stairfront-gossip-membership/src/gossip.rs
@@ -19,7 +19,7 @@
 impl Subject {
     fn of(item: &Item) -> Self {
         match item {
-            Item::Member(rumour) => Subject::Member(rumour.about.clone()),
+            Item::Member(rumour) => Subject::Member(rumour.member.clone()),
             Item::Cordon(entry) => {
                 let tag = &entry.tag;
                 Subject::Cordon(entry.host.clone(), tag.author.clone(), tag.run, tag.number)
--- a/crates/stairfront-gossip-membership/src/lib.rs
+++ b/crates/stairfront-gossip-membership/src/lib.rs
@@ -22,9 +22,9 @@
 pub mod standing;
 pub mod table;
 
-pub use crate::core::{Action, Figures, Membership};
-pub use claim::{Claim, Rumour, State};
-pub use cordons::{Entry, Ledger, Tag};
-pub use news::Told;
-pub use settings::{Micros, Settings, Times, MS, SECOND};
-pub use standing::Standing;
+pub use crate::core::{Action, Membership, Metrics};
+pub use claim::{GossipMessage, MemberState, StateAssertion};
+pub use cordons::{CordonEntry, CordonSet, Tag};
+pub use news::DrainAnnouncement;
+pub use settings::{Micros, Settings, Timing, MS, SECOND};
+pub use standing::QuorumStatus;
--- a/crates/stairfront-gossip-membership/src/news.rs
+++ b/crates/stairfront-gossip-membership/src/news.rs
@@ -14,7 +14,7 @@
 
 /// A host leaves, by the list of that index, as `by` was told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct DrainNews {
     pub host: String,
     pub index: u64,
     pub by: String,
@@ -22,7 +22,7 @@
 
 /// What this member's own discovery has told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct DrainAnnouncement {
     pub index: u64,
     /// Cache hosts that the list has now.
     pub hosts: usize,
@@ -32,14 +32,14 @@
 
 /// What is to be done about a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum HintTransition {
     Stop(String),
     /// The list says what holds.
     Trust(String),
 }
 
 #[derive(Debug, Default)]
-pub struct Hearsay {
+pub struct DrainHints {
     index: u64,
     hosts: usize,
     /// Held back until then, by news of that index.
@@ -49,9 +49,13 @@
     pub over_part: u64,
 }
 
-impl Hearsay {
+impl DrainHints {
     /// Own news: hearsay that is not newer is over. What is worth passing on.
-    pub fn told(&mut self, told: &Told, me: &str) -> (Vec<News>, Vec<Turn>) {
+    pub fn told(
+        &mut self,
+        told: &DrainAnnouncement,
+        me: &str,
+    ) -> (Vec<DrainNews>, Vec<HintTransition>) {
         (self.index, self.hosts) = (told.index, told.hosts);
         let over: Vec<String> = self
             .held
@@ -65,21 +69,21 @@
                 .iter()
                 .all(|(known, at)| known != *host || *at < told.index)
         };
-        let news: Vec<News> = told
+        let news: Vec<DrainNews> = told
             .leaving
             .iter()
             .filter(fresh)
-            .map(|host| News {
+            .map(|host| DrainNews {
                 host: host.clone(),
                 index: told.index,
                 by: me.to_string(),
             })
             .collect();
         news.iter().for_each(|news| self.remember(news));
-        (news, over.into_iter().map(Turn::Trust).collect())
+        (news, over.into_iter().map(HintTransition::Trust).collect())
     }
 
-    fn remember(&mut self, news: &News) {
+    fn remember(&mut self, news: &DrainNews) {
         self.remembered.push_back((news.host.clone(), news.index));
         if self.remembered.len() > MOST_REMEMBERED {
             self.remembered.pop_front();
@@ -87,7 +91,12 @@
     }
 
     /// Somebody else's news: whether it is new here and worth passing on, and what to do.
-    pub fn heard(&mut self, now: Micros, news: &News, for_long: Micros) -> (bool, Option<Turn>) {
+    pub fn heard(
+        &mut self,
+        now: Micros,
+        news: &DrainNews,
+        for_long: Micros,
+    ) -> (bool, Option<HintTransition>) {
         if self
             .remembered
             .iter()
@@ -107,11 +116,11 @@
         }
         self.held
             .insert(news.host.clone(), (now + for_long, news.index));
-        (true, Some(Turn::Stop(news.host.clone())))
+        (true, Some(HintTransition::Stop(news.host.clone())))
     }
 
     /// What hearsay may not hold back any longer.
-    pub fn tick(&mut self, now: Micros) -> Vec<Turn> {
+    pub fn tick(&mut self, now: Micros) -> Vec<HintTransition> {
         let over = self
             .held
             .iter()
@@ -119,7 +128,7 @@
             .map(|(host, _)| host.clone());
         let over: Vec<String> = over.collect();
         self.held.retain(|host, _| !over.contains(host));
-        over.into_iter().map(Turn::Trust).collect()
+        over.into_iter().map(HintTransition::Trust).collect()
     }
 
     pub fn held(&self) -> usize {
--- a/crates/stairfront-gossip-membership/src/packet.rs
+++ b/crates/stairfront-gossip-membership/src/packet.rs
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::claim::{Claim, Incarnation, Rumour, LARGEST_INCARNATION};
-use crate::cordons::Entry;
-use crate::news::News;
-use crate::settings::{is_name, LONGEST_HOST, LONGEST_NAME};
+use crate::claim::{GossipMessage, Incarnation, StateAssertion, MAX_INCARNATION};
+use crate::cordons::CordonEntry;
+use crate::news::DrainNews;
+use crate::settings::{is_name, MAX_HOST_BYTES, MAX_NAME_BYTES};
 
 /// Raised when members would misunderstand each other.
 pub const VERSION: u8 = 1;
 /// A datagram goes in one piece on any network that carries IPv6.
-pub const LARGEST_DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// A full exchange: some thousand members and cordons.
-pub const LARGEST_EXCHANGE: usize = 256 * 1024;
+pub const MAX_EXCHANGE_BYTES: usize = 256 * 1024;
 /// Version, group, check.
 const HEAD: usize = 1 + 4 + 8;
 
@@ -90,9 +90,9 @@
 /// What travels behind any body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
-    Member(Rumour),
-    Cordon(Entry),
-    Drain(News),
+    Member(GossipMessage),
+    Cordon(CordonEntry),
+    Drain(DrainNews),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -103,7 +103,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PacketFault {
+pub enum PacketError {
     #[error("of {0} bytes")]
     Size(usize),
     #[error("of protocol version {0}, not {VERSION}")]
@@ -169,27 +169,27 @@
 }
 
 impl Packet {
-    pub fn read(mark: u32, bytes: &[u8], most: usize) -> Result<Packet, PacketFault> {
+    pub fn read(mark: u32, bytes: &[u8], most: usize) -> Result<Packet, PacketError> {
         if !(HEAD..=most).contains(&bytes.len()) {
-            return Err(PacketFault::Size(bytes.len()));
+            return Err(PacketError::Size(bytes.len()));
         }
         if bytes[0] != VERSION {
-            return Err(PacketFault::Version(bytes[0]));
+            return Err(PacketError::Version(bytes[0]));
         }
         if bytes[1..5] != mark.to_le_bytes() {
-            return Err(PacketFault::Group);
+            return Err(PacketError::Group);
         }
         let (head, rest) = bytes.split_at(HEAD);
         if head[5..] != check_of(mark, rest).to_le_bytes() {
-            return Err(PacketFault::Check);
+            return Err(PacketError::Check);
         }
         // A string's length is held against what is left before anything is allocated for it.
         let read = postcard::take_from_bytes::<(Sender, Body)>(rest);
-        let ((from, body), mut rest) = read.map_err(|_| PacketFault::Form)?;
+        let ((from, body), mut rest) = read.map_err(|_| PacketError::Form)?;
         let mut items = Vec::new();
         while !rest.is_empty() {
             let (item, left) =
-                postcard::take_from_bytes::<Item>(rest).map_err(|_| PacketFault::Form)?;
+                postcard::take_from_bytes::<Item>(rest).map_err(|_| PacketError::Form)?;
             items.push(item);
             rest = left;
         }
@@ -197,16 +197,16 @@
         if packet.can_be() {
             Ok(packet)
         } else {
-            Err(PacketFault::Value)
+            Err(PacketError::Value)
         }
     }
 
     fn can_be(&self) -> bool {
         let address = |address: &SocketAddr| address.port() > 0 && !address.ip().is_unspecified();
-        let name = |name: &str| is_name(name, LONGEST_NAME);
+        let name = |name: &str| is_name(name, MAX_NAME_BYTES);
         let from = name(&self.from.name)
             && address(&self.from.address)
-            && self.from.incarnation < LARGEST_INCARNATION;
+            && self.from.incarnation < MAX_INCARNATION;
         let body = match &self.body {
             Body::Ping { to, .. } => name(to),
             Body::Probe {
@@ -218,15 +218,15 @@
         };
         let item = |item: &Item| match item {
             Item::Member(rumour) => {
-                let claim = match &rumour.claim {
-                    Claim::Alive { address: at, .. } => address(at),
-                    Claim::Suspect { by } | Claim::Failed { by } => name(by),
-                    Claim::Left => true,
+                let claim = match &rumour.assertion {
+                    StateAssertion::Alive { address: at, .. } => address(at),
+                    StateAssertion::Suspect { by } | StateAssertion::Failed { by } => name(by),
+                    StateAssertion::Left => true,
                 };
-                claim && name(&rumour.about) && rumour.incarnation < LARGEST_INCARNATION
+                claim && name(&rumour.member) && rumour.incarnation < MAX_INCARNATION
             }
-            Item::Cordon(entry) => name(&entry.tag.author) && is_name(&entry.host, LONGEST_HOST),
-            Item::Drain(news) => name(&news.by) && is_name(&news.host, LONGEST_HOST),
+            Item::Cordon(entry) => name(&entry.tag.author) && is_name(&entry.host, MAX_HOST_BYTES),
+            Item::Drain(news) => name(&news.by) && is_name(&news.host, MAX_HOST_BYTES),
         };
         from && body && self.items.iter().all(item)
     }
--- a/crates/stairfront-gossip-membership/src/report.rs
+++ b/crates/stairfront-gossip-membership/src/report.rs
@@ -3,15 +3,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Incarnation, State};
-use crate::standing::Standing;
+use crate::claim::{Incarnation, MemberState};
+use crate::standing::QuorumStatus;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
     pub name: String,
     /// None for one that was never heard of.
     pub address: Option<SocketAddr>,
-    pub state: State,
+    pub state: MemberState,
     /// 0 for one that was never heard of.
     pub incarnation: Incarnation,
     /// Which process it is, for this program alone: too large a number for some readers of JSON.
@@ -25,7 +25,7 @@
 pub struct Report {
     pub me: String,
     pub group: String,
-    pub standing: Standing,
+    pub standing: QuorumStatus,
     pub standing_since_ms: u64,
     /// Of its view of the roster's members: equal at members that agree.
     pub digest: String,
--- a/crates/stairfront-gossip-membership/src/settings.rs
+++ b/crates/stairfront-gossip-membership/src/settings.rs
@@ -7,16 +7,16 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// Members that a roster may name. A full table then takes some 30 KB in an exchange.
-pub const MOST_ROSTER: usize = 512;
+pub const MAX_ROSTER: usize = 512;
 /// Members known beside the roster: those of a configuration that differs.
-pub const MOST_OTHERS: usize = 64;
+pub const MAX_OTHERS: usize = 64;
 /// A member's name, and a cache host's, in bytes; a datagram has room for some of them.
-pub const LONGEST_NAME: usize = 64;
-pub const LONGEST_HOST: usize = 255;
+pub const MAX_NAME_BYTES: usize = 64;
+pub const MAX_HOST_BYTES: usize = 255;
 
 /// Lengths of time. The defaults together have a killed one of 60 members called failed within 5 s by all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct Timing {
     /// Between two probes of a member's own (SWIM's protocol period).
     pub probe: Micros,
     /// For a direct answer, before others are asked to probe; what is left of the period is theirs. It has to hold
@@ -32,9 +32,9 @@
     pub forget: Micros,
 }
 
-impl Default for Times {
+impl Default for Timing {
     fn default() -> Self {
-        Times {
+        Timing {
             probe: 400 * MS,
             answer: 150 * MS,
             suspicion: 1000 * MS,
@@ -55,7 +55,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The members that there are to be, this one among them; the same in all files.
     pub roster: Vec<String>,
-    pub times: Times,
+    pub times: Timing,
     /// Of this process alone: tells it from the one before it, and from another of its name.
     pub run: u64,
     /// Unix time of the start in milliseconds: the first incarnation.
@@ -64,23 +64,23 @@
 }
 
 /// What is wrong with a configuration, by key.
-pub type Fault = (&'static str, String);
+pub type SettingsFault = (&'static str, String);
 
 impl Settings {
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn faults(&self) -> Vec<SettingsFault> {
         let mut found = Vec::new();
         let mut must = |good: bool, key: &'static str, problem: &str| {
             if !good {
                 found.push((key, problem.to_string()));
             }
         };
-        let fit = |name: &String| is_name(name, LONGEST_NAME);
+        let fit = |name: &String| is_name(name, MAX_NAME_BYTES);
         must(
             fit(&self.group),
             "group",
             "must be a name of 1 to 64 bytes without control characters",
         );
-        let good = (1..=MOST_ROSTER).contains(&self.roster.len()) && self.roster.iter().all(fit);
+        let good = (1..=MAX_ROSTER).contains(&self.roster.len()) && self.roster.iter().all(fit);
         must(
             good,
             "roster",
@@ -112,7 +112,7 @@
             "advertise",
             "must be an address and a port that the others can reach",
         );
-        let Times {
+        let Timing {
             probe,
             answer,
             suspicion,
--- a/crates/stairfront-gossip-membership/src/standing.rs
+++ b/crates/stairfront-gossip-membership/src/standing.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum QuorumStatus {
     /// Just started, or just awake: it has not heard enough.
     Settling,
     /// All of the roster are there.
@@ -18,19 +18,19 @@
     Alone,
 }
 
-impl Standing {
+impl QuorumStatus {
     /// Whether it may do what binds the group, and lift what holds.
-    pub fn may_bind(self) -> bool {
-        matches!(self, Standing::Whole | Standing::Majority)
+    pub fn has_quorum(self) -> bool {
+        matches!(self, QuorumStatus::Whole | QuorumStatus::Majority)
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Settling => "settling",
-            Standing::Whole => "whole",
-            Standing::Majority => "majority",
-            Standing::Minority => "minority",
-            Standing::Alone => "alone",
+            QuorumStatus::Settling => "settling",
+            QuorumStatus::Whole => "whole",
+            QuorumStatus::Majority => "majority",
+            QuorumStatus::Minority => "minority",
+            QuorumStatus::Alone => "alone",
         }
     }
 }
@@ -43,7 +43,7 @@
 
 /// What is counted, of the roster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct RosterCount {
     pub roster: usize,
     /// Alive without doubt, this one among them.
     pub sure: usize,
@@ -51,36 +51,36 @@
     pub doubtful: usize,
 }
 
-impl Census {
-    fn standing(self) -> Standing {
+impl RosterCount {
+    fn standing(self) -> QuorumStatus {
         if self.sure * 2 > self.roster {
             match self.sure + self.doubtful >= self.roster {
-                true => Standing::Whole,
-                false => Standing::Majority,
+                true => QuorumStatus::Whole,
+                false => QuorumStatus::Majority,
             }
         } else if self.sure > 1 {
-            Standing::Minority
+            QuorumStatus::Minority
         } else {
-            Standing::Alone
+            QuorumStatus::Alone
         }
     }
 }
 
 /// The standing in force, and the one that may follow it.
 #[derive(Debug)]
-pub struct Stand {
-    pub now: Standing,
+pub struct QuorumView {
+    pub now: QuorumStatus,
     pub since: Micros,
-    next: Option<(Standing, Micros)>,
+    next: Option<(QuorumStatus, Micros)>,
     settling_since: Micros,
     /// A full exchange has been made since then.
     exchanged: bool,
 }
 
-impl Stand {
+impl QuorumView {
     pub fn new(now: Micros) -> Self {
-        Stand {
-            now: Standing::Settling,
+        QuorumView {
+            now: QuorumStatus::Settling,
             since: now,
             next: None,
             settling_since: now,
@@ -89,14 +89,14 @@
     }
 
     /// Danger: one that has slept believes what held before; it knows nothing until it has heard anew.
-    pub fn settle_again(&mut self, now: Micros) {
-        *self = Stand {
-            since: if self.now == Standing::Settling {
+    pub fn reset(&mut self, now: Micros) {
+        *self = QuorumView {
+            since: if self.now == QuorumStatus::Settling {
                 self.since
             } else {
                 now
             },
-            ..Stand::new(now)
+            ..QuorumView::new(now)
         };
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The new standing, if it has changed.
-    pub fn look(&mut self, now: Micros, census: Census) -> Option<Standing> {
+    pub fn update(&mut self, now: Micros, census: RosterCount) -> Option<QuorumStatus> {
         let seen = census.standing();
         if seen == self.now {
             self.next = None;
@@ -118,14 +118,14 @@
         };
         self.next = Some((seen, since));
         let wait = match self.now {
-            Standing::Settling if !self.exchanged || !seen.may_bind() => {
+            QuorumStatus::Settling if !self.exchanged || !seen.has_quorum() => {
                 SETTLED_AFTER - (now - self.settling_since).min(SETTLED_AFTER)
             }
-            Standing::Settling => DOWN_AFTER,
-            _ if self.now.may_bind() => DOWN_AFTER,
+            QuorumStatus::Settling => DOWN_AFTER,
+            _ if self.now.has_quorum() => DOWN_AFTER,
             _ => UP_AFTER,
         };
-        if self.now == Standing::Settling && (!self.exchanged || !seen.may_bind()) {
+        if self.now == QuorumStatus::Settling && (!self.exchanged || !seen.has_quorum()) {
             if wait > 0 {
                 return None;
             }
--- a/crates/stairfront-gossip-membership/src/table.rs
+++ b/crates/stairfront-gossip-membership/src/table.rs
@@ -4,9 +4,9 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claim::{Claim, Incarnation, Rumour, State};
-use crate::settings::{Micros, MOST_OTHERS};
-use crate::standing::Census;
+use crate::claim::{GossipMessage, Incarnation, MemberState, StateAssertion};
+use crate::settings::{Micros, MAX_OTHERS};
+use crate::standing::RosterCount;
 
 /// Members told as forgotten, so that a late rumour does not raise them.
 const MOST_FORGOTTEN: usize = 1024;
@@ -38,7 +38,7 @@
     pub run: u64,
     /// 0 for one that was never heard of.
     pub incarnation: Incarnation,
-    pub state: State,
+    pub state: MemberState,
     pub since: Micros,
     pub suspicion: Option<Suspicion>,
     /// A probe of our own is out for longer than it should be.
@@ -46,7 +46,7 @@
     /// Others say that it is back; it has not answered a probe of our own since.
     pub unproven: bool,
     /// Told to it with the next probe, so that it can refute.
-    pub accusation: Option<Rumour>,
+    pub accusation: Option<GossipMessage>,
     pub view: Option<View>,
     /// Its view of the group has differed from ours since then.
     pub differs_since: Option<Micros>,
@@ -61,7 +61,7 @@
             address: None,
             run: 0,
             incarnation: 0,
-            state: State::Failed,
+            state: MemberState::Failed,
             since: now,
             suspicion: None,
             doubted: false,
@@ -74,25 +74,25 @@
     }
 
     /// As it is told to people: back by hearsay alone is not there without doubt.
-    pub fn shown(&self) -> State {
+    pub fn displayed_state(&self) -> MemberState {
         match self.state {
-            State::Alive if self.unproven => State::Suspect,
+            MemberState::Alive if self.unproven => MemberState::Suspect,
             state => state,
         }
     }
 
-    pub fn is_there(&self) -> bool {
-        matches!(self.state, State::Alive | State::Suspect)
+    pub fn is_present(&self) -> bool {
+        matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    pub fn turn(&mut self, now: Micros, state: State) {
+    pub fn transition_to(&mut self, now: Micros, state: MemberState) {
         if self.state != state {
             (self.state, self.since) = (state, now);
         }
-        if state != State::Suspect {
+        if state != MemberState::Suspect {
             self.suspicion = None;
         }
-        if !self.is_there() {
+        if !self.is_present() {
             (self.doubted, self.unproven, self.differs_since, self.view) =
                 (false, false, None, None);
         }
@@ -100,7 +100,7 @@
 }
 
 /// How long a suspicion lasts in a group of this size, with so many who share it (Lifeguard section IV.B).
-pub fn suspicion_lasts(least: Micros, group: usize, sharers: usize) -> Micros {
+pub fn suspicion_timeout(least: Micros, group: usize, sharers: usize) -> Micros {
     let least = least as f64 * (1.0 + 0.5 * (group.max(1) as f64).log10());
     let wanted = CONFIRMATIONS.min(group.saturating_sub(2));
     if wanted == 0 {
@@ -141,7 +141,7 @@
             .forgotten
             .iter()
             .any(|(known, last)| known == name && *last >= incarnation);
-        if others >= MOST_OTHERS || late {
+        if others >= MAX_OTHERS || late {
             return false;
         }
         self.peers.insert(name.to_string(), Peer::new(false, now));
@@ -149,7 +149,7 @@
     }
 
     pub fn forget_long_gone(&mut self, now: Micros, after: Micros) {
-        let gone = |peer: &Peer| !peer.in_roster && !peer.is_there() && now - peer.since > after;
+        let gone = |peer: &Peer| !peer.in_roster && !peer.is_present() && now - peer.since > after;
         let names: Vec<String> = self
             .peers
             .iter()
@@ -168,7 +168,7 @@
 
     /// Members that are there, this one included.
     pub fn size(&self) -> usize {
-        1 + self.peers.values().filter(|peer| peer.is_there()).count()
+        1 + self.peers.values().filter(|peer| peer.is_present()).count()
     }
 
     /// Those that may be asked or told something, and where.
@@ -176,18 +176,19 @@
         let there = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.state == State::Alive);
+            .filter(|(_, peer)| peer.state == MemberState::Alive);
         there.filter_map(|(name, peer)| peer.address.map(|address| (name, address)))
     }
 
-    pub fn census(&self) -> Census {
+    pub fn roster_count(&self) -> RosterCount {
         let roster: Vec<&Peer> = self.peers.values().filter(|peer| peer.in_roster).collect();
-        let is_sure = |peer: &&&Peer| peer.state == State::Alive && !peer.doubted && !peer.unproven;
+        let is_sure =
+            |peer: &&&Peer| peer.state == MemberState::Alive && !peer.doubted && !peer.unproven;
         let sure = roster.iter().filter(is_sure).count();
         // Danger: one of whom there is hearsay alone would make the group whole.
-        let doubtful = |peer: &&&Peer| peer.is_there() && !peer.unproven;
+        let doubtful = |peer: &&&Peer| peer.is_present() && !peer.unproven;
         let there = roster.iter().filter(doubtful).count();
-        Census {
+        RosterCount {
             roster: roster.len() + 1,
             sure: sure + 1,
             doubtful: there - sure,
@@ -197,9 +198,9 @@
     /// The same at all members that agree on who of the roster is there, has failed or has left.
     pub fn digest(&self, me: &str, leaving: bool) -> u64 {
         let word = |peer: &Peer| match peer.state {
-            State::Alive | State::Suspect => "there",
-            State::Failed => "failed",
-            State::Left => "left",
+            MemberState::Alive | MemberState::Suspect => "there",
+            MemberState::Failed => "failed",
+            MemberState::Left => "left",
         };
         let mut sum =
             xxh3_64(format!("{me}\0{}", if leaving { "left" } else { "there" }).as_bytes());
@@ -210,7 +211,7 @@
     }
 
     /// All that is known, as claims; where one is, too, of those that others may have to reach.
-    pub fn rumours(&self, me: &str) -> Vec<Rumour> {
+    pub fn gossip_messages(&self, me: &str) -> Vec<GossipMessage> {
         self.peers
             .iter()
             .flat_map(|(name, peer)| claims(name, peer, me))
@@ -218,7 +219,7 @@
     }
 
     /// What is known of one.
-    pub fn rumours_of(&self, name: &str) -> Vec<Rumour> {
+    pub fn gossip_messages_about(&self, name: &str) -> Vec<GossipMessage> {
         self.peers
             .get(name)
             .map_or(Vec::new(), |peer| claims(name, peer, name))
@@ -227,7 +228,7 @@
     /// Members whose roster is not the one here.
     pub fn with_other_roster(&self, own: u64) -> BTreeSet<String> {
         let differs =
-            |peer: &Peer| peer.is_there() && peer.view.is_some_and(|view| view.roster != own);
+            |peer: &Peer| peer.is_present() && peer.view.is_some_and(|view| view.roster != own);
         self.peers
             .iter()
             .filter(|(_, peer)| differs(peer))
@@ -242,33 +243,33 @@
     }
 }
 
-fn claims(name: &str, peer: &Peer, me: &str) -> Vec<Rumour> {
+fn claims(name: &str, peer: &Peer, me: &str) -> Vec<GossipMessage> {
     let mut all = Vec::new();
     if peer.incarnation == 0 {
         return all;
     }
     let mut say = |claim| {
-        all.push(Rumour {
-            about: name.to_string(),
+        all.push(GossipMessage {
+            member: name.to_string(),
             incarnation: peer.incarnation,
-            claim,
+            assertion: claim,
         })
     };
     match (peer.state, &peer.suspicion) {
-        (State::Suspect, Some(suspicion)) => {
+        (MemberState::Suspect, Some(suspicion)) => {
             // With all who share it: one that has just started would wait for longer than the others.
             suspicion
                 .by
                 .iter()
                 .cloned()
-                .for_each(|by| say(Claim::Suspect { by }));
+                .for_each(|by| say(StateAssertion::Suspect { by }));
         }
-        (State::Failed, _) => say(Claim::Failed { by: me.to_string() }),
-        (State::Left, _) => say(Claim::Left),
+        (MemberState::Failed, _) => say(StateAssertion::Failed { by: me.to_string() }),
+        (MemberState::Left, _) => say(StateAssertion::Left),
         _ => {}
     }
     if let Some(address) = peer.address {
-        say(Claim::Alive {
+        say(StateAssertion::Alive {
             address,
             run: peer.run,
         });
--- a/crates/stairfront-gossip-membership/tests/forms.rs
+++ b/crates/stairfront-gossip-membership/tests/forms.rs
@@ -2,16 +2,18 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use stairfront_gossip_membership::claim::{Claim, Rumour, LARGEST_INCARNATION};
+use stairfront_gossip_membership::claim::{GossipMessage, StateAssertion, MAX_INCARNATION};
 use stairfront_gossip_membership::cordons::{
-    read_record, write_record, Entry, Ledger, Tag, MOST_ENTRIES,
+    read_record, write_record, CordonEntry, CordonSet, Tag, MAX_ENTRIES,
+};
+use stairfront_gossip_membership::news::{
+    DrainAnnouncement, DrainHints, DrainNews, HintTransition,
 };
-use stairfront_gossip_membership::news::{Hearsay, News, Told, Turn};
 use stairfront_gossip_membership::packet::{
-    group_mark, Body, Item, Packet, PacketFault, Sender, Writer,
+    group_mark, Body, Item, Packet, PacketError, Sender, Writer,
 };
 use stairfront_gossip_membership::table::Table;
-use stairfront_gossip_membership::{Membership, Settings, State, Times, SECOND};
+use stairfront_gossip_membership::{MemberState, Membership, Settings, Timing, SECOND};
 
 const MOST: usize = 1200;
 
@@ -43,7 +45,7 @@
         advertise: "127.0.0.1:8".parse().unwrap(),
         seeds: Vec::new(),
         roster: vec!["a".into(), "b".into(), "c".into()],
-        times: Times::default(),
+        times: Timing::default(),
         run: 1,
         born_ms: 1,
         seed: 1,
@@ -51,22 +53,22 @@
 }
 
 fn some_packet() -> Vec<u8> {
-    let rumour = Rumour {
-        about: "c".into(),
+    let rumour = GossipMessage {
+        member: "c".into(),
         incarnation: 7,
-        claim: Claim::Suspect { by: "a".into() },
+        assertion: StateAssertion::Suspect { by: "a".into() },
     };
     let tag = Tag {
         author: "b".into(),
         run: 1,
         number: 1,
     };
-    let entry = Entry {
+    let entry = CordonEntry {
         host: "s-1".into(),
         tag,
         lifted: false,
     };
-    let news = News {
+    let news = DrainNews {
         host: "s-2".into(),
         index: 4,
         by: "b".into(),
@@ -91,7 +93,7 @@
         core.datagram(1, &bytes);
         core.exchanged(1, &bytes);
         prop_assert!(Packet::read(group_mark("g"), &bytes, MOST).is_err());
-        prop_assert_eq!(core.count(State::Alive), 1);
+        prop_assert_eq!(core.count(MemberState::Alive), 1);
     }
 
     #[test]
@@ -126,11 +128,11 @@
         entries in proptest::collection::vec((0u8..4, 0u8..3, 1u32..4, any::<bool>()), 0..40),
         turn in 0usize..40,
     ) {
-        let entries: Vec<Entry> = entries.into_iter().map(|(host, author, number, lifted)| {
+        let entries: Vec<CordonEntry> = entries.into_iter().map(|(host, author, number, lifted)| {
             let tag = Tag { author: format!("b{author}"), run: 1, number };
-            Entry { host: format!("s-{host}"), tag, lifted }
+            CordonEntry { host: format!("s-{host}"), tag, lifted }
         }).collect();
-        let (mut one, mut other) = (Ledger::default(), Ledger::default());
+        let (mut one, mut other) = (CordonSet::default(), CordonSet::default());
         one.merge(0, &entries).unwrap();
         let mut turned = entries.clone();
         turned.rotate_left(turn % entries.len().max(1));
@@ -157,22 +159,25 @@
     core.datagram(1, &later);
     assert_eq!(
         Packet::read(group_mark("g"), &later, MOST),
-        Err(PacketFault::Version(2))
+        Err(PacketError::Version(2))
     );
     assert_eq!(
         (core.figures.other_group, core.figures.other_version),
         (1, 1)
     );
-    assert_eq!(core.count(State::Alive), 1);
+    assert_eq!(core.count(MemberState::Alive), 1);
     // An incarnation beyond which no refutation is left.
     let out = packet(
         group_mark("g"),
-        &sender("b", 5, LARGEST_INCARNATION),
+        &sender("b", 5, MAX_INCARNATION),
         &Body::Gossip,
         &[],
     );
     core.datagram(1, &out);
-    assert_eq!((core.figures.unreadable, core.count(State::Alive)), (1, 1));
+    assert_eq!(
+        (core.figures.unreadable, core.count(MemberState::Alive)),
+        (1, 1)
+    );
 }
 
 /// Danger: an order confirmed by one whose ledger had no room for it.
@@ -185,13 +190,13 @@
             run: 1,
             number,
         };
-        Entry {
+        CordonEntry {
             host: format!("s-{number}"),
             tag,
             lifted: false,
         }
     };
-    let full: Vec<Entry> = (0..MOST_ENTRIES as u32).map(entry).collect();
+    let full: Vec<CordonEntry> = (0..MAX_ENTRIES as u32).map(entry).collect();
     core.restore(0, &full);
     full.iter()
         .for_each(|entry| core.applied(0, &entry.host, true));
@@ -217,7 +222,7 @@
     };
     core.datagram(1, &order(7));
     assert!(done(&mut core), "what is held is confirmed");
-    core.datagram(1, &order(MOST_ENTRIES as u32));
+    core.datagram(1, &order(MAX_ENTRIES as u32));
     assert!(!done(&mut core));
 }
 
@@ -226,7 +231,7 @@
     let mut table = Table::new(0, &["a".into(), "b".into()], "a");
     assert!(table.admit("z", 5, 0));
     let peer = table.peers.get_mut("z").unwrap();
-    (peer.incarnation, peer.state) = (5, State::Failed);
+    (peer.incarnation, peer.state) = (5, MemberState::Failed);
     table.forget_long_gone(11 * SECOND, 10 * SECOND);
     assert!(!table.peers.contains_key("z") && table.peers.contains_key("b"));
     assert!(!table.admit("z", 5, 12 * SECOND));
@@ -239,14 +244,14 @@
 
 #[test]
 fn hearsay_only_stops_for_a_while_for_a_part_and_never_against_newer_news() {
-    let mut hearsay = Hearsay::default();
-    let told = |index| Told {
+    let mut hearsay = DrainHints::default();
+    let told = |index| DrainAnnouncement {
         index,
         hosts: 8,
         leaving: Vec::new(),
     };
     hearsay.told(&told(10), "a");
-    let news = |host: &str, index| News {
+    let news = |host: &str, index| DrainNews {
         host: host.into(),
         index,
         by: "b".into(),
@@ -258,11 +263,11 @@
     );
     assert_eq!(
         hearsay.heard(0, &news("s-2", 11), SECOND).1,
-        Some(Turn::Stop("s-2".into()))
+        Some(HintTransition::Stop("s-2".into()))
     );
     assert_eq!(
         hearsay.heard(0, &news("s-3", 11), SECOND).1,
-        Some(Turn::Stop("s-3".into()))
+        Some(HintTransition::Stop("s-3".into()))
     );
     assert_eq!(
         hearsay.heard(0, &news("s-4", 11), SECOND).1,
@@ -278,12 +283,15 @@
     assert!(hearsay.tick(SECOND / 2).is_empty());
     assert_eq!(
         hearsay.tick(SECOND),
-        [Turn::Trust("s-2".into()), Turn::Trust("s-3".into())]
+        [
+            HintTransition::Trust("s-2".into()),
+            HintTransition::Trust("s-3".into())
+        ]
     );
     hearsay.heard(SECOND, &news("s-5", 12), 5 * SECOND);
     assert_eq!(
         hearsay.told(&told(12), "a").1,
-        [Turn::Trust("s-5".into())],
+        [HintTransition::Trust("s-5".into())],
         "its own list is as new"
     );
 }
--- a/crates/stairfront-gossip-membership/tests/hard_cases.rs
+++ b/crates/stairfront-gossip-membership/tests/hard_cases.rs
@@ -5,8 +5,8 @@
 use stairfront_emulator::group::Sign;
 use stairfront_emulator::group_script::{all_links, border, GroupAct};
 use stairfront_emulator::links::LinkFault;
-use stairfront_gossip_membership::core::Refusal;
-use stairfront_gossip_membership::{Standing, State, MS, SECOND};
+use stairfront_gossip_membership::core::OrderError;
+use stairfront_gossip_membership::{MemberState, QuorumStatus, MS, SECOND};
 
 fn lay(sim: &mut Sim, number: u64, pairs: &[(usize, usize)], fault: LinkFault) {
     sim.act(GroupAct::Lay {
@@ -46,7 +46,7 @@
         .all(|at| {
             (0..count)
                 .filter(|of| Some(*of) != but && *of != at)
-                .all(|of| sim.state(at, of) != State::Failed)
+                .all(|of| sim.state(at, of) != MemberState::Failed)
         })
 }
 
@@ -99,12 +99,12 @@
         hold_for(&mut sim, 10 * SECOND, |sim| nobody_failed(sim, Some(3)));
         assert!((0..7)
             .filter(|i| *i != 3)
-            .all(|i| sim.state(i, 3) == State::Failed));
+            .all(|i| sim.state(i, 3) == MemberState::Failed));
         sim.act(GroupAct::Wake { who: 3 });
         // Danger: it believes that no time has passed, and that all others are late.
         run_for(&mut sim, 100 * MS);
         assert_eq!(sim.standing(3), "settling", "seed {seed}");
-        let back = |sim: &Sim| (0..7).all(|i| i == 3 || sim.state(i, 3) == State::Alive);
+        let back = |sim: &Sim| (0..7).all(|i| i == 3 || sim.state(i, 3) == MemberState::Alive);
         until(&mut sim, 2 * SECOND, |sim| {
             assert!(nobody_failed(sim, Some(3)), "seed {seed}");
             back(sim)
@@ -308,7 +308,7 @@
     let refused = sim.nodes[6].core.as_mut().unwrap().order(now, HOST, false);
     assert_eq!(
         refused,
-        Err(Refusal::NoMajority(Standing::Minority)),
+        Err(OrderError::NoMajority(QuorumStatus::Minority)),
         "no lift without a majority"
     );
     assert!(sim.order(6, true));
@@ -370,8 +370,9 @@
         for kill in 0..kills {
             let who = kill * 7 % members;
             sim.act(GroupAct::Kill { who, empty: false });
-            let all =
-                |sim: &Sim| (0..members).all(|i| i == who || sim.state(i, who) == State::Failed);
+            let all = |sim: &Sim| {
+                (0..members).all(|i| i == who || sim.state(i, who) == MemberState::Failed)
+            };
             times.push(until(&mut sim, 10 * SECOND, all) / MS);
             sim.act(GroupAct::Start { who });
             run_for(&mut sim, 4 * SECOND);
@@ -397,7 +398,7 @@
     sim.act(GroupAct::Pause { who: 4 });
     assert!(sim.order(0, true));
     run_for(&mut sim, 8 * SECOND);
-    assert_eq!(sim.state(0, 4), State::Failed);
+    assert_eq!(sim.state(0, 4), MemberState::Failed);
     let done = |sim: &Sim| {
         sim.nodes[0]
             .core
--- a/crates/stairfront-gossip-membership/tests/sim/mod.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/mod.rs
@@ -9,9 +9,9 @@
 use stairfront_emulator::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
 use stairfront_emulator::group_script::{GroupAct, GroupScript};
 use stairfront_emulator::links::{LinkFault, Links, Passage};
-use stairfront_gossip_membership::cordons::Entry;
+use stairfront_gossip_membership::cordons::CordonEntry;
 use stairfront_gossip_membership::{
-    Action, Membership, Micros, Settings, State, Times, MS, SECOND,
+    Action, MemberState, Membership, Micros, Settings, Timing, MS, SECOND,
 };
 
 const TICK: Micros = 50 * MS;
@@ -58,7 +58,7 @@
     moved: bool,
     life: u64,
     unread: VecDeque<Vec<u8>>,
-    disk: Vec<Entry>,
+    disk: Vec<CordonEntry>,
     /// What the engine holds out.
     held: BTreeSet<String>,
     /// What it has yet to do: of each host the last word.
@@ -79,7 +79,7 @@
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: BTreeMap<usize, Event>,
     next: usize,
-    times: Times,
+    times: Timing,
     /// Laid faults, for their end.
     laid: BTreeMap<u64, (Vec<(usize, usize)>, LinkFault)>,
     /// Orders under way: who was asked, which, and what it was.
@@ -127,7 +127,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
-            times: Times::default(),
+            times: Timing::default(),
             laid: BTreeMap::new(),
             orders: Vec::new(),
             log: Vec::new(),
@@ -548,7 +548,7 @@
         };
         if !cordon {
             // Whatever becomes of it, from now on the host may be used; and an earlier yes is not waited for.
-            if !core.standing().may_bind() {
+            if !core.standing().has_quorum() {
                 return false;
             }
             self.observer
@@ -582,7 +582,7 @@
         }
     }
 
-    pub fn state(&self, at: usize, of: usize) -> State {
+    pub fn state(&self, at: usize, of: usize) -> MemberState {
         let report = self.nodes[at].core.as_ref().unwrap().report(self.now);
         report
             .members
@@ -593,7 +593,7 @@
     }
 
     pub fn standing(&self, at: usize) -> &'static str {
-        self.nodes[at].core.as_ref().unwrap().standing().word()
+        self.nodes[at].core.as_ref().unwrap().standing().as_str()
     }
 
     pub fn finish(self) -> GroupReport {
--- a/crates/stairfront-gossip-membership/tests/stored_forms.rs
+++ b/crates/stairfront-gossip-membership/tests/stored_forms.rs
@@ -5,15 +5,19 @@
 use std::net::SocketAddr;
 
 use golden::Golden;
-use stairfront_gossip_membership::claim::{Claim, Rumour};
-use stairfront_gossip_membership::cordons::{read_record, write_record, Entry, Ledger, Tag};
-use stairfront_gossip_membership::core::Refusal;
-use stairfront_gossip_membership::news::News;
+use stairfront_gossip_membership::claim::{GossipMessage, StateAssertion};
+use stairfront_gossip_membership::cordons::{
+    read_record, write_record, CordonEntry, CordonSet, Tag,
+};
+use stairfront_gossip_membership::core::OrderError;
+use stairfront_gossip_membership::news::DrainNews;
 use stairfront_gossip_membership::packet::{
-    group_mark, Body, Item, Packet, Sender, Writer, LARGEST_DATAGRAM,
+    group_mark, Body, Item, Packet, Sender, Writer, MAX_DATAGRAM_BYTES,
 };
 use stairfront_gossip_membership::report::{MemberReport, Missing, Progress, Report};
-use stairfront_gossip_membership::{Action, Membership, Settings, Standing, State, Times};
+use stairfront_gossip_membership::{
+    Action, MemberState, Membership, QuorumStatus, Settings, Timing,
+};
 
 const GROUP: &str = "north";
 
@@ -90,53 +94,53 @@
     }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<CordonEntry> {
     let tag = |author: &str, run, number| Tag {
         author: author.into(),
         run,
         number,
     };
     vec![
-        Entry {
+        CordonEntry {
             host: "s-1".into(),
             tag: tag("b-1", 7_000_000_001, 401),
             lifted: false,
         },
-        Entry {
+        CordonEntry {
             host: "s-1".into(),
             tag: tag("b-2", 7_000_000_002, 402),
             lifted: true,
         },
-        Entry {
+        CordonEntry {
             host: "s \"2\"".into(),
             tag: tag("b-\u{e9}", u64::MAX, u32::MAX),
             lifted: true,
         },
-        Ledger::planned("s-3", 7_000_000_003, 403),
+        CordonSet::planned("s-3", 7_000_000_003, 403),
     ]
 }
 
 fn items() -> Vec<Item> {
     let rumour = |about: &str, incarnation, claim| {
-        Item::Member(Rumour {
-            about: about.into(),
+        Item::Member(GossipMessage {
+            member: about.into(),
             incarnation,
-            claim,
+            assertion: claim,
         })
     };
-    let alive = |at: &str, run| Claim::Alive {
+    let alive = |at: &str, run| StateAssertion::Alive {
         address: address(at),
         run,
     };
     let mut items = vec![
         rumour("b-4", 501, alive("192.0.2.4:7944", 601_000_000_001)),
         rumour("b-5", 502, alive("[2001:db8::5]:7945", 602_000_000_002)),
-        rumour("b-6", 503, Claim::Suspect { by: "b-7".into() }),
-        rumour("b-8", 504, Claim::Failed { by: "b-9".into() }),
-        rumour("b-10", 505, Claim::Left),
+        rumour("b-6", 503, StateAssertion::Suspect { by: "b-7".into() }),
+        rumour("b-8", 504, StateAssertion::Failed { by: "b-9".into() }),
+        rumour("b-10", 505, StateAssertion::Left),
     ];
     items.extend(entries().into_iter().map(Item::Cordon));
-    items.push(Item::Drain(News {
+    items.push(Item::Drain(DrainNews {
         host: "s-4".into(),
         index: 700_000_000_001,
         by: "b-11".into(),
@@ -146,7 +150,7 @@
 
 fn check_packet(golden: &mut Golden, file: &str, value: &Packet) {
     let mark = group_mark(GROUP);
-    let mut writer = Writer::new(mark, &value.from, &value.body, LARGEST_DATAGRAM);
+    let mut writer = Writer::new(mark, &value.from, &value.body, MAX_DATAGRAM_BYTES);
     value
         .items
         .iter()
@@ -154,7 +158,7 @@
     let written = writer.finish();
     let stored = golden.bytes(file, &written);
     assert_eq!(
-        Packet::read(mark, &stored, LARGEST_DATAGRAM).as_ref(),
+        Packet::read(mark, &stored, MAX_DATAGRAM_BYTES).as_ref(),
         Ok(value),
         "{file}"
     );
@@ -190,20 +194,21 @@
     // One file for each, so that the one that changed is told.
     for (i, item) in items().into_iter().enumerate() {
         let kind = match &item {
-            Item::Member(Rumour {
-                claim: Claim::Alive { .. },
+            Item::Member(GossipMessage {
+                assertion: StateAssertion::Alive { .. },
                 ..
             }) => "alive",
-            Item::Member(Rumour {
-                claim: Claim::Suspect { .. },
+            Item::Member(GossipMessage {
+                assertion: StateAssertion::Suspect { .. },
                 ..
             }) => "suspect",
-            Item::Member(Rumour {
-                claim: Claim::Failed { .. },
+            Item::Member(GossipMessage {
+                assertion: StateAssertion::Failed { .. },
                 ..
             }) => "failed",
-            Item::Member(Rumour {
-                claim: Claim::Left, ..
+            Item::Member(GossipMessage {
+                assertion: StateAssertion::Left,
+                ..
             }) => "left",
             Item::Cordon(_) => "cordon",
             Item::Drain(_) => "drain",
@@ -224,7 +229,7 @@
         advertise: address("192.0.2.17:7946"),
         seeds: vec![address("192.0.2.4:7944")],
         roster: vec!["b-1".into(), "b-4".into(), "b-6".into()],
-        times: Times::default(),
+        times: Timing::default(),
         run: 9,
         born_ms: 1_760_000_000_123,
         seed: 10,
@@ -235,7 +240,7 @@
 #[test]
 fn the_digests_that_members_compare_are_as_pinned() {
     let mut golden = Golden::default();
-    let mut ledger = Ledger::default();
+    let mut ledger = CordonSet::default();
     ledger.merge(0, &entries()).unwrap();
     let mut core = Membership::new(0, settings(), &entries());
     let mark = group_mark(GROUP);
@@ -276,39 +281,39 @@
 #[test]
 fn the_record_of_the_groups_cordons_is_as_pinned() {
     let mut golden = Golden::default();
-    let mut ledger = Ledger::default();
+    let mut ledger = CordonSet::default();
     ledger.merge(0, &entries()).unwrap();
     let written = write_record(&ledger);
     let stored = golden.text("record.json", &written);
     let mut read = read_record(&stored).unwrap();
     let mut wanted = entries();
-    let order = |entry: &Entry| (entry.host.clone(), entry.tag.clone());
+    let order = |entry: &CordonEntry| (entry.host.clone(), entry.tag.clone());
     read.sort_by_key(order);
     wanted.sort_by_key(order);
     assert_eq!(read, wanted);
     assert_eq!(written, stored);
-    let empty = write_record(&Ledger::default());
+    let empty = write_record(&CordonSet::default());
     let stored = golden.text("record_empty.json", &empty);
     assert_eq!(read_record(&stored).unwrap(), []);
     assert_eq!(empty, stored);
 }
 
-const STANDINGS: [(Standing, &str); 5] = [
-    (Standing::Settling, "settling"),
-    (Standing::Whole, "whole"),
-    (Standing::Majority, "majority"),
-    (Standing::Minority, "minority"),
-    (Standing::Alone, "alone"),
+const STANDINGS: [(QuorumStatus, &str); 5] = [
+    (QuorumStatus::Settling, "settling"),
+    (QuorumStatus::Whole, "whole"),
+    (QuorumStatus::Majority, "majority"),
+    (QuorumStatus::Minority, "minority"),
+    (QuorumStatus::Alone, "alone"),
 ];
 
-const STATES: [(State, &str); 4] = [
-    (State::Alive, "alive"),
-    (State::Suspect, "suspect"),
-    (State::Failed, "failed"),
-    (State::Left, "left"),
+const STATES: [(MemberState, &str); 4] = [
+    (MemberState::Alive, "alive"),
+    (MemberState::Suspect, "suspect"),
+    (MemberState::Failed, "failed"),
+    (MemberState::Left, "left"),
 ];
 
-fn report(standing: Standing, run: u64) -> Report {
+fn report(standing: QuorumStatus, run: u64) -> Report {
     let member = |name: &str, at: Option<&str>, state, incarnation, since_ms| MemberReport {
         name: name.into(),
         address: at.map(address),
@@ -325,19 +330,25 @@
         digest: "0123456789abcdef".into(),
         roster_differs: vec!["b-2".into(), "b-3".into()],
         disagree_ms: 802,
-        namesake: standing == Standing::Minority,
+        namesake: standing == QuorumStatus::Minority,
         cordons: vec!["s-1".into(), "s \"2\"".into()],
         members: vec![
             member(
                 "b-1",
                 Some("192.0.2.17:7946"),
-                State::Alive,
+                MemberState::Alive,
                 1_760_000_000_123,
                 803,
             ),
-            member("b-2", Some("[2001:db8::2]:7946"), State::Suspect, 804, 805),
-            member("b-3", None, State::Failed, 0, 806),
-            member("b-4", Some("192.0.2.4:7944"), State::Left, 807, 808),
+            member(
+                "b-2",
+                Some("[2001:db8::2]:7946"),
+                MemberState::Suspect,
+                804,
+                805,
+            ),
+            member("b-3", None, MemberState::Failed, 0, 806),
+            member("b-4", Some("192.0.2.4:7944"), MemberState::Left, 807, 808),
         ],
     }
 }
@@ -356,10 +367,10 @@
             "{file}"
         );
         assert_eq!(written, stored, "{file}");
-        assert_eq!(standing.word(), word);
+        assert_eq!(standing.as_str(), word);
     }
     for (state, word) in STATES {
-        assert_eq!(state.word(), word);
+        assert_eq!(state.as_str(), word);
         assert_eq!(
             serde_json::to_string(&state).unwrap(),
             format!("\"{word}\"")
@@ -402,21 +413,21 @@
 #[test]
 fn the_refusals_of_orders_for_the_group_are_as_pinned() {
     let mut golden = Golden::default();
-    let mut refusals: Vec<Refusal> = STANDINGS
-        .map(|(standing, _)| Refusal::NoMajority(standing))
+    let mut refusals: Vec<OrderError> = STANDINGS
+        .map(|(standing, _)| OrderError::NoMajority(standing))
         .into();
     refusals.extend([
-        Refusal::Busy,
-        Refusal::Full,
-        Refusal::Leaving,
-        Refusal::Planned,
+        OrderError::Busy,
+        OrderError::Full,
+        OrderError::Leaving,
+        OrderError::Planned,
     ]);
     refusals.iter().for_each(|refusal| match refusal {
-        Refusal::NoMajority(_)
-        | Refusal::Busy
-        | Refusal::Full
-        | Refusal::Leaving
-        | Refusal::Planned => {}
+        OrderError::NoMajority(_)
+        | OrderError::Busy
+        | OrderError::Full
+        | OrderError::Leaving
+        | OrderError::Planned => {}
     });
     let written: String = refusals
         .iter()
@@ -433,9 +444,9 @@
         .map(String::from)
         .to_vec();
     // So that the suspicion of one ends in its failure at the next tick.
-    let times = Times {
+    let times = Timing {
         suspicion: 1,
-        ..Times::default()
+        ..Timing::default()
     };
     let set = Settings {
         roster,
@@ -451,7 +462,7 @@
             address: at,
             ..sender(namesake)
         };
-        let mut writer = Writer::new(mark, &from, &Body::Gossip, LARGEST_DATAGRAM);
+        let mut writer = Writer::new(mark, &from, &Body::Gossip, MAX_DATAGRAM_BYTES);
         items.iter().for_each(|item| assert!(writer.add(item)));
         core.datagram(now, &writer.finish());
     };
@@ -461,20 +472,20 @@
     hear(&mut core, 5_000, "b-5", false, &[]);
     hear(&mut core, 6_000, "b-6", true, &[]);
     let said = |about: &str, claim| {
-        Item::Member(Rumour {
-            about: about.into(),
+        Item::Member(GossipMessage {
+            member: about.into(),
             incarnation: sender(false).incarnation,
-            claim,
+            assertion: claim,
         })
     };
-    let suspect = || Claim::Suspect { by: "b-2".into() };
-    let items = [said("b-4", suspect()), said("b-5", Claim::Left)];
+    let suspect = || StateAssertion::Suspect { by: "b-2".into() };
+    let items = [said("b-4", suspect()), said("b-5", StateAssertion::Left)];
     hear(&mut core, 7_000, "b-2", false, &items);
     core.tick(60_000);
     hear(&mut core, 61_000, "b-2", false, &[said("b-3", suspect())]);
     let number = core.order(62_000, "s-9", true).unwrap();
     let report = core.report(63_000);
-    let states: Vec<State> = report.members.iter().map(|member| member.state).collect();
+    let states: Vec<MemberState> = report.members.iter().map(|member| member.state).collect();
     STATES
         .iter()
         .for_each(|(state, _)| assert!(states.contains(state), "{state:?} is missing"));
--- a/crates/stairfront-membership-agent/src/config.rs
+++ b/crates/stairfront-membership-agent/src/config.rs
@@ -2,11 +2,11 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use stairfront_gossip_membership::settings::{Fault, Settings, Times, MS};
+use stairfront_gossip_membership::settings::{Settings, SettingsFault, Timing, MS};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawMembership {
+pub struct MembershipSection {
     pub group: String,
     /// Where this member hears the others, by UDP and by TCP; an address of a private network.
     pub listen: SocketAddr,
@@ -30,10 +30,10 @@
     pub forget_ms: Option<f64>,
 }
 
-impl RawMembership {
+impl MembershipSection {
     /// For the balancer of this name. `run` and `born_ms` are those of a process, and are put in at its start.
     pub fn settings(&self, me: &str) -> Settings {
-        let usual = Times::default();
+        let usual = Timing::default();
         let or = |given: Option<f64>, usual| given.map_or(usual, |ms| (ms * MS as f64) as i64);
         Settings {
             group: self.group.clone(),
@@ -41,7 +41,7 @@
             advertise: self.advertise.unwrap_or(self.listen),
             seeds: self.seeds.clone(),
             roster: self.roster.clone(),
-            times: Times {
+            times: Timing {
                 probe: or(self.probe_ms, usual.probe),
                 answer: or(self.answer_ms, usual.answer),
                 suspicion: or(self.suspicion_ms, usual.suspicion),
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn faults(&self, me: &str) -> Vec<Fault> {
+    pub fn faults(&self, me: &str) -> Vec<SettingsFault> {
         let mut found = self.settings(me).faults();
         // Streams to others begin at this address, so that those on the way can tell whose they are.
         if self.listen.ip().is_unspecified() && self.advertise.is_none() {
--- a/crates/stairfront-membership-agent/src/driver.rs
+++ b/crates/stairfront-membership-agent/src/driver.rs
@@ -8,18 +8,20 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stairfront_gossip_membership::core::Refusal;
-use stairfront_gossip_membership::packet::LARGEST_DATAGRAM;
+use stairfront_gossip_membership::core::OrderError;
+use stairfront_gossip_membership::packet::MAX_DATAGRAM_BYTES;
 use stairfront_gossip_membership::report::{Progress, Report};
-use stairfront_gossip_membership::{Action, Membership, Micros, Settings, Standing, State, Told};
+use stairfront_gossip_membership::{
+    Action, DrainAnnouncement, MemberState, Membership, Micros, QuorumStatus, Settings,
+};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{info, warn};
 
-use crate::config::RawMembership;
-use crate::record::LedgerFile;
+use crate::config::MembershipSection;
+use crate::record::CordonSetFile;
 use crate::streams;
 
 /// Descriptors that a member may hold: two sockets, and exchanges each way.
@@ -50,7 +52,7 @@
 
 /// What the engine is to do, told by `next_turn`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum MembershipEvent {
     /// Hold a cache host out, or not any more; then `applied` is to be called.
     Cordon {
         host: String,
@@ -66,7 +68,7 @@
 
 /// An operator's order for the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct CordonOrder {
     pub host: String,
     pub cordon: bool,
 }
@@ -82,10 +84,10 @@
 /// By whom, and what.
 type Carried = VecDeque<(String, Vec<u8>)>;
 
-pub struct Members {
+pub struct MembershipAgent {
     core: RefCell<Membership>,
     listen: SocketAddr,
-    record: LedgerFile,
+    record: CordonSetFile,
     start: Instant,
     last_tick: Cell<Instant>,
     /// When it woke up last, and how long it had slept.
@@ -106,9 +108,9 @@
     udp: RefCell<Option<Rc<UdpSocket>>>,
 }
 
-impl Members {
+impl MembershipAgent {
     /// Nothing is opened before `run`.
-    pub fn new(raw: &RawMembership, me: &str, seed: u64, record: LedgerFile) -> Rc<Self> {
+    pub fn new(raw: &MembershipSection, me: &str, seed: u64, record: CordonSetFile) -> Rc<Self> {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -120,7 +122,7 @@
             ..raw.settings(me)
         };
         let now = Instant::now();
-        Rc::new(Members {
+        Rc::new(MembershipAgent {
             core: RefCell::new(Membership::new(0, set, &record.read())),
             listen: raw.listen,
             record,
@@ -152,7 +154,7 @@
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut heard = 0;
-        let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut exchanges: Vec<JoinHandle<()>> = Vec::new();
         loop {
             tokio::select! {
@@ -234,7 +236,7 @@
     }
 
     /// How long this process stood still just now, if it did: what it reads now may be as old.
-    pub fn stood_still(&self) -> Option<Duration> {
+    pub fn stalled_for(&self) -> Option<Duration> {
         let now = Instant::now();
         let unnoticed = now - self.last_tick.get();
         if unnoticed > STOOD_STILL {
@@ -395,7 +397,7 @@
     }
 
     /// What the engine is to do next.
-    pub async fn next_turn(&self) -> Turn {
+    pub async fn next_turn(&self) -> MembershipEvent {
         loop {
             if let Some(turn) = self.take_turn().filter(|_| self.engine.get()) {
                 return turn;
@@ -404,15 +406,15 @@
         }
     }
 
-    fn take_turn(&self) -> Option<Turn> {
+    fn take_turn(&self) -> Option<MembershipEvent> {
         let mut waiting = self.waiting.borrow_mut();
         if let Some((host, held)) = waiting.cordons.pop_first() {
-            return Some(Turn::Cordon { host, held });
+            return Some(MembershipEvent::Cordon { host, held });
         }
         if let Some((host, stop)) = waiting.hearsay.pop_first() {
-            return Some(Turn::Hearsay { host, stop });
+            return Some(MembershipEvent::Hearsay { host, stop });
         }
-        std::mem::take(&mut waiting.ask_agent).then_some(Turn::AskAgent)
+        std::mem::take(&mut waiting.ask_agent).then_some(MembershipEvent::AskAgent)
     }
 
     /// The engine has done a cordon or its end.
@@ -422,24 +424,28 @@
     }
 
     /// What discovery has told this balancer.
-    pub fn told(&self, told: &Told) {
+    pub fn told(&self, told: &DrainAnnouncement) {
         self.core.borrow_mut().told(self.now(), told);
         self.changed.notify_one();
     }
 
     /// Gives an order to the whole group, and waits until it is done there or the time is over.
-    pub async fn order(&self, order: &Order, limit: Duration) -> Result<Progress, Refusal> {
+    pub async fn order(
+        &self,
+        order: &CordonOrder,
+        limit: Duration,
+    ) -> Result<Progress, OrderError> {
         let number = self
             .core
             .borrow_mut()
             .order(self.now(), &order.host, order.cordon)?;
         self.changed.notify_one();
-        let progress = || self.core.borrow().progress(number).ok_or(Refusal::Busy);
+        let progress = || self.core.borrow().progress(number).ok_or(OrderError::Busy);
         let done = async {
             while !progress()?.done {
                 self.heard.notified().await;
             }
-            Ok::<(), Refusal>(())
+            Ok::<(), OrderError>(())
         };
         if let Ok(Err(refusal)) = timeout(limit, done).await {
             return Err(refusal);
@@ -456,7 +462,7 @@
     }
 
     /// Has all members confirm what a plan holds, without waiting for it: the number for `progress`.
-    pub fn ask_planned(&self, host: &str, number: u64) -> Result<u64, Refusal> {
+    pub fn ask_planned(&self, host: &str, number: u64) -> Result<u64, OrderError> {
         let order = self.core.borrow_mut().ask_planned(self.now(), host, number);
         self.changed.notify_one();
         order
@@ -466,7 +472,7 @@
         self.core.borrow().progress(order)
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> QuorumStatus {
         self.core.borrow().standing()
     }
 
@@ -496,15 +502,15 @@
     }
 
     /// One `name:value` a line, for `INFO`.
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let core = self.core.borrow();
         let f = core.figures;
-        let mut text = format!("group_standing:{}\r\n", core.standing().word());
+        let mut text = format!("group_standing:{}\r\n", core.standing().as_str());
         let figures = [
-            ("group_alive", core.count(State::Alive) as u64),
-            ("group_suspect", core.count(State::Suspect) as u64),
-            ("group_failed", core.count(State::Failed) as u64),
-            ("group_left", core.count(State::Left) as u64),
+            ("group_alive", core.count(MemberState::Alive) as u64),
+            ("group_suspect", core.count(MemberState::Suspect) as u64),
+            ("group_failed", core.count(MemberState::Failed) as u64),
+            ("group_left", core.count(MemberState::Left) as u64),
             (
                 "group_disagree_ms",
                 (core.longest_difference(self.now()) / 1000) as u64,
--- a/crates/stairfront-membership-agent/src/lib.rs
+++ b/crates/stairfront-membership-agent/src/lib.rs
@@ -8,8 +8,8 @@
 mod record;
 mod streams;
 
-pub use config::RawMembership;
-pub use driver::{Members, Order, Turn, DESCRIPTORS};
-pub use record::LedgerFile;
+pub use config::MembershipSection;
+pub use driver::{CordonOrder, MembershipAgent, MembershipEvent, DESCRIPTORS};
+pub use record::CordonSetFile;
 pub use stairfront_gossip_membership::report::{Progress, Report};
-pub use stairfront_gossip_membership::{Standing, State, Told};
+pub use stairfront_gossip_membership::{DrainAnnouncement, MemberState, QuorumStatus};
--- a/crates/stairfront-membership-agent/src/record.rs
+++ b/crates/stairfront-membership-agent/src/record.rs
@@ -3,25 +3,25 @@
 use std::path::{Path, PathBuf};
 
 use stairfront_gossip_membership::cordons::{read_record, write_record};
-use stairfront_gossip_membership::{Entry, Ledger};
+use stairfront_gossip_membership::{CordonEntry, CordonSet};
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// None where an install has no folder for it.
 #[derive(Clone, Debug)]
-pub struct LedgerFile(Option<PathBuf>);
+pub struct CordonSetFile(Option<PathBuf>);
 
-impl LedgerFile {
+impl CordonSetFile {
     pub fn within(folder: Option<&Path>, group: &str, me: &str) -> Self {
         let file = format!(
             "stairfront-group-{:016x}.json",
             xxh3_64(format!("{group}\0{me}").as_bytes())
         );
-        LedgerFile(folder.map(|folder| folder.join(file)))
+        CordonSetFile(folder.map(|folder| folder.join(file)))
     }
 
     /// Danger: a torn or foreign file must not keep a balancer from starting; it asks the others in any case.
-    pub fn read(&self) -> Vec<Entry> {
+    pub fn read(&self) -> Vec<CordonEntry> {
         let Some(path) = &self.0 else {
             return Vec::new();
         };
@@ -39,7 +39,7 @@
         }
     }
 
-    pub fn write(&self, ledger: &Ledger) -> io::Result<()> {
+    pub fn write(&self, ledger: &CordonSet) -> io::Result<()> {
         let Some(path) = &self.0 else { return Ok(()) };
         let folder = path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
--- a/crates/stairfront-membership-agent/src/streams.rs
+++ b/crates/stairfront-membership-agent/src/streams.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use stairfront_gossip_membership::packet::LARGEST_EXCHANGE;
+use stairfront_gossip_membership::packet::MAX_EXCHANGE_BYTES;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
@@ -20,7 +20,7 @@
 /// The length is held against the largest packet before anything is allocated.
 pub async fn receive(socket: &mut TcpStream) -> io::Result<Vec<u8>> {
     let length = socket.read_u32().await? as usize;
-    if length > LARGEST_EXCHANGE {
+    if length > MAX_EXCHANGE_BYTES {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut packet = Vec::with_capacity(length);
--- a/crates/stairfront-membership-agent/tests/stored_forms.rs
+++ b/crates/stairfront-membership-agent/tests/stored_forms.rs
@@ -4,35 +4,35 @@
 use std::path::Path;
 
 use golden::Golden;
-use stairfront_gossip_membership::{Entry, Ledger, Tag};
-use stairfront_membership_agent::{LedgerFile, RawMembership};
+use stairfront_gossip_membership::{CordonEntry, CordonSet, Tag};
+use stairfront_membership_agent::{CordonSetFile, MembershipSection};
 
 const GROUP: &str = "north";
 const ME: &str = "b-1";
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<CordonEntry> {
     let tag = |author: &str, run, number| Tag {
         author: author.into(),
         run,
         number,
     };
     let mut entries = vec![
-        Entry {
+        CordonEntry {
             host: "s-1".into(),
             tag: tag("b-1", 7_000_000_001, 401),
             lifted: false,
         },
-        Entry {
+        CordonEntry {
             host: "s-1".into(),
             tag: tag("b-2", 7_000_000_002, 402),
             lifted: true,
         },
-        Entry {
+        CordonEntry {
             host: "s \"2\"".into(),
             tag: tag("b-\u{e9}", u64::MAX, u32::MAX),
             lifted: true,
         },
-        Ledger::planned("s-3", 7_000_000_003, 403),
+        CordonSet::planned("s-3", 7_000_000_003, 403),
     ];
     entries.sort_by_key(|entry| (entry.host.clone(), entry.tag.clone()));
     entries
@@ -51,9 +51,9 @@
 fn the_file_of_the_groups_cordons_is_as_pinned_under_the_pinned_name() {
     let mut golden = Golden::default();
     let folder = tempfile::tempdir().unwrap();
-    let mut ledger = Ledger::default();
+    let mut ledger = CordonSet::default();
     ledger.merge(0, &entries()).unwrap();
-    LedgerFile::within(Some(folder.path()), GROUP, ME)
+    CordonSetFile::within(Some(folder.path()), GROUP, ME)
         .write(&ledger)
         .unwrap();
     let names = names_in(folder.path());
@@ -64,7 +64,7 @@
 
     let earlier = tempfile::tempdir().unwrap();
     std::fs::write(earlier.path().join(&name), &stored).unwrap();
-    let mut read = LedgerFile::within(Some(earlier.path()), GROUP, ME).read();
+    let mut read = CordonSetFile::within(Some(earlier.path()), GROUP, ME).read();
     read.sort_by_key(|entry| (entry.host.clone(), entry.tag.clone()));
     assert_eq!(read, entries());
     assert_eq!(names, [name]);
@@ -74,7 +74,7 @@
 #[test]
 fn the_configuration_of_a_member_is_as_pinned() {
     let mut golden = Golden::default();
-    let full = RawMembership {
+    let full = MembershipSection {
         group: GROUP.into(),
         listen: "192.0.2.17:7946".parse().unwrap(),
         advertise: Some("[2001:db8::2]:7947".parse().unwrap()),
@@ -90,7 +90,7 @@
         hearsay_ms: Some(5003.0),
         forget_ms: Some(600004.0),
     };
-    let least = RawMembership {
+    let least = MembershipSection {
         advertise: None,
         seeds: Vec::new(),
         probe_ms: None,
@@ -108,7 +108,7 @@
         let written = serde_json::to_string(value).unwrap();
         let stored = golden.text(file, &written);
         assert_eq!(
-            serde_json::from_str::<RawMembership>(&stored).unwrap(),
+            serde_json::from_str::<MembershipSection>(&stored).unwrap(),
             *value,
             "{file}"
         );
@@ -116,6 +116,9 @@
     }
     // As people write it: what has a default is left out.
     let short = r#"{"group":"north","listen":"192.0.2.17:7946","roster":["b-1","b-2"]}"#;
-    assert_eq!(serde_json::from_str::<RawMembership>(short).unwrap(), least);
-    assert!(serde_json::from_str::<RawMembership>(&short.replace("group", "groups")).is_err());
+    assert_eq!(
+        serde_json::from_str::<MembershipSection>(short).unwrap(),
+        least
+    );
+    assert!(serde_json::from_str::<MembershipSection>(&short.replace("group", "groups")).is_err());
 }
--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stairfront_membership_agent::Members;
+use stairfront_membership_agent::MembershipAgent;
 use stairfront_raft::cluster_manager::{ClusterManager, Envelope, ProposalError};
 use stairfront_raft::{Index, Message, Micros, Payload, Ready, Recovered, Settings, Voter};
 use tokio::sync::{mpsc, Notify};
@@ -82,7 +82,7 @@
 }
 
 pub struct RaftNode<M> {
-    members: Rc<Members>,
+    members: Rc<MembershipAgent>,
     me: String,
     group: String,
     names: Vec<String>,
@@ -108,7 +108,7 @@
 
 impl<M: StateMachine> RaftNode<M> {
     pub fn new(
-        members: Rc<Members>,
+        members: Rc<MembershipAgent>,
         (me, group): (&str, &str),
         names: &[String],
         path: Option<PathBuf>,
--- a/crates/stairfront/src/members.rs
+++ b/crates/stairfront/src/members.rs
@@ -72,7 +72,7 @@
     }
     out.flush()?;
     let quiet = report.roster_differs.is_empty() && !report.namesake;
-    Ok(quiet && report.standing == stairfront_membership_agent::Standing::Whole)
+    Ok(quiet && report.standing == stairfront_membership_agent::QuorumStatus::Whole)
 }
 
 pub fn table(report: &Report) -> String {
@@ -81,7 +81,7 @@
         "{} of group {}: {} for {}, digest {}\n",
         report.me,
         report.group,
-        report.standing.word(),
+        report.standing.as_str(),
         seconds(report.standing_since_ms),
         report.digest
     );
@@ -112,7 +112,7 @@
             "{:20}{:24}{:10}{:>16}{:>12}\n",
             member.name,
             address,
-            member.state.word(),
+            member.state.as_str(),
             member.incarnation,
             seconds(member.since_ms)
         );
