--- a/crates/stairfront-admin-api/src/call.rs
+++ b/crates/stairfront-admin-api/src/call.rs
@@ -9,27 +9,27 @@
 const LONGEST_NAME: usize = 255;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// Can this process serve?
     Health,
     /// Who is there of the group?
     Members,
     /// Take the named cache host out.
-    Cordon(String, Scope),
+    Cordon(String, CordonScope),
     /// It may serve again.
-    Uncordon(String, Scope),
+    Uncordon(String, CordonScope),
     /// What is planned, and how far it is?
     Maintenance,
     /// A plan as the body has it; told, or only tried.
     Plan { dry_run: bool },
     /// A word about a plan.
-    Act(Act),
+    Act(PlanAction),
 }
 
 /// What operators say of a plan that there is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Act {
-    pub verb: Verb,
+pub struct PlanAction {
+    pub verb: PlanVerb,
     pub plan: u64,
     /// Of a machine, a member and a reason, those that the verb needs.
     pub machine: String,
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verb {
+pub enum PlanVerb {
     Hold,
     Resume,
     Skip,
@@ -48,29 +48,29 @@
     Force,
 }
 
-impl Verb {
-    pub const ALL: [(&'static str, Verb); 6] = [
-        ("hold", Verb::Hold),
-        ("resume", Verb::Resume),
-        ("skip", Verb::Skip),
-        ("drop", Verb::Drop),
-        ("done", Verb::Done),
-        ("force", Verb::Force),
+impl PlanVerb {
+    pub const ALL: [(&'static str, PlanVerb); 6] = [
+        ("hold", PlanVerb::Hold),
+        ("resume", PlanVerb::Resume),
+        ("skip", PlanVerb::Skip),
+        ("drop", PlanVerb::Drop),
+        ("done", PlanVerb::Done),
+        ("force", PlanVerb::Force),
     ];
 
     fn needs(self) -> &'static [&'static str] {
         match self {
-            Verb::Hold => &["why"],
-            Verb::Resume | Verb::Drop => &[],
-            Verb::Skip | Verb::Done => &["machine"],
-            Verb::Force => &["machine", "member"],
+            PlanVerb::Hold => &["why"],
+            PlanVerb::Resume | PlanVerb::Drop => &[],
+            PlanVerb::Skip | PlanVerb::Done => &["machine"],
+            PlanVerb::Force => &["machine", "member"],
         }
     }
 }
 
 /// Whom an order is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum CordonScope {
     /// The balancer that is called.
     Own,
     /// Every member of its group (`?scope=group`).
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum CallFault {
+pub enum AdminRequestError {
     #[error("no such call; there are GET /admin/health, GET /admin/members, GET and POST /admin/maintenance, POST /admin/cordon/ID and POST /admin/uncordon/ID")]
     Unknown,
     #[error("wrong method, {0} is the one")]
@@ -93,21 +93,21 @@
     Value(&'static str),
 }
 
-impl Call {
+impl AdminRequest {
     /// Reads a call from the method and the target of a request; of a query behind the path its scope alone is looked at.
-    pub fn read(method: &str, target: &str) -> Result<Call, CallFault> {
+    pub fn read(method: &str, target: &str) -> Result<AdminRequest, AdminRequestError> {
         let path = target.split(['?', '#']).next().unwrap_or_default();
         if path == HEALTH {
-            return wants(method, "GET").map(|()| Call::Health);
+            return wants(method, "GET").map(|()| AdminRequest::Health);
         }
         if path == MEMBERS {
-            return wants(method, "GET").map(|()| Call::Members);
+            return wants(method, "GET").map(|()| AdminRequest::Members);
         }
         if path == MAINTENANCE && method == "GET" {
-            return Ok(Call::Maintenance);
+            return Ok(AdminRequest::Maintenance);
         }
         if path == MAINTENANCE {
-            return wants(method, "POST").map(|()| Call::Plan { dry_run: false });
+            return wants(method, "POST").map(|()| AdminRequest::Plan { dry_run: false });
         }
         if let Some(verb) = path
             .strip_prefix(MAINTENANCE)
@@ -115,63 +115,65 @@
         {
             wants(method, "POST")?;
             if verb == "dry-run" {
-                return Ok(Call::Plan { dry_run: true });
+                return Ok(AdminRequest::Plan { dry_run: true });
             }
-            let found = Verb::ALL.iter().find(|(name, _)| *name == verb);
-            let (_, verb) = found.ok_or(CallFault::Unknown)?;
-            return act(*verb, target).map(Call::Act);
+            let found = PlanVerb::ALL.iter().find(|(name, _)| *name == verb);
+            let (_, verb) = found.ok_or(AdminRequestError::Unknown)?;
+            return act(*verb, target).map(AdminRequest::Act);
         }
         // The longer one first would not matter: neither begins like the other.
-        let (name, call): (&str, fn(String, Scope) -> Call) =
+        let (name, call): (&str, fn(String, CordonScope) -> AdminRequest) =
             match (path.strip_prefix(CORDON), path.strip_prefix(UNCORDON)) {
-                (Some(name), _) => (name, Call::Cordon),
-                (None, Some(name)) => (name, Call::Uncordon),
-                (None, None) => return Err(CallFault::Unknown),
+                (Some(name), _) => (name, AdminRequest::Cordon),
+                (None, Some(name)) => (name, AdminRequest::Uncordon),
+                (None, None) => return Err(AdminRequestError::Unknown),
             };
         wants(method, "POST")?;
-        let name = name_of(name).ok_or(CallFault::Name)?;
+        let name = name_of(name).ok_or(AdminRequestError::Name)?;
         Ok(call(name, scope_of(target)?))
     }
 }
 
-fn act(verb: Verb, target: &str) -> Result<Act, CallFault> {
+fn act(verb: PlanVerb, target: &str) -> Result<PlanAction, AdminRequestError> {
     let query = target
         .split('#')
         .next()
         .unwrap_or_default()
         .split_once('?')
         .map_or("", |(_, query)| query);
-    let value = |key: &'static str| -> Result<Option<String>, CallFault> {
+    let value = |key: &'static str| -> Result<Option<String>, AdminRequestError> {
         let mut found = query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
             .filter(|(name, _)| *name == key);
         match (found.next(), found.next()) {
             (None, _) => Ok(None),
-            (Some((_, value)), None) => name_of(value).map(Some).ok_or(CallFault::Value(key)),
-            _ => Err(CallFault::Value(key)),
+            (Some((_, value)), None) => name_of(value)
+                .map(Some)
+                .ok_or(AdminRequestError::Value(key)),
+            _ => Err(AdminRequestError::Value(key)),
         }
     };
-    let needed = |key: &'static str| -> Result<String, CallFault> {
+    let needed = |key: &'static str| -> Result<String, AdminRequestError> {
         match (value(key)?, verb.needs().contains(&key)) {
             (Some(value), _) => Ok(value),
             (None, false) => Ok(String::new()),
-            (None, true) => Err(CallFault::Missing(key)),
+            (None, true) => Err(AdminRequestError::Missing(key)),
         }
     };
-    let plan = value("plan")?.ok_or(CallFault::Missing("plan"))?;
-    Ok(Act {
+    let plan = value("plan")?.ok_or(AdminRequestError::Missing("plan"))?;
+    Ok(PlanAction {
         verb,
-        plan: plan.parse().map_err(|_| CallFault::Value("plan"))?,
+        plan: plan.parse().map_err(|_| AdminRequestError::Value("plan"))?,
         machine: needed("machine")?,
         member: needed("member")?,
         why: needed("why")?,
-        author: value("author")?.ok_or(CallFault::Missing("author"))?,
+        author: value("author")?.ok_or(AdminRequestError::Missing("author"))?,
     })
 }
 
 /// Danger: a scope with a slip in it, taken for none, would leave the host in use at all others.
-fn scope_of(target: &str) -> Result<Scope, CallFault> {
+fn scope_of(target: &str) -> Result<CordonScope, AdminRequestError> {
     let query = target
         .split('#')
         .next()
@@ -182,16 +184,16 @@
         .split('&')
         .filter(|pair| pair.split('=').next() == Some("scope"));
     match (scopes.next(), scopes.next()) {
-        (None, _) => Ok(Scope::Own),
-        (Some("scope=group"), None) => Ok(Scope::Group),
-        _ => Err(CallFault::Scope),
+        (None, _) => Ok(CordonScope::Own),
+        (Some("scope=group"), None) => Ok(CordonScope::Group),
+        _ => Err(AdminRequestError::Scope),
     }
 }
 
-fn wants(method: &str, wanted: &'static str) -> Result<(), CallFault> {
+fn wants(method: &str, wanted: &'static str) -> Result<(), AdminRequestError> {
     (method == wanted)
         .then_some(())
-        .ok_or(CallFault::Method(wanted))
+        .ok_or(AdminRequestError::Method(wanted))
 }
 
 /// A path segment with its percent signs resolved; none if it cannot be a name.
--- a/crates/stairfront-admin-api/src/host_registry.rs
+++ b/crates/stairfront-admin-api/src/host_registry.rs
@@ -10,7 +10,7 @@
 /// The name was never listed, or was forgotten, or belongs to an origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no cache host of this name was ever listed")]
-pub struct Unknown;
+pub struct UnknownHost;
 
 /// Who may be taken out, and who is.
 #[derive(Debug, Default)]
@@ -66,17 +66,17 @@
     }
 
     /// True if it was not cordoned before.
-    pub fn cordon(&mut self, id: CacheId, name: &str) -> Result<bool, Unknown> {
+    pub fn cordon(&mut self, id: CacheId, name: &str) -> Result<bool, UnknownHost> {
         if !self.known.contains(&id) {
-            return Err(Unknown);
+            return Err(UnknownHost);
         }
         Ok(self.cordoned.insert(id, name.to_string()).is_none())
     }
 
     /// True if it was cordoned before: a single call lifts any number of them.
-    pub fn uncordon(&mut self, id: CacheId) -> Result<bool, Unknown> {
+    pub fn uncordon(&mut self, id: CacheId) -> Result<bool, UnknownHost> {
         if !self.known.contains(&id) {
-            return Err(Unknown);
+            return Err(UnknownHost);
         }
         let lifted = self.cordoned.remove(&id).is_some();
         if lifted {
--- a/crates/stairfront-admin-api/src/lib.rs
+++ b/crates/stairfront-admin-api/src/lib.rs
@@ -9,6 +9,6 @@
 pub mod order;
 pub mod record;
 
-pub use call::{Act, Call, CallFault, Scope, Verb};
-pub use host_registry::{HostRegistry, Unknown};
-pub use order::{Done, Order, Word};
+pub use call::{AdminRequest, AdminRequestError, CordonScope, PlanAction, PlanVerb};
+pub use host_registry::{HostRegistry, UnknownHost};
+pub use order::{OperatorOrder, OrderOutcome, OrderSource};
--- a/crates/stairfront-admin-api/src/order.rs
+++ b/crates/stairfront-admin-api/src/order.rs
@@ -3,7 +3,7 @@
 
 /// Where an order comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum OrderSource {
     /// From an operator, who may have mistaken a name.
     Operators,
     /// From another process of this balancer that knows the name: discovery may not have told it here yet.
@@ -11,7 +11,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Order {
+pub enum OperatorOrder {
     /// Take a cache host out, by its name.
     Cordon(String),
     /// It may serve again.
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Done {
+pub enum OrderOutcome {
     /// It holds, and is on record.
     Yes,
     /// Never listed, or the origin.
@@ -39,25 +39,27 @@
     Use { open: u64, sent: u64 },
 }
 
-impl Done {
+impl OrderOutcome {
     /// What has become of an order that two processes of one balancer were given.
-    pub fn and(self, other: Done) -> Done {
+    pub fn combine(self, other: OrderOutcome) -> OrderOutcome {
         match (self, other) {
             (
-                Done::Use { open, sent },
-                Done::Use {
+                OrderOutcome::Use { open, sent },
+                OrderOutcome::Use {
                     open: more,
                     sent: other,
                 },
-            ) => Done::Use {
+            ) => OrderOutcome::Use {
                 open: open + more,
                 sent: sent + other,
             },
-            (known @ Done::Use { .. }, _) | (_, known @ Done::Use { .. }) => known,
-            (Done::NotRecorded, _) | (_, Done::NotRecorded) => Done::NotRecorded,
-            (Done::Held, _) | (_, Done::Held) => Done::Held,
-            (Done::Yes, _) | (_, Done::Yes) => Done::Yes,
-            (Done::Unknown, Done::Unknown) => Done::Unknown,
+            (known @ OrderOutcome::Use { .. }, _) | (_, known @ OrderOutcome::Use { .. }) => known,
+            (OrderOutcome::NotRecorded, _) | (_, OrderOutcome::NotRecorded) => {
+                OrderOutcome::NotRecorded
+            }
+            (OrderOutcome::Held, _) | (_, OrderOutcome::Held) => OrderOutcome::Held,
+            (OrderOutcome::Yes, _) | (_, OrderOutcome::Yes) => OrderOutcome::Yes,
+            (OrderOutcome::Unknown, OrderOutcome::Unknown) => OrderOutcome::Unknown,
         }
     }
 }
--- a/crates/stairfront-admin-api/src/record.rs
+++ b/crates/stairfront-admin-api/src/record.rs
@@ -4,7 +4,7 @@
 const VERSION: u32 = 1;
 
 #[derive(Debug, thiserror::Error)]
-pub enum RecordFault {
+pub enum RecordError {
     #[error("not a record of cordons: {0}")]
     Json(#[from] serde_json::Error),
     #[error("version {0} is not known here, {VERSION} is")]
@@ -29,10 +29,10 @@
 }
 
 /// The names in a record. A torn one is an error, never part of a record.
-pub fn read(text: &str) -> Result<Vec<String>, RecordFault> {
+pub fn read(text: &str) -> Result<Vec<String>, RecordError> {
     let Versioned { version } = serde_json::from_str(text)?;
     if version != VERSION {
-        return Err(RecordFault::Version(version));
+        return Err(RecordError::Version(version));
     }
     let Record { cordoned, .. } = serde_json::from_str(text)?;
     Ok(cordoned)
--- a/crates/stairfront-admin-api/tests/host_registry.rs
+++ b/crates/stairfront-admin-api/tests/host_registry.rs
@@ -1,5 +1,5 @@
 //! Names are remembered in a bound, and the bound forgets nobody who matters; records are read whole or not at all.
-use stairfront_admin_api::{record, HostRegistry, Unknown};
+use stairfront_admin_api::{record, HostRegistry, UnknownHost};
 use stairfront_policy::interface::CacheId;
 
 #[test]
@@ -30,10 +30,10 @@
     );
     assert_eq!(
         registry.cordon(CacheId(10), "early"),
-        Err(Unknown),
+        Err(UnknownHost),
         "the bound holds"
     );
-    assert_eq!(registry.cordon(CacheId(5), "never"), Err(Unknown));
+    assert_eq!(registry.cordon(CacheId(5), "never"), Err(UnknownHost));
 }
 
 #[test]
--- a/crates/stairfront-admin-api/tests/stored_forms.rs
+++ b/crates/stairfront-admin-api/tests/stored_forms.rs
@@ -4,7 +4,10 @@
 
 use golden::Golden;
 use serde::{de::DeserializeOwned, Serialize};
-use stairfront_admin_api::{record, Act, Call, CallFault, Done, Order, Scope, Verb, Word};
+use stairfront_admin_api::{
+    record, AdminRequest, AdminRequestError, CordonScope, OperatorOrder, OrderOutcome, OrderSource,
+    PlanAction, PlanVerb,
+};
 
 #[test]
 fn the_record_of_cordons_is_as_pinned() {
@@ -36,54 +39,62 @@
 #[test]
 fn every_order_is_as_pinned() {
     let values = [
-        Order::Cordon("s-1".into()),
-        Order::Uncordon("s-2".into()),
-        Order::Hold("s-3".into()),
-        Order::Release("s-4".into()),
-        Order::Known("s-5".into()),
-        Order::Use("s-6".into()),
+        OperatorOrder::Cordon("s-1".into()),
+        OperatorOrder::Uncordon("s-2".into()),
+        OperatorOrder::Hold("s-3".into()),
+        OperatorOrder::Release("s-4".into()),
+        OperatorOrder::Known("s-5".into()),
+        OperatorOrder::Use("s-6".into()),
     ];
     // Does not compile where a variant is missing; it is to be added above, too.
     values.iter().for_each(|value| match value {
-        Order::Cordon(_) | Order::Uncordon(_) | Order::Hold(_) => {}
-        Order::Release(_) | Order::Known(_) | Order::Use(_) => {}
+        OperatorOrder::Cordon(_) | OperatorOrder::Uncordon(_) | OperatorOrder::Hold(_) => {}
+        OperatorOrder::Release(_) | OperatorOrder::Known(_) | OperatorOrder::Use(_) => {}
     });
     check("orders.json", &values);
 }
 
 #[test]
 fn every_answer_to_an_order_is_as_pinned() {
-    let used = Done::Use {
+    let used = OrderOutcome::Use {
         open: 301,
         sent: 302,
     };
     let values = [
-        Done::Yes,
-        Done::Unknown,
-        Done::NotRecorded,
-        Done::Held,
+        OrderOutcome::Yes,
+        OrderOutcome::Unknown,
+        OrderOutcome::NotRecorded,
+        OrderOutcome::Held,
         used,
     ];
     values.iter().for_each(|value| match value {
-        Done::Yes | Done::Unknown | Done::NotRecorded | Done::Held | Done::Use { .. } => {}
+        OrderOutcome::Yes
+        | OrderOutcome::Unknown
+        | OrderOutcome::NotRecorded
+        | OrderOutcome::Held
+        | OrderOutcome::Use { .. } => {}
     });
     check("answers.json", &values);
 }
 
 #[test]
 fn every_word_is_as_pinned() {
-    let values = [Word::Operators, Word::Vouched];
+    let values = [OrderSource::Operators, OrderSource::Vouched];
     values.iter().for_each(|value| match value {
-        Word::Operators | Word::Vouched => {}
+        OrderSource::Operators | OrderSource::Vouched => {}
     });
     check("words.json", &values);
 }
 
 /// Method and target of a call, and what it is read as.
-fn calls() -> Vec<(&'static str, &'static str, Result<Call, CallFault>)> {
+fn calls() -> Vec<(
+    &'static str,
+    &'static str,
+    Result<AdminRequest, AdminRequestError>,
+)> {
     let act = |verb, machine: &str, member: &str, why: &str| {
         let (machine, member, why) = (machine.into(), member.into(), why.into());
-        Ok(Call::Act(Act {
+        Ok(AdminRequest::Act(PlanAction {
             verb,
             plan: 41,
             machine,
@@ -93,103 +104,115 @@
         }))
     };
     vec![
-        ("GET", "/admin/health", Ok(Call::Health)),
-        ("GET", "/admin/members", Ok(Call::Members)),
-        ("GET", "/admin/maintenance", Ok(Call::Maintenance)),
+        ("GET", "/admin/health", Ok(AdminRequest::Health)),
+        ("GET", "/admin/members", Ok(AdminRequest::Members)),
+        ("GET", "/admin/maintenance", Ok(AdminRequest::Maintenance)),
         (
             "POST",
             "/admin/maintenance",
-            Ok(Call::Plan { dry_run: false }),
+            Ok(AdminRequest::Plan { dry_run: false }),
         ),
         (
             "POST",
             "/admin/maintenance/dry-run",
-            Ok(Call::Plan { dry_run: true }),
+            Ok(AdminRequest::Plan { dry_run: true }),
         ),
         (
             "POST",
             "/admin/cordon/s-1",
-            Ok(Call::Cordon("s-1".into(), Scope::Own)),
+            Ok(AdminRequest::Cordon("s-1".into(), CordonScope::Own)),
         ),
         (
             "POST",
             "/admin/cordon/s%202?scope=group",
-            Ok(Call::Cordon("s 2".into(), Scope::Group)),
+            Ok(AdminRequest::Cordon("s 2".into(), CordonScope::Group)),
         ),
         (
             "POST",
             "/admin/uncordon/s-3",
-            Ok(Call::Uncordon("s-3".into(), Scope::Own)),
+            Ok(AdminRequest::Uncordon("s-3".into(), CordonScope::Own)),
         ),
         (
             "POST",
             "/admin/uncordon/s-4?scope=group",
-            Ok(Call::Uncordon("s-4".into(), Scope::Group)),
+            Ok(AdminRequest::Uncordon("s-4".into(), CordonScope::Group)),
         ),
         (
             "POST",
             "/admin/maintenance/hold?plan=41&author=ann&why=late",
-            act(Verb::Hold, "", "", "late"),
+            act(PlanVerb::Hold, "", "", "late"),
         ),
         (
             "POST",
             "/admin/maintenance/resume?plan=41&author=ann",
-            act(Verb::Resume, "", "", ""),
+            act(PlanVerb::Resume, "", "", ""),
         ),
         (
             "POST",
             "/admin/maintenance/skip?plan=41&author=ann&machine=m-1",
-            act(Verb::Skip, "m-1", "", ""),
+            act(PlanVerb::Skip, "m-1", "", ""),
         ),
         (
             "POST",
             "/admin/maintenance/drop?plan=41&author=ann",
-            act(Verb::Drop, "", "", ""),
+            act(PlanVerb::Drop, "", "", ""),
         ),
         (
             "POST",
             "/admin/maintenance/done?plan=41&author=ann&machine=m-2",
-            act(Verb::Done, "m-2", "", ""),
+            act(PlanVerb::Done, "m-2", "", ""),
         ),
         (
             "POST",
             "/admin/maintenance/force?plan=41&author=ann&machine=m-3&member=b-3",
-            act(Verb::Force, "m-3", "b-3", ""),
+            act(PlanVerb::Force, "m-3", "b-3", ""),
+        ),
+        ("GET", "/admin/other", Err(AdminRequestError::Unknown)),
+        (
+            "POST",
+            "/admin/health",
+            Err(AdminRequestError::Method("GET")),
+        ),
+        (
+            "GET",
+            "/admin/cordon/s-1",
+            Err(AdminRequestError::Method("POST")),
+        ),
+        ("POST", "/admin/cordon/", Err(AdminRequestError::Name)),
+        (
+            "POST",
+            "/admin/cordon/s-1?scope=all",
+            Err(AdminRequestError::Scope),
         ),
-        ("GET", "/admin/other", Err(CallFault::Unknown)),
-        ("POST", "/admin/health", Err(CallFault::Method("GET"))),
-        ("GET", "/admin/cordon/s-1", Err(CallFault::Method("POST"))),
-        ("POST", "/admin/cordon/", Err(CallFault::Name)),
-        ("POST", "/admin/cordon/s-1?scope=all", Err(CallFault::Scope)),
         (
             "POST",
             "/admin/maintenance/drop?author=ann",
-            Err(CallFault::Missing("plan")),
+            Err(AdminRequestError::Missing("plan")),
         ),
         (
             "POST",
             "/admin/maintenance/drop?plan=41",
-            Err(CallFault::Missing("author")),
+            Err(AdminRequestError::Missing("author")),
         ),
         (
             "POST",
             "/admin/maintenance/hold?plan=41&author=ann",
-            Err(CallFault::Missing("why")),
+            Err(AdminRequestError::Missing("why")),
         ),
         (
             "POST",
             "/admin/maintenance/skip?plan=41&author=ann",
-            Err(CallFault::Missing("machine")),
+            Err(AdminRequestError::Missing("machine")),
         ),
         (
             "POST",
             "/admin/maintenance/force?plan=41&author=ann&machine=m-3",
-            Err(CallFault::Missing("member")),
+            Err(AdminRequestError::Missing("member")),
         ),
         (
             "POST",
             "/admin/maintenance/drop?plan=x&author=ann",
-            Err(CallFault::Value("plan")),
+            Err(AdminRequestError::Value("plan")),
         ),
     ]
 }
@@ -198,7 +221,7 @@
 #[test]
 fn every_call_and_refusal_is_as_pinned() {
     let mut golden = Golden::default();
-    let line = |method: &str, target: &str| match Call::read(method, target) {
+    let line = |method: &str, target: &str| match AdminRequest::read(method, target) {
         Ok(_) => format!("{method} {target}\n"),
         Err(fault) => format!("{method} {target} -> {fault}\n"),
     };
@@ -211,7 +234,7 @@
     for (line, (.., wanted)) in stored.lines().zip(calls()) {
         let call = line.split(" -> ").next().unwrap();
         let (method, target) = call.split_once(' ').unwrap();
-        assert_eq!(Call::read(method, target), wanted, "{line}");
+        assert_eq!(AdminRequest::read(method, target), wanted, "{line}");
     }
     assert_eq!(written, stored);
 }
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use rustc_hash::{FxHashMap, FxHashSet};
-use stairfront_admin_api::{Done, HostRegistry, Order, Word};
+use stairfront_admin_api::{HostRegistry, OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_membership_agent::{DrainAnnouncement, MembershipAgent};
-use stairfront_overload::Door;
+use stairfront_overload::AdmissionController;
 use stairfront_policy::interface::{
     Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
     Micros, Outcome, RequestId, Settings, MS,
@@ -67,7 +67,7 @@
     timers: DelayQueue<Due>,
     counters: Rc<Counters>,
     /// Hears how long requests waited for the engine.
-    door: Rc<RefCell<Door>>,
+    door: Rc<RefCell<AdmissionController>>,
     ready: watch::Sender<bool>,
     mode: CacheMode,
     most_attempts: u8,
@@ -307,46 +307,46 @@
             .for_each(|cache| self.tell(Event::Cordon { cache, on: true }));
     }
 
-    fn carry_out_order(&mut self, order: &Order, word: Word) -> Done {
-        let (Order::Cordon(name)
-        | Order::Uncordon(name)
-        | Order::Hold(name)
-        | Order::Release(name)
-        | Order::Known(name)
-        | Order::Use(name)) = order;
+    fn carry_out_order(&mut self, order: &OperatorOrder, word: OrderSource) -> OrderOutcome {
+        let (OperatorOrder::Cordon(name)
+        | OperatorOrder::Uncordon(name)
+        | OperatorOrder::Hold(name)
+        | OperatorOrder::Release(name)
+        | OperatorOrder::Known(name)
+        | OperatorOrder::Use(name)) = order;
         let cache = cache_id(name);
-        if word == Word::Vouched {
+        if word == OrderSource::Vouched {
             self.registry.listed(cache);
         }
         let before = self.registry.is_cordoned(cache);
         let known = match order {
-            Order::Cordon(_) => self.registry.cordon(cache, name).is_ok(),
-            Order::Uncordon(_) => self.registry.uncordon(cache).is_ok(),
-            Order::Known(_) => {
+            OperatorOrder::Cordon(_) => self.registry.cordon(cache, name).is_ok(),
+            OperatorOrder::Uncordon(_) => self.registry.uncordon(cache).is_ok(),
+            OperatorOrder::Known(_) => {
                 return if self.registry.is_known(cache) {
-                    Done::Yes
+                    OrderOutcome::Yes
                 } else {
-                    Done::Unknown
+                    OrderOutcome::Unknown
                 }
             }
-            Order::Use(_) => {
+            OperatorOrder::Use(_) => {
                 let sent = self.sent.get(&cache).copied().unwrap_or(0);
-                return Done::Use {
+                return OrderOutcome::Use {
                     open: self.pool.in_use(cache),
                     sent,
                 };
             }
-            Order::Hold(_) => {
+            OperatorOrder::Hold(_) => {
                 self.registry.hold(cache, name);
                 true
             }
-            Order::Release(_) => {
+            OperatorOrder::Release(_) => {
                 self.registry.release(cache);
                 true
             }
         };
         if !known {
-            return Done::Unknown;
+            return OrderOutcome::Unknown;
         }
         let on = self.registry.is_cordoned(cache);
         if on != before {
@@ -356,8 +356,10 @@
         }
         match order {
             // The member has them on record.
-            Order::Hold(_) | Order::Release(_) => return Done::Yes,
-            Order::Uncordon(_) if self.registry.is_held(cache) => return Done::Held,
+            OperatorOrder::Hold(_) | OperatorOrder::Release(_) => return OrderOutcome::Yes,
+            OperatorOrder::Uncordon(_) if self.registry.is_held(cache) => {
+                return OrderOutcome::Held
+            }
             _ => {}
         }
         // Written again at a repeated call too: the first may have failed.
@@ -365,10 +367,10 @@
             .record
             .write(self.registry.cordoned().map(|(_, name)| name))
         {
-            Ok(()) => Done::Yes,
+            Ok(()) => OrderOutcome::Yes,
             Err(problem) => {
                 warn!("cordons not recorded, and would be lost with this process: {problem}");
-                Done::NotRecorded
+                OrderOutcome::NotRecorded
             }
         }
     }
--- a/crates/stairfront-balancer/src/group.rs
+++ b/crates/stairfront-balancer/src/group.rs
@@ -2,7 +2,7 @@
 //! engine hears it as orders and inputs; nobody who serves waits for it.
 use std::rc::Rc;
 
-use stairfront_admin_api::{Done, Order, Word};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_membership_agent::{MembershipAgent, MembershipEvent};
 use tokio::sync::{mpsc, oneshot, Notify};
 
@@ -49,23 +49,23 @@
     /// worked on.
     async fn cordon(&self, host: &str, held: bool) -> Option<()> {
         let order = if held {
-            Order::Hold(host.to_string())
+            OperatorOrder::Hold(host.to_string())
         } else {
-            Order::Release(host.to_string())
+            OperatorOrder::Release(host.to_string())
         };
         let (done, is_done) = oneshot::channel();
         self.orders
             .send(Ordered {
                 order: order.clone(),
-                word: Word::Vouched,
+                word: OrderSource::Vouched,
                 done,
             })
             .await
             .ok()?;
-        let mut all = is_done.await.ok()? == Done::Yes;
+        let mut all = is_done.await.ok()? == OrderOutcome::Yes;
         for link in &self.links {
-            if let Some(answer) = link.relay(&order, Word::Vouched).await {
-                all &= answer == Ok(Done::Yes);
+            if let Some(answer) = link.relay(&order, OrderSource::Vouched).await {
+                all &= answer == Ok(OrderOutcome::Yes);
             }
         }
         // Otherwise it stays unconfirmed, and its operator hears that.
--- a/crates/stairfront-balancer/src/handover.rs
+++ b/crates/stairfront-balancer/src/handover.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use stairfront_admin_api::{Done, Order, Word};
-use stairfront_handover::{Message, Parts, LARGEST_PART};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
+use stairfront_handover::{Message, StateAssembler, MAX_PART_BYTES};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tracing::{debug, info, warn};
 
@@ -31,7 +31,7 @@
 /// Pause after a handover listener that could not be opened or heard.
 const PAUSE: Duration = Duration::from_millis(500);
 /// Most bytes read ahead on a connection that can be handed over.
-pub const MOST_UNREAD: usize = LARGEST_PART;
+pub const MOST_UNREAD: usize = MAX_PART_BYTES;
 /// Connections handed over that wait for their task.
 pub const MOST_HANDED: usize = 64;
 
@@ -102,7 +102,7 @@
         return Err(odd("it listens at another address"));
     }
     listener.set_nonblocking(true)?;
-    let mut parts = Parts::default();
+    let mut parts = StateAssembler::default();
     let state = loop {
         match socket.receive().await? {
             Some((Message::Knowledge { part, last }, _)) => {
@@ -133,7 +133,7 @@
 pub struct Link {
     socket: RefCell<Option<Rc<HandoverSocket>>>,
     /// Orders that the other process has not answered, by number.
-    waiting: RefCell<FxHashMap<u32, oneshot::Sender<Done>>>,
+    waiting: RefCell<FxHashMap<u32, oneshot::Sender<OrderOutcome>>>,
     next: Cell<u32>,
 }
 
@@ -148,7 +148,11 @@
 
     /// Has the other process carry an order out too; none where there is no other. One that does not answer in time has
     /// not done it as far as anyone knows.
-    pub async fn relay(&self, order: &Order, word: Word) -> Option<Result<Done, ()>> {
+    pub async fn relay(
+        &self,
+        order: &OperatorOrder,
+        word: OrderSource,
+    ) -> Option<Result<OrderOutcome, ()>> {
         let socket = self.socket()?;
         let number = self.next.replace(self.next.get().wrapping_add(1));
         let (done, is_done) = oneshot::channel();
@@ -364,7 +368,7 @@
                 Some(self.listener.as_fd()),
             )
             .await?;
-        for message in Parts::of(&state) {
+        for message in StateAssembler::of(&state) {
             socket.send(&message, None).await?;
         }
         Ok(())
--- a/crates/stairfront-balancer/src/handover_socket.rs
+++ b/crates/stairfront-balancer/src/handover_socket.rs
@@ -9,7 +9,7 @@
     SendAncillaryMessage, SendFlags,
 };
 use socket2::{Domain, SockAddr, Socket, Type};
-use stairfront_handover::{Message, LARGEST_PACKET};
+use stairfront_handover::{Message, MAX_PACKET_BYTES};
 use tokio::io::Interest;
 use tokio::net::{UnixListener, UnixStream};
 use xxhash_rust::xxh3::xxh3_64;
@@ -66,7 +66,7 @@
 
     /// The next message and what came beside it; none at the other side's end.
     pub async fn receive(&self) -> io::Result<Option<(Message, Option<OwnedFd>)>> {
-        let mut packet = vec![0; LARGEST_PACKET];
+        let mut packet = vec![0; MAX_PACKET_BYTES];
         let receive = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/crates/stairfront-balancer/src/handover_state.rs
+++ b/crates/stairfront-balancer/src/handover_state.rs
@@ -1,11 +1,11 @@
 //! What one process of a balancer leaves to the one that takes over from it.
 use serde::{Deserialize, Serialize};
-use stairfront_policy::interface::Knowledge;
+use stairfront_policy::interface::PolicySnapshot;
 
 /// What one process leaves to the next.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct HandoverState {
-    pub knowledge: Knowledge,
+    pub knowledge: PolicySnapshot,
     /// Numbers of all cache hosts that were ever listed: operators may name them still.
     pub listed: Vec<u64>,
 }
--- a/crates/stairfront-balancer/src/heartbeat.rs
+++ b/crates/stairfront-balancer/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stairfront_overload::{Door, DoorSettings};
+use stairfront_overload::{AdmissionController, AdmissionSettings};
 use stairfront_policy::interface::{Micros, Settings, MS};
 use tracing::info;
 
@@ -22,22 +22,22 @@
 const TOLD_BELOW: f64 = 0.9;
 
 /// The door of a balancer with these settings.
-pub fn door(set: &Settings, clock: Clock, seed: u64) -> Rc<RefCell<Door>> {
-    Rc::new(RefCell::new(Door::new(
+pub fn door(set: &Settings, clock: Clock, seed: u64) -> Rc<RefCell<AdmissionController>> {
+    Rc::new(RefCell::new(AdmissionController::new(
         clock.now(),
         door_settings(set, seed),
     )))
 }
 
 /// What the settings say to the door; a door that is there keeps its seed.
-pub fn door_settings(set: &Settings, seed: u64) -> DoorSettings {
+pub fn door_settings(set: &Settings, seed: u64) -> AdmissionSettings {
     let aim = set
         .classes
         .iter()
         .map(|class| class.latency_objective)
         .min()
         .unwrap_or(MOST_TARGET * AIM_PART);
-    DoorSettings {
+    AdmissionSettings {
         target: (aim / AIM_PART).clamp(LEAST_TARGET, MOST_TARGET),
         quotas: set
             .tenants
@@ -58,7 +58,7 @@
 #[derive(Clone)]
 pub struct Vitals {
     pub clock: Clock,
-    pub door: Rc<RefCell<Door>>,
+    pub door: Rc<RefCell<AdmissionController>>,
     pub counters: Rc<Counters>,
 }
 
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -6,9 +6,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
-use stairfront_admin_api::{Done, Order, Word};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_maintenance::{
-    Balancer, Command, Fleet, Host, Maintenance, Outcome, Plan, Seen, Stage, View, Waits, What,
+    Balancer, BlockedMachine, Command, CommandKind, Fleet, Host, LeaderObservation, Maintenance,
+    Outcome, Plan, Stage, View,
 };
 use stairfront_membership_agent::{MemberState, MembershipAgent};
 use stairfront_policy::interface::EndpointState;
@@ -88,7 +89,7 @@
         told: u64,
     },
     /// Why machines wait, by the one who leads.
-    Waits(Vec<Waits>),
+    Waits(Vec<BlockedMachine>),
 }
 
 /// What is shown to operators.
@@ -99,7 +100,7 @@
     #[serde(flatten)]
     pub view: View,
     /// By the one who leads; empty where it has said nothing lately.
-    pub waits: Vec<Waits>,
+    pub waits: Vec<BlockedMachine>,
 }
 
 /// An operator's command, once it is settled.
@@ -168,7 +169,7 @@
 pub struct Keeper {
     of: Parts,
     leading: RefCell<Leading>,
-    waits: RefCell<Option<(Instant, Vec<Waits>)>>,
+    waits: RefCell<Option<(Instant, Vec<BlockedMachine>)>>,
     told: RefCell<Option<Stage>>,
 }
 
@@ -236,7 +237,7 @@
                 }
                 Some(stage) => info!(
                     "maintenance: a plan has this balancer's turn: {}",
-                    stage.word()
+                    stage.as_str()
                 ),
                 None => info!("maintenance: this balancer's turn is over"),
             }
@@ -279,25 +280,25 @@
 
     /// Attempts that are open at a host, and all sent there.
     async fn used(&self, host: &str) -> Option<(u64, u64)> {
-        let order = Order::Use(host.to_string());
+        let order = OperatorOrder::Use(host.to_string());
         let (done, is_done) = oneshot::channel();
         self.of
             .orders
             .send(Ordered {
                 order: order.clone(),
-                word: Word::Operators,
+                word: OrderSource::Operators,
                 done,
             })
             .await
             .ok()?;
         let mut all = is_done.await.ok()?;
         for link in &self.of.links {
-            if let Some(answer) = link.relay(&order, Word::Operators).await {
-                all = all.and(answer.ok()?);
+            if let Some(answer) = link.relay(&order, OrderSource::Operators).await {
+                all = all.combine(answer.ok()?);
             }
         }
         match all {
-            Done::Use { open, sent } => Some((open, sent)),
+            OrderOutcome::Use { open, sent } => Some((open, sent)),
             _ => None,
         }
     }
@@ -317,7 +318,7 @@
             return;
         };
         self.ask(&mut seen);
-        let (due, waits) = self.of.voters.machine().0.lead(&seen);
+        let (due, waits) = self.of.voters.machine().0.next_commands(&seen);
         if self.of.voters.leader_term() != Some(term) {
             return;
         }
@@ -338,11 +339,11 @@
         self.of.members.roster().into_iter()
     }
 
-    fn propose(&self, term: u64, what: What) {
+    fn propose(&self, term: u64, what: CommandKind) {
         let now = Instant::now();
         let mut leading = self.leading.borrow_mut();
         match &what {
-            What::Fleet(_) => {
+            CommandKind::Fleet(_) => {
                 if leading.facts.is_some_and(|at| now - at < FACTS_EVERY) {
                     return;
                 }
@@ -366,7 +367,7 @@
             .propose(command.id, command.write(), STEP_LIMIT);
     }
 
-    fn command(&self, author: &str, what: What) -> Command {
+    fn command(&self, author: &str, what: CommandKind) -> Command {
         let at_ms = unix_ms();
         let (via, author) = (self.of.me.clone(), author.to_string());
         Command {
@@ -380,7 +381,7 @@
     }
 
     /// The fleet as this balancer sees it, and what has come back into use.
-    async fn see(&self) -> Option<Seen> {
+    async fn see(&self) -> Option<LeaderObservation> {
         let (to, hosts) = oneshot::channel();
         self.of.inbox.send(Input::Hosts(to)).await.ok()?;
         let listed = hosts.await.ok()?;
@@ -427,12 +428,12 @@
             balancers,
             trouble,
         };
-        Some(Seen {
+        Some(LeaderObservation {
             fleet,
             me: self.of.me.clone(),
             now_ms: unix_ms(),
             warm,
-            ..Seen::default()
+            ..LeaderObservation::default()
         })
     }
 
@@ -511,7 +512,7 @@
     }
 
     /// Has members confirm what is held, and say when nothing is open there any more.
-    fn ask(&self, seen: &mut Seen) {
+    fn ask(&self, seen: &mut LeaderObservation) {
         let (told, held) = {
             let machine = self.of.voters.machine();
             let caches = |stage| machine.0.held_at(stage).collect::<Vec<_>>();
@@ -617,7 +618,7 @@
     }
 
     /// Brings an operator's command to the one who leads, and waits until it is settled.
-    pub async fn command_of(&self, author: &str, what: What) -> Result<Settled, Problem> {
+    pub async fn command_of(&self, author: &str, what: CommandKind) -> Result<Settled, Problem> {
         let command = self.command(author, what);
         let id = command.id;
         let settled = self
--- a/crates/stairfront-balancer/src/operators.rs
+++ b/crates/stairfront-balancer/src/operators.rs
@@ -8,11 +8,14 @@
 
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use stairfront_admin_api::{Act, Call, CallFault, Done, Order, Scope, Verb, Word};
+use stairfront_admin_api::{
+    AdminRequest, AdminRequestError, CordonScope, OperatorOrder, OrderOutcome, OrderSource,
+    PlanAction, PlanVerb,
+};
 use stairfront_codec::budget::Budget;
 use stairfront_codec::http::HttpError;
 use stairfront_codec::http_server::{HttpServerCodec, Received, Reply};
-use stairfront_maintenance::{Plan, What};
+use stairfront_maintenance::{CommandKind, Plan};
 use stairfront_membership_agent::{CordonOrder as GroupOrder, MembershipAgent};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
@@ -120,20 +123,20 @@
 }
 
 async fn answer(received: &Received, desk: &Desk) -> Reply {
-    match Call::read(&received.method, &received.target) {
-        Ok(Call::Health) if *desk.ready.borrow() => yes("serves\n"),
-        Ok(Call::Health) => no(503, "Service Unavailable", "no list of servers yet"),
-        Ok(Call::Members) => match &desk.members {
+    match AdminRequest::read(&received.method, &received.target) {
+        Ok(AdminRequest::Health) if *desk.ready.borrow() => yes("serves\n"),
+        Ok(AdminRequest::Health) => no(503, "Service Unavailable", "no list of servers yet"),
+        Ok(AdminRequest::Members) => match &desk.members {
             Some(members) => json(200, "OK", &members.report()),
             None => no(404, "Not Found", NO_GROUP),
         },
-        Ok(Call::Maintenance) => match &desk.keeper {
+        Ok(AdminRequest::Maintenance) => match &desk.keeper {
             Some(keeper) => json(200, "OK", &keeper.shown()),
             None => no(404, "Not Found", NO_AGREEMENT),
         },
-        Ok(Call::Plan { dry_run }) => plan(&received.body, dry_run, desk).await,
-        Ok(Call::Act(act)) => {
-            let Act {
+        Ok(AdminRequest::Plan { dry_run }) => plan(&received.body, dry_run, desk).await,
+        Ok(AdminRequest::Act(act)) => {
+            let PlanAction {
                 verb,
                 plan,
                 machine,
@@ -142,12 +145,12 @@
                 author,
             } = act;
             let what = match verb {
-                Verb::Hold => What::Hold { plan, why },
-                Verb::Resume => What::Resume { plan },
-                Verb::Skip => What::Skip { plan, machine },
-                Verb::Drop => What::Drop { plan },
-                Verb::Done => What::Done { plan, machine },
-                Verb::Force => What::Force {
+                PlanVerb::Hold => CommandKind::Hold { plan, why },
+                PlanVerb::Resume => CommandKind::Resume { plan },
+                PlanVerb::Skip => CommandKind::Skip { plan, machine },
+                PlanVerb::Drop => CommandKind::Drop { plan },
+                PlanVerb::Done => CommandKind::Done { plan, machine },
+                PlanVerb::Force => CommandKind::Force {
                     plan,
                     machine,
                     member,
@@ -155,12 +158,18 @@
             };
             command(&author, what, desk).await
         }
-        Ok(Call::Cordon(name, Scope::Own)) => order(Order::Cordon(name), desk).await,
-        Ok(Call::Uncordon(name, Scope::Own)) => order(Order::Uncordon(name), desk).await,
-        Ok(Call::Cordon(name, Scope::Group)) => group_order(name, true, desk).await,
-        Ok(Call::Uncordon(name, Scope::Group)) => group_order(name, false, desk).await,
-        Err(fault @ CallFault::Unknown) => no(404, "Not Found", &fault.to_string()),
-        Err(fault @ CallFault::Method(allowed)) => {
+        Ok(AdminRequest::Cordon(name, CordonScope::Own)) => {
+            order(OperatorOrder::Cordon(name), desk).await
+        }
+        Ok(AdminRequest::Uncordon(name, CordonScope::Own)) => {
+            order(OperatorOrder::Uncordon(name), desk).await
+        }
+        Ok(AdminRequest::Cordon(name, CordonScope::Group)) => group_order(name, true, desk).await,
+        Ok(AdminRequest::Uncordon(name, CordonScope::Group)) => {
+            group_order(name, false, desk).await
+        }
+        Err(fault @ AdminRequestError::Unknown) => no(404, "Not Found", &fault.to_string()),
+        Err(fault @ AdminRequestError::Method(allowed)) => {
             let mut reply = no(405, "Method Not Allowed", &fault.to_string());
             reply.headers.push(("Allow", allowed.to_string()));
             reply
@@ -189,11 +198,11 @@
         Err(Problem::Refused(fault)) => no(409, "Conflict", &fault),
         Err(Problem::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
         Ok(would) if dry_run => json(200, "OK", &would),
-        Ok(_) => command(&plan.author.clone(), What::Post(plan), desk).await,
+        Ok(_) => command(&plan.author.clone(), CommandKind::Post(plan), desk).await,
     }
 }
 
-async fn command(author: &str, what: What, desk: &Desk) -> Reply {
+async fn command(author: &str, what: CommandKind, desk: &Desk) -> Reply {
     let Some(keeper) = &desk.keeper else {
         return no(404, "Not Found", NO_AGREEMENT);
     };
@@ -221,28 +230,30 @@
 }
 
 /// Danger: a yes before the engine has it would have operators restart a cache host that still gets requests.
-async fn order(order: Order, desk: &Desk) -> Reply {
+async fn order(order: OperatorOrder, desk: &Desk) -> Reply {
     match timeout(ORDER_LIMIT, everywhere(&order, desk))
         .await
         .ok()
         .flatten()
     {
-        Some(Done::Yes) => {
+        Some(OrderOutcome::Yes) => {
             info!("operators: {order:?}: yes");
             yes("done\n")
         }
-        Some(Done::Unknown) => no(
+        Some(OrderOutcome::Unknown) => no(
             404,
             "Not Found",
             "no cache host of this name was ever listed",
         ),
-        Some(Done::Use { .. }) => no(500, "Internal Server Error", "not an answer to this call"),
-        Some(Done::Held) => no(
+        Some(OrderOutcome::Use { .. }) => {
+            no(500, "Internal Server Error", "not an answer to this call")
+        }
+        Some(OrderOutcome::Held) => no(
             409,
             "Conflict",
             "the group holds it out; lift that with ?scope=group",
         ),
-        Some(Done::NotRecorded) => no(
+        Some(OrderOutcome::NotRecorded) => no(
             500,
             "Internal Server Error",
             "it holds here, but is not on record",
@@ -269,11 +280,15 @@
     if !members.holds(&host) {
         match timeout(
             ORDER_LIMIT,
-            here(Order::Known(host.clone()), Word::Operators, desk),
+            here(
+                OperatorOrder::Known(host.clone()),
+                OrderSource::Operators,
+                desk,
+            ),
         )
         .await
         {
-            Ok(Some(Done::Yes)) => {}
+            Ok(Some(OrderOutcome::Yes)) => {}
             Ok(Some(_)) => {
                 return no(
                     404,
@@ -310,27 +325,27 @@
 }
 
 /// Has this process and, during an upgrade, the other one carry an order out; none if one of them does not answer.
-async fn everywhere(order: &Order, desk: &Desk) -> Option<Done> {
-    let own = here(order.clone(), Word::Operators, desk).await?;
-    let word = if own == Done::Unknown {
-        Word::Operators
+async fn everywhere(order: &OperatorOrder, desk: &Desk) -> Option<OrderOutcome> {
+    let own = here(order.clone(), OrderSource::Operators, desk).await?;
+    let word = if own == OrderOutcome::Unknown {
+        OrderSource::Operators
     } else {
-        Word::Vouched
+        OrderSource::Vouched
     };
     let mut all = own;
     for link in &desk.links {
         if let Some(answer) = link.relay(order, word).await {
-            all = all.and(answer.ok()?);
+            all = all.combine(answer.ok()?);
         }
     }
     // The other one knows the name.
-    if own == Done::Unknown && all != Done::Unknown {
-        here(order.clone(), Word::Vouched, desk).await?;
+    if own == OrderOutcome::Unknown && all != OrderOutcome::Unknown {
+        here(order.clone(), OrderSource::Vouched, desk).await?;
     }
     Some(all)
 }
 
-async fn here(order: Order, word: Word, desk: &Desk) -> Option<Done> {
+async fn here(order: OperatorOrder, word: OrderSource, desk: &Desk) -> Option<OrderOutcome> {
     let (done, is_done) = oneshot::channel();
     desk.orders.send(Ordered { order, word, done }).await.ok()?;
     is_done.await.ok()
--- a/crates/stairfront-balancer/src/orders.rs
+++ b/crates/stairfront-balancer/src/orders.rs
@@ -1,12 +1,12 @@
 //! Operators' orders on their way from the door to the engine.
-use stairfront_admin_api::{Done, Order, Word};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use tokio::sync::oneshot;
 
 /// Orders that may wait for the engine, which hears them before anything else.
 pub const MOST_WAITING: usize = 16;
 
 pub struct Ordered {
-    pub order: Order,
-    pub word: Word,
-    pub done: oneshot::Sender<Done>,
+    pub order: OperatorOrder,
+    pub word: OrderSource,
+    pub done: oneshot::Sender<OrderOutcome>,
 }
--- a/crates/stairfront-balancer/src/stages/route.rs
+++ b/crates/stairfront-balancer/src/stages/route.rs
@@ -1,7 +1,7 @@
 //! Third stage: the decision module is told and asked.
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use stairfront_policy::interface::{Action, Event, Knowledge, Micros};
+use stairfront_policy::interface::{Action, Event, Micros, PolicySnapshot};
 use stairfront_policy::Policy;
 use tracing::error;
 
@@ -9,8 +9,8 @@
 pub trait Decide: 'static {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
     /// What a process that takes over from this one should know; nothing by default.
-    fn knowledge(&self, _now: Micros) -> Knowledge {
-        Knowledge::default()
+    fn knowledge(&self, _now: Micros) -> PolicySnapshot {
+        PolicySnapshot::default()
     }
 }
 
@@ -19,7 +19,7 @@
         Policy::handle(self, now, event, actions);
     }
 
-    fn knowledge(&self, now: Micros) -> Knowledge {
+    fn knowledge(&self, now: Micros) -> PolicySnapshot {
         Policy::knowledge(self, now)
     }
 }
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use stairfront_membership_agent::MembershipAgent;
-use stairfront_overload::{Arrival, Door, Verdict};
+use stairfront_overload::{AdmissionController, AdmissionDecision, Arrival};
 use stairfront_policy::interface::{ClassId, Key, Micros, Request, RequestId, TenantId, MS};
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
@@ -32,7 +32,7 @@
     pub clock: Clock,
     pub counters: Rc<Counters>,
     /// Says what is taken while this balancer itself is behind.
-    pub door: Rc<RefCell<Door>>,
+    pub door: Rc<RefCell<AdmissionController>>,
     /// There is a list of servers to serve from.
     pub ready: watch::Receiver<bool>,
     /// The others of this balancer's group, where there is one.
@@ -137,8 +137,8 @@
         retry,
     };
     match intake.door.borrow_mut().ask(arrival) {
-        Verdict::Take => Ok(()),
-        Verdict::Refuse { after_ms } => Err(Turned::Shed { after_ms }),
+        AdmissionDecision::Take => Ok(()),
+        AdmissionDecision::Refuse { after_ms } => Err(Turned::Shed { after_ms }),
     }
 }
 
--- a/crates/stairfront-handover/src/lib.rs
+++ b/crates/stairfront-handover/src/lib.rs
@@ -6,5 +6,5 @@
 mod message;
 mod parts;
 
-pub use message::{Message, PacketFault, LARGEST_PACKET, LARGEST_PART};
-pub use parts::{Parts, PartsFault, LARGEST_KNOWLEDGE};
+pub use message::{Message, PacketError, MAX_PACKET_BYTES, MAX_PART_BYTES};
+pub use parts::{PartsError, StateAssembler, MAX_STATE_BYTES};
--- a/crates/stairfront-handover/src/message.rs
+++ b/crates/stairfront-handover/src/message.rs
@@ -1,13 +1,13 @@
 //! One message to a packet: a byte that says which, then its fields as JSON, or bytes as they are.
 use serde::{Deserialize, Serialize};
-use stairfront_admin_api::{Done, Order, Word};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 
 /// Raised when old and new would misunderstand each other; the new one then starts as if there were no old one.
 const VERSION: u32 = 1;
 /// Largest part of a knowledge, or of what a connection had brought unread.
-pub const LARGEST_PART: usize = 32 * 1024;
+pub const MAX_PART_BYTES: usize = 32 * 1024;
 /// No packet is larger; well below what a local socket takes in one piece.
-pub const LARGEST_PACKET: usize = LARGEST_PART + 64;
+pub const MAX_PACKET_BYTES: usize = MAX_PART_BYTES + 64;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
@@ -35,17 +35,17 @@
     /// What operators have asked of one process; the other one carries it out too and says what became of it.
     Order {
         number: u32,
-        order: Order,
-        word: Word,
+        order: OperatorOrder,
+        word: OrderSource,
     },
     Done {
         number: u32,
-        done: Done,
+        done: OrderOutcome,
     },
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum PacketFault {
+pub enum PacketError {
     #[error("an empty packet")]
     Empty,
     #[error("unknown message {0}")]
@@ -84,11 +84,11 @@
     version: u32,
 }
 
-fn known_version(text: &[u8]) -> Result<(), PacketFault> {
+fn known_version(text: &[u8]) -> Result<(), PacketError> {
     let Versioned { version } = serde_json::from_slice(text)?;
     (version == VERSION)
         .then_some(())
-        .ok_or(PacketFault::Version(version))
+        .ok_or(PacketError::Version(version))
 }
 
 impl Message {
@@ -123,8 +123,8 @@
         packet
     }
 
-    pub fn decode(packet: &[u8]) -> Result<Message, PacketFault> {
-        let (kind, body) = packet.split_first().ok_or(PacketFault::Empty)?;
+    pub fn decode(packet: &[u8]) -> Result<Message, PacketError> {
+        let (kind, body) = packet.split_first().ok_or(PacketError::Empty)?;
         Ok(match *kind {
             HELLO => {
                 known_version(body)?;
@@ -166,7 +166,7 @@
                 let (number, done) = serde_json::from_slice(body)?;
                 Message::Done { number, done }
             }
-            other => return Err(PacketFault::Unknown(other)),
+            other => return Err(PacketError::Unknown(other)),
         })
     }
 }
--- a/crates/stairfront-handover/tests/messages.rs
+++ b/crates/stairfront-handover/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Packets between two processes that may not be of one version.
-use stairfront_admin_api::{Done, Order, Word};
+use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_handover::{
-    Message, PacketFault, Parts, LARGEST_KNOWLEDGE, LARGEST_PACKET, LARGEST_PART,
+    Message, PacketError, StateAssembler, MAX_PACKET_BYTES, MAX_PART_BYTES, MAX_STATE_BYTES,
 };
 
 #[test]
@@ -28,26 +28,26 @@
         },
         Message::Connection {
             used: false,
-            unread: vec![7; LARGEST_PART],
+            unread: vec![7; MAX_PART_BYTES],
         },
         Message::Order {
             number: 9,
-            order: Order::Cordon("s-1".into()),
-            word: Word::Vouched,
+            order: OperatorOrder::Cordon("s-1".into()),
+            word: OrderSource::Vouched,
         },
         Message::Order {
             number: u32::MAX,
-            order: Order::Uncordon("s \"2\"".into()),
-            word: Word::Operators,
+            order: OperatorOrder::Uncordon("s \"2\"".into()),
+            word: OrderSource::Operators,
         },
         Message::Done {
             number: 9,
-            done: Done::Unknown,
+            done: OrderOutcome::Unknown,
         },
     ];
     for message in messages {
         let packet = message.encode();
-        assert!(packet.len() <= LARGEST_PACKET);
+        assert!(packet.len() <= MAX_PACKET_BYTES);
         assert_eq!(Message::decode(&packet).unwrap(), message);
     }
 }
@@ -57,7 +57,7 @@
     let later = br#"H{"version":2,"name":"n3","more":[1]}"#;
     assert!(matches!(
         Message::decode(later),
-        Err(PacketFault::Version(2))
+        Err(PacketError::Version(2))
     ));
     for rubbish in [
         &b""[..],
@@ -74,10 +74,10 @@
 
 #[test]
 fn a_knowledge_comes_whole_or_not_and_never_over_its_bound() {
-    for length in [0, 1, LARGEST_PART, LARGEST_PART + 1, 3 * LARGEST_PART] {
+    for length in [0, 1, MAX_PART_BYTES, MAX_PART_BYTES + 1, 3 * MAX_PART_BYTES] {
         let knowledge: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
-        let (mut parts, mut whole) = (Parts::default(), None);
-        for message in Parts::of(&knowledge) {
+        let (mut parts, mut whole) = (StateAssembler::default(), None);
+        for message in StateAssembler::of(&knowledge) {
             assert_eq!(whole, None, "nothing comes behind the last part");
             let Message::Knowledge { part, last } = message else {
                 panic!("{message:?}")
@@ -86,9 +86,9 @@
         }
         assert_eq!(whole, Some(knowledge));
     }
-    let mut parts = Parts::default();
-    let full = vec![0; LARGEST_PART];
-    let refused = (0..=LARGEST_KNOWLEDGE / LARGEST_PART)
+    let mut parts = StateAssembler::default();
+    let full = vec![0; MAX_PART_BYTES];
+    let refused = (0..=MAX_STATE_BYTES / MAX_PART_BYTES)
         .map(|_| parts.take(&full, false))
         .filter(Result::is_err);
     assert_eq!(refused.count(), 1);
--- a/crates/stairfront-maintenance/src/lead.rs
+++ b/crates/stairfront-maintenance/src/lead.rs
@@ -5,11 +5,11 @@
 
 use crate::fleet::Fleet;
 use crate::plan::{DoneBy, Machine};
-use crate::state::{Maintenance, Stage, What};
+use crate::state::{CommandKind, Maintenance, Stage};
 
 /// What the one who leads has seen, by cache host where it is of one.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct LeaderObservation {
     pub fleet: Fleet,
     /// Who it is, and its clock in ms since 1970: for what is said to people alone.
     pub me: String,
@@ -24,7 +24,7 @@
 
 /// Why a machine does not go on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Waits {
+pub struct BlockedMachine {
     pub plan: u64,
     pub machine: String,
     pub why: String,
@@ -33,9 +33,12 @@
 impl Maintenance {
     /// The commands that are due, and why the rest waits. Facts go first; a step that rests on them follows once they are
     /// agreed.
-    pub fn lead(&self, seen: &Seen) -> (Vec<What>, Vec<Waits>) {
+    pub fn next_commands(
+        &self,
+        seen: &LeaderObservation,
+    ) -> (Vec<CommandKind>, Vec<BlockedMachine>) {
         if seen.fleet != *self.fleet() {
-            return (vec![What::Fleet(seen.fleet.clone())], Vec::new());
+            return (vec![CommandKind::Fleet(seen.fleet.clone())], Vec::new());
         }
         let (mut due, mut waits) = (Vec::new(), Vec::new());
         let mut told = false;
@@ -104,7 +107,7 @@
                     } else {
                         why
                     };
-                    waits.push(Waits {
+                    waits.push(BlockedMachine {
                         plan: row.plan,
                         machine: name,
                         why,
@@ -113,7 +116,7 @@
                 None => {
                     told |= to == Stage::Told;
                     let (plan, machine, entered) = (row.plan, row.machine.clone(), row.entered);
-                    due.push(What::Step {
+                    due.push(CommandKind::Step {
                         plan,
                         machine,
                         entered,
--- a/crates/stairfront-maintenance/src/lib.rs
+++ b/crates/stairfront-maintenance/src/lib.rs
@@ -11,6 +11,8 @@
 mod state;
 
 pub use fleet::{Balancer, Fleet, Host};
-pub use lead::{Seen, Waits};
-pub use plan::{DoneBy, Machine, Plan, PlanFault, Stay};
-pub use state::{Command, Held, Maintenance, Outcome, PlanView, Refusal, Stage, View, What};
+pub use lead::{BlockedMachine, LeaderObservation};
+pub use plan::{AvailabilityBudget, DoneBy, Machine, Plan, PlanError};
+pub use state::{
+    Command, CommandError, CommandKind, Held, Maintenance, Outcome, PlanView, Stage, View,
+};
--- a/crates/stairfront-maintenance/src/plan.rs
+++ b/crates/stairfront-maintenance/src/plan.rs
@@ -37,15 +37,15 @@
 /// The part that must stay in service, of the hosts that are listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Stay {
+pub struct AvailabilityBudget {
     pub zone: f64,
     pub whole: f64,
 }
 
-impl Default for Stay {
+impl Default for AvailabilityBudget {
     /// What is left carries a half more at most, and no zone serves from another by plan.
     fn default() -> Self {
-        Stay {
+        AvailabilityBudget {
             zone: 0.5,
             whole: 0.66,
         }
@@ -67,7 +67,7 @@
     #[serde(default = "one")]
     pub at_once: u32,
     #[serde(default)]
-    pub stay: Stay,
+    pub stay: AvailabilityBudget,
     #[serde(default)]
     pub done: DoneBy,
     /// After these a step is called late, and whoever watches is told; nothing is skipped for it.
@@ -97,13 +97,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{key}: {problem}")]
-pub struct PlanFault {
+pub struct PlanError {
     pub key: String,
     pub problem: String,
 }
 
-fn fault(key: &str, problem: impl Into<String>) -> PlanFault {
-    PlanFault {
+fn fault(key: &str, problem: impl Into<String>) -> PlanError {
+    PlanError {
         key: key.to_string(),
         problem: problem.into(),
     }
@@ -116,7 +116,7 @@
 
 impl Plan {
     /// The machines that it names, each once; the first fault otherwise.
-    pub fn machines(&self, fleet: &Fleet) -> Result<Vec<Machine>, PlanFault> {
+    pub fn machines(&self, fleet: &Fleet) -> Result<Vec<Machine>, PlanError> {
         let mut found: Vec<Machine> = Vec::new();
         let mut add = |machine: Machine| {
             if !found.contains(&machine) {
@@ -176,7 +176,7 @@
     }
 
     /// The machines, if nothing is wrong with the whole of it.
-    pub fn check(&self, fleet: &Fleet) -> Result<Vec<Machine>, PlanFault> {
+    pub fn check(&self, fleet: &Fleet) -> Result<Vec<Machine>, PlanError> {
         let machines = self.machines(fleet)?;
         if machines.is_empty() {
             return Err(fault(
--- a/crates/stairfront-maintenance/src/state.rs
+++ b/crates/stairfront-maintenance/src/state.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::Fleet;
 use crate::order::{forbids, order, Out};
-use crate::plan::{DoneBy, Machine, Plan, PlanFault};
+use crate::plan::{DoneBy, Machine, Plan, PlanError};
 
 /// Plans that are not over.
 const MOST_PLANS: usize = 16;
@@ -32,7 +32,7 @@
 }
 
 impl Stage {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Stage::Waiting => "waiting",
             Stage::Told => "told",
@@ -60,7 +60,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum CommandKind {
     /// What the one who leads sees.
     Fleet(Fleet),
     /// A step that the one who leads has seen to be due. `entered` names the step that it follows, `by` who has said that
@@ -110,7 +110,7 @@
     /// The member that brought it.
     pub via: String,
     pub author: String,
-    pub what: What,
+    pub what: CommandKind,
 }
 
 impl Command {
@@ -121,9 +121,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum CommandError {
     #[error("{0}")]
-    Plan(PlanFault),
+    Plan(PlanError),
     #[error("plan {0} is not there, or over")]
     NoPlan(u64),
     #[error("plan {plan} does not name {machine:?}, or it is over there")]
@@ -146,7 +146,7 @@
 pub struct Outcome {
     pub index: u64,
     pub term: u64,
-    pub result: Result<u64, Refusal>,
+    pub result: Result<u64, CommandError>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -180,7 +180,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct HistoryEntry {
     pub index: u64,
     pub term: u64,
     pub at_ms: u64,
@@ -221,14 +221,14 @@
     /// Why nothing further is taken out, if so.
     pub trouble: Option<String>,
     pub plans: Vec<PlanView>,
-    pub history: Vec<Line>,
+    pub history: Vec<HistoryEntry>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Maintenance {
     fleet: Fleet,
     plans: Vec<Entry>,
-    history: VecDeque<Line>,
+    history: VecDeque<HistoryEntry>,
     seen: VecDeque<(u64, Outcome)>,
     /// Commands that could not be read: by a newer program.
     pub unread: u64,
@@ -280,7 +280,7 @@
             .map(|(_, outcome)| outcome)
     }
 
-    fn carry_out(&mut self, index: u64, term: u64, command: Command) -> Result<u64, Refusal> {
+    fn carry_out(&mut self, index: u64, term: u64, command: Command) -> Result<u64, CommandError> {
         let Command {
             at_ms,
             term: given,
@@ -289,25 +289,25 @@
             what,
             ..
         } = command;
-        let bound = matches!(what, What::Fleet(_) | What::Step { .. });
+        let bound = matches!(what, CommandKind::Fleet(_) | CommandKind::Step { .. });
         if bound && given != term {
-            return Err(Refusal::OldTerm { given, now: term });
+            return Err(CommandError::OldTerm { given, now: term });
         }
         let text = match what {
-            What::Fleet(fleet) => return Ok(self.take_facts(index, fleet)),
-            What::Step {
+            CommandKind::Fleet(fleet) => return Ok(self.take_facts(index, fleet)),
+            CommandKind::Step {
                 plan,
                 machine,
                 entered,
                 to,
                 by,
             } => self.step(index, at_ms, (plan, &machine), entered, to, &by)?,
-            What::Post(plan) => {
+            CommandKind::Post(plan) => {
                 let open = self.plans.iter().filter(|plan| !plan.is_over()).count();
                 if open >= MOST_PLANS {
-                    return Err(Refusal::TooMany(open));
+                    return Err(CommandError::TooMany(open));
                 }
-                let machines = plan.check(&self.fleet).map_err(Refusal::Plan)?;
+                let machines = plan.check(&self.fleet).map_err(CommandError::Plan)?;
                 let text = format!(
                     "plan {index} posted: {}, {} machines",
                     plan.reason,
@@ -334,15 +334,15 @@
                 });
                 text
             }
-            What::Hold { plan, why } => {
+            CommandKind::Hold { plan, why } => {
                 self.plan(plan)?.held = Some(why.clone());
                 format!("plan {plan} is held: {why}")
             }
-            What::Resume { plan } => {
+            CommandKind::Resume { plan } => {
                 self.plan(plan)?.held = None;
                 format!("plan {plan} goes on")
             }
-            What::Drop { plan } => {
+            CommandKind::Drop { plan } => {
                 let of = self.plan(plan)?;
                 of.dropped = true;
                 for row in &mut of.rows {
@@ -360,46 +360,46 @@
                 }
                 format!("plan {plan} is dropped")
             }
-            What::Skip { plan, machine } => {
+            CommandKind::Skip { plan, machine } => {
                 let row = self.row(plan, &machine)?;
                 row.stage = match row.stage {
                     // In use again, whatever it gets.
                     Stage::Waiting | Stage::Warming => Stage::Skipped,
                     Stage::Told | Stage::Held => Stage::Warming,
                     at => {
-                        return Err(Refusal::Stage {
+                        return Err(CommandError::Stage {
                             machine,
-                            at: at.word().to_string(),
+                            at: at.as_str().to_string(),
                         })
                     }
                 };
                 (row.entered, row.since_ms) = (index, at_ms);
                 format!("plan {plan}: {machine} is passed over")
             }
-            What::Done { plan, machine } => {
+            CommandKind::Done { plan, machine } => {
                 let row = self.row(plan, &machine)?;
                 if row.stage != Stage::Out {
-                    return Err(Refusal::Stage {
+                    return Err(CommandError::Stage {
                         machine,
-                        at: row.stage.word().to_string(),
+                        at: row.stage.as_str().to_string(),
                     });
                 }
                 (row.stage, row.entered, row.since_ms) = (Stage::Warming, index, at_ms);
                 format!("plan {plan}: the work at {machine} is done")
             }
-            What::Force {
+            CommandKind::Force {
                 plan,
                 machine,
                 member,
             } => {
                 if self.fleet.balancer(&member).is_none() {
-                    return Err(Refusal::NoMember(member));
+                    return Err(CommandError::NoMember(member));
                 }
                 let row = self.row(plan, &machine)?;
                 if !matches!(row.stage, Stage::Told | Stage::Held) {
-                    return Err(Refusal::Stage {
+                    return Err(CommandError::Stage {
                         machine,
-                        at: row.stage.word().to_string(),
+                        at: row.stage.as_str().to_string(),
                     });
                 }
                 row.forced.insert(member.clone());
@@ -408,7 +408,7 @@
                 )
             }
         };
-        self.history.push_back(Line {
+        self.history.push_back(HistoryEntry {
             index,
             term,
             at_ms,
@@ -426,16 +426,16 @@
         index
     }
 
-    fn plan(&mut self, number: u64) -> Result<&mut Entry, Refusal> {
+    fn plan(&mut self, number: u64) -> Result<&mut Entry, CommandError> {
         let found = self
             .plans
             .iter_mut()
             .find(|plan| plan.number == number && !plan.is_over());
-        found.ok_or(Refusal::NoPlan(number))
+        found.ok_or(CommandError::NoPlan(number))
     }
 
-    fn row(&mut self, plan: u64, machine: &str) -> Result<&mut Row, Refusal> {
-        let missing = Refusal::NoMachine {
+    fn row(&mut self, plan: u64, machine: &str) -> Result<&mut Row, CommandError> {
+        let missing = CommandError::NoMachine {
             plan,
             machine: machine.to_string(),
         };
@@ -462,15 +462,15 @@
         entered: u64,
         to: Stage,
         by: &[String],
-    ) -> Result<String, Refusal> {
-        let changed = |why: String| Refusal::Changed(why);
+    ) -> Result<String, CommandError> {
+        let changed = |why: String| CommandError::Changed(why);
         let found = self
             .plans
             .iter()
             .find(|of| of.number == plan && !of.is_over());
-        let of = found.ok_or(Refusal::NoPlan(plan))?;
+        let of = found.ok_or(CommandError::NoPlan(plan))?;
         let row = of.rows.iter().find(|row| row.machine == *machine);
-        let row = row.ok_or_else(|| Refusal::NoMachine {
+        let row = row.ok_or_else(|| CommandError::NoMachine {
             plan,
             machine: machine.name().to_string(),
         })?;
@@ -479,7 +479,7 @@
             return Err(changed(format!(
                 "{} is {} since entry {}",
                 machine.name(),
-                row.stage.word(),
+                row.stage.as_str(),
                 row.entered
             )));
         }
@@ -521,14 +521,14 @@
                 return Err(changed(format!(
                     "{} is {}, not on its way to {}",
                     machine.name(),
-                    at.word(),
-                    to.word()
+                    at.as_str(),
+                    to.as_str()
                 )))
             }
         }
         let was = self.process_of(machine).unwrap_or(0);
         let Some(of) = self.plans.iter_mut().find(|of| of.number == plan) else {
-            return Err(Refusal::NoPlan(plan));
+            return Err(CommandError::NoPlan(plan));
         };
         if let Some(row) = of.rows.iter_mut().find(|row| row.machine == *machine) {
             (row.stage, row.entered, row.since_ms) = (to, index, at_ms);
@@ -539,7 +539,11 @@
                 row.was = was;
             }
         }
-        Ok(format!("plan {plan}: {} is {}", machine.name(), to.word()))
+        Ok(format!(
+            "plan {plan}: {} is {}",
+            machine.name(),
+            to.as_str()
+        ))
     }
 
     /// Which process it is, by the facts.
@@ -661,7 +665,7 @@
     }
 
     /// The machines that a plan would take out, in order, by the facts as they are.
-    pub fn dry_run(&self, plan: &Plan) -> Result<Vec<Machine>, PlanFault> {
+    pub fn dry_run(&self, plan: &Plan) -> Result<Vec<Machine>, PlanError> {
         let machines = plan.check(&self.fleet)?;
         Ok(order(
             &machines,
@@ -756,7 +760,7 @@
     pub fn count(&self) -> BTreeMap<&'static str, u64> {
         let mut count = BTreeMap::new();
         for row in self.plans.iter().flat_map(|plan| plan.rows.iter()) {
-            *count.entry(row.stage.word()).or_insert(0) += 1;
+            *count.entry(row.stage.as_str()).or_insert(0) += 1;
         }
         count
     }
--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -8,7 +8,8 @@
 
 use stairfront_emulator::dice::Dice;
 use stairfront_maintenance::{
-    Balancer, Command, DoneBy, Fleet, Host, Maintenance, Plan, Seen, Stage, Stay, What,
+    AvailabilityBudget, Balancer, Command, CommandKind, DoneBy, Fleet, Host, LeaderObservation,
+    Maintenance, Plan, Stage,
 };
 use stairfront_raft::cluster_manager::ClusterManager;
 use stairfront_raft::{
@@ -361,7 +362,7 @@
         }
     }
 
-    fn order(&mut self, at: usize, term: u64, what: What) {
+    fn order(&mut self, at: usize, term: u64, what: CommandKind) {
         self.ids += 1;
         // Clocks step as they like: nothing may be decided by them.
         let (via, author, at_ms) = (name(at), name(at), self.dice.below(1 << 41));
@@ -411,19 +412,19 @@
             .at(Stage::Warming)
             .map(|machine| machine.name().to_string())
             .collect();
-        let mut seen = Seen {
+        let mut seen = LeaderObservation {
             me: name(me),
             confirmed: list(&place.confirmed),
             quiet: list(&place.quiet),
             warm,
-            ..Seen::default()
+            ..LeaderObservation::default()
         };
         seen.fleet = self.fleet(me);
         let place = &mut self.places[me];
-        let (due, _) = place.machine.lead(&seen);
+        let (due, _) = place.machine.next_commands(&seen);
         place.proposed.retain(|_, at| self.now - *at < SECOND);
         // A step that was proposed is not proposed again within a second.
-        let due: Vec<What> = due
+        let due: Vec<CommandKind> = due
             .into_iter()
             .filter(|what| !place.proposed.contains_key(&format!("{what:?}")))
             .collect();
@@ -487,7 +488,7 @@
                     zones: Vec::new(),
                     kinds: vec![kind.to_string()],
                     at_once: if at == 0 { AT_ONCE } else { 1 },
-                    stay: Stay {
+                    stay: AvailabilityBudget {
                         zone: 0.5,
                         whole: 0.6,
                     },
@@ -499,7 +500,7 @@
                     reason: kind.to_string(),
                     author: "ann".to_string(),
                 };
-                self.order(of, 0, What::Post(plan));
+                self.order(of, 0, CommandKind::Post(plan));
             }
         }
         for plan in &shown.plans {
@@ -521,7 +522,7 @@
                         self.order(
                             of,
                             0,
-                            What::Done {
+                            CommandKind::Done {
                                 plan: plan.plan,
                                 machine: row.machine.clone(),
                             },
--- a/crates/stairfront-maintenance/tests/plans.rs
+++ b/crates/stairfront-maintenance/tests/plans.rs
@@ -4,7 +4,8 @@
 
 use stairfront_emulator::dice::Dice;
 use stairfront_maintenance::{
-    Balancer, Command, DoneBy, Fleet, Host, Machine, Maintenance, Plan, Seen, Stage, Stay, What,
+    AvailabilityBudget, Balancer, Command, CommandKind, DoneBy, Fleet, Host, LeaderObservation,
+    Machine, Maintenance, Plan, Stage,
 };
 
 fn fleet(hosts: usize, zones: usize, balancers: usize) -> Fleet {
@@ -36,7 +37,7 @@
         zones: Vec::new(),
         kinds: kinds.iter().map(|kind| kind.to_string()).collect(),
         at_once,
-        stay: Stay {
+        stay: AvailabilityBudget {
             zone: 0.5,
             whole: 0.6,
         },
@@ -70,7 +71,7 @@
     }
 
     /// Settles a command given in this term: the index, or why not.
-    fn settle_in(&mut self, given: u64, what: What) -> Result<u64, String> {
+    fn settle_in(&mut self, given: u64, what: CommandKind) -> Result<u64, String> {
         self.ids += 1;
         self.index += 1;
         let (via, author) = ("b0".to_string(), "ann".to_string());
@@ -95,7 +96,7 @@
             .map_err(|refusal| refusal.to_string())
     }
 
-    fn settle(&mut self, what: What) -> Result<u64, String> {
+    fn settle(&mut self, what: CommandKind) -> Result<u64, String> {
         self.settle_in(self.term, what)
     }
 }
@@ -180,7 +181,7 @@
         let mut world = fleet(12, 3, 5);
         let (mut log, mut observer) = (Log::new(), Observer::default());
         let mut plans = BTreeMap::new();
-        log.settle(What::Fleet(world.clone())).unwrap();
+        log.settle(CommandKind::Fleet(world.clone())).unwrap();
         for round in 0..400 {
             // The world turns, for a while.
             if round < 250 && dice.happens(0.05) {
@@ -219,7 +220,7 @@
                     },
                     ..plan(&[kinds], at_once)
                 };
-                if let Ok(number) = log.settle(What::Post(plan.clone())) {
+                if let Ok(number) = log.settle(CommandKind::Post(plan.clone())) {
                     plans.insert(number, plan);
                 }
             }
@@ -227,17 +228,17 @@
             if let Some(number) = plans.keys().nth(dice.below(4) as usize).copied() {
                 let machine = format!("c{:02}", dice.below(12));
                 let what = match dice.below(30) {
-                    0 if round < 200 => What::Hold {
+                    0 if round < 200 => CommandKind::Hold {
                         plan: number,
                         why: "lunch".to_string(),
                     },
-                    1 | 2 => What::Resume { plan: number },
-                    3 => What::Skip {
+                    1 | 2 => CommandKind::Resume { plan: number },
+                    3 => CommandKind::Skip {
                         plan: number,
                         machine,
                     },
-                    4 if round < 200 => What::Drop { plan: number },
-                    _ => What::Done {
+                    4 if round < 200 => CommandKind::Drop { plan: number },
+                    _ => CommandKind::Done {
                         plan: number,
                         machine,
                     },
@@ -251,7 +252,7 @@
                     .collect::<Vec<_>>()
                     .into_iter()
                     .for_each(|plan| {
-                        drop(log.settle(What::Resume { plan }));
+                        drop(log.settle(CommandKind::Resume { plan }));
                     });
             }
             // One who leads, seeing the world as it is, or as it was: a step of an old term does nothing.
@@ -261,10 +262,10 @@
                 .find(|one| one.leads)
                 .map(|one| one.name.clone())
                 .unwrap();
-            let mut seen = Seen {
+            let mut seen = LeaderObservation {
                 fleet: world.clone(),
                 me: leader.clone(),
-                ..Seen::default()
+                ..LeaderObservation::default()
             };
             let roster: Vec<String> = world
                 .balancers
@@ -305,7 +306,7 @@
                         if round >= 250 {
                             let of: Vec<u64> = plans.keys().copied().collect();
                             of.into_iter().for_each(|plan| {
-                                drop(log.settle(What::Done {
+                                drop(log.settle(CommandKind::Done {
                                     plan,
                                     machine: name.clone(),
                                 }))
@@ -314,7 +315,7 @@
                     }
                 }
             }
-            let (due, _) = log.state.lead(&seen);
+            let (due, _) = log.state.next_commands(&seen);
             if dice.happens(0.05) {
                 log.term += 1;
                 for what in due {
@@ -338,7 +339,7 @@
             for what in due {
                 // One that is down already takes nothing away, so it may go below what has to stay.
                 let began = match &what {
-                    What::Step {
+                    CommandKind::Step {
                         to: Stage::Told,
                         machine,
                         ..
@@ -361,7 +362,7 @@
             .iter()
             .flat_map(|plan| plan.machines.iter())
             .filter(|row| !matches!(row.stage, Stage::Back | Stage::Skipped))
-            .map(|row| format!("{} {}", row.machine, row.stage.word()))
+            .map(|row| format!("{} {}", row.machine, row.stage.as_str()))
             .collect();
         // Danger: a plan that stands still for ever, with a host out.
         assert!(
@@ -391,27 +392,27 @@
 #[test]
 fn a_command_that_stands_in_the_log_twice_is_done_once() {
     let mut log = Log::new();
-    log.settle(What::Fleet(fleet(6, 2, 3))).unwrap();
-    log.settle(What::Post(plan(&["caches"], 1))).unwrap();
+    log.settle(CommandKind::Fleet(fleet(6, 2, 3))).unwrap();
+    log.settle(CommandKind::Post(plan(&["caches"], 1))).unwrap();
     let (index, term, bytes) = log.entries.last().unwrap().clone();
     log.state.apply(index + 1, term + 1, &bytes);
     assert_eq!(log.state.view().plans.len(), 1);
     // Danger: by a leader's list that lacks a host nothing would forbid to take it out.
     let mut less = fleet(6, 2, 3);
     less.hosts.remove(0);
-    log.settle(What::Fleet(less.clone())).unwrap();
-    let seen = Seen {
+    log.settle(CommandKind::Fleet(less.clone())).unwrap();
+    let seen = LeaderObservation {
         fleet: less,
         me: "b0".to_string(),
-        ..Seen::default()
+        ..LeaderObservation::default()
     };
-    let (due, _) = log.state.lead(&seen);
+    let (due, _) = log.state.next_commands(&seen);
     assert!(
-        matches!(&due[..], [What::Step { machine, .. }] if machine.name() != "c00"),
+        matches!(&due[..], [CommandKind::Step { machine, .. }] if machine.name() != "c00"),
         "{due:?}"
     );
     // A step that was seen from another one leaves nothing out, and nobody's silence is a word.
-    let [What::Step {
+    let [CommandKind::Step {
         plan,
         machine,
         entered,
@@ -423,7 +424,7 @@
     let (plan, machine, entered) = (*plan, machine.clone(), *entered);
     let step = |entered, to, by: &[&str]| {
         let by = by.iter().map(|name| name.to_string()).collect();
-        What::Step {
+        CommandKind::Step {
             plan,
             machine: machine.clone(),
             entered,
@@ -439,7 +440,7 @@
         .unwrap_err();
     assert!(refused.contains("b1 has not said so"), "{refused}");
     let member = "b1".to_string();
-    log.settle(What::Force {
+    log.settle(CommandKind::Force {
         plan,
         machine: machine.name().to_string(),
         member,
@@ -450,13 +451,13 @@
     assert!(log.settle(step(out, Stage::Warming, &[])).is_err());
     // Late is said, and nothing follows from it.
     let now_ms = (log.index + 700) * 100;
-    let seen = Seen {
+    let seen = LeaderObservation {
         fleet: log.state.fleet().clone(),
         me: "b0".to_string(),
         now_ms,
-        ..Seen::default()
+        ..LeaderObservation::default()
     };
-    let (due, waits) = log.state.lead(&seen);
+    let (due, waits) = log.state.next_commands(&seen);
     assert!(
         due.is_empty()
             && waits
@@ -465,9 +466,9 @@
         "{waits:?}"
     );
     // Danger: given back by a drop, it would be used while somebody works on it.
-    log.settle(What::Drop { plan }).unwrap();
+    log.settle(CommandKind::Drop { plan }).unwrap();
     assert_eq!(log.state.held().len(), 1);
-    log.settle(What::Done {
+    log.settle(CommandKind::Done {
         plan,
         machine: machine.name().to_string(),
     })
@@ -481,25 +482,27 @@
     let mut four = fleet(6, 2, 4);
     four.balancers.iter_mut().for_each(|one| one.votes = true);
     let mut log = Log::new();
-    log.settle(What::Fleet(four.clone())).unwrap();
+    log.settle(CommandKind::Fleet(four.clone())).unwrap();
     assert!(log
-        .settle(What::Post(plan(&["balancers"], 2)))
+        .settle(CommandKind::Post(plan(&["balancers"], 2)))
         .unwrap_err()
         .contains("leave no majority"));
-    log.settle(What::Post(plan(&["balancers"], 1))).unwrap();
+    log.settle(CommandKind::Post(plan(&["balancers"], 1)))
+        .unwrap();
     // One has left by itself: no other is taken.
     four.balancers[3].there = false;
     four.balancers[3].left = true;
-    log.settle(What::Fleet(four.clone())).unwrap();
-    let seen = Seen {
+    log.settle(CommandKind::Fleet(four.clone())).unwrap();
+    let seen = LeaderObservation {
         fleet: four,
         me: "b0".to_string(),
-        ..Seen::default()
+        ..LeaderObservation::default()
     };
-    let (due, _) = log.state.lead(&seen);
+    let (due, _) = log.state.next_commands(&seen);
     assert!(
-        due.iter()
-            .all(|what| !matches!(what, What::Step { machine, .. } if machine.name() != "b3")),
+        due.iter().all(
+            |what| !matches!(what, CommandKind::Step { machine, .. } if machine.name() != "b3")
+        ),
         "{due:?}"
     );
 }
--- a/crates/stairfront-maintenance/tests/stored_forms.rs
+++ b/crates/stairfront-maintenance/tests/stored_forms.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use stairfront_maintenance::{
-    Balancer, Command, DoneBy, Fleet, Host, Machine, Maintenance, Outcome, Plan, PlanFault,
-    Refusal, Stage, Stay, Waits, What,
+    AvailabilityBudget, Balancer, BlockedMachine, Command, CommandError, CommandKind, DoneBy,
+    Fleet, Host, Machine, Maintenance, Outcome, Plan, PlanError, Stage,
 };
 
 fn texts(some: &[&str]) -> Vec<String> {
@@ -42,7 +42,7 @@
         zones: texts(zones),
         kinds: texts(kinds),
         at_once: 6,
-        stay: Stay {
+        stay: AvailabilityBudget {
             zone: 0.125,
             whole: 0.25,
         },
@@ -57,54 +57,54 @@
 }
 
 /// A command of each kind, every field by itself.
-fn commands() -> Vec<(&'static str, What)> {
+fn commands() -> Vec<(&'static str, CommandKind)> {
     let cache = || Machine::Cache("c01".to_string());
     let mut cases = vec![
         (
             "fleet",
-            What::Fleet(Fleet {
+            CommandKind::Fleet(Fleet {
                 trouble: Some("queues grow".to_string()),
                 ..fleet()
             }),
         ),
-        ("fleet without trouble", What::Fleet(fleet())),
+        ("fleet without trouble", CommandKind::Fleet(fleet())),
         (
             "plan",
-            What::Post(plan(&["c01"], &["z0"], &["caches", "balancers"])),
+            CommandKind::Post(plan(&["c01"], &["z0"], &["caches", "balancers"])),
         ),
         (
             "plan by restarts",
-            What::Post(Plan {
+            CommandKind::Post(Plan {
                 done: DoneBy::Restart,
                 ..plan(&["b3"], &[], &[])
             }),
         ),
         (
             "hold",
-            What::Hold {
+            CommandKind::Hold {
                 plan: 81,
                 why: "lunch".to_string(),
             },
         ),
-        ("resume", What::Resume { plan: 82 }),
+        ("resume", CommandKind::Resume { plan: 82 }),
         (
             "skip",
-            What::Skip {
+            CommandKind::Skip {
                 plan: 83,
                 machine: "c02".to_string(),
             },
         ),
-        ("drop", What::Drop { plan: 84 }),
+        ("drop", CommandKind::Drop { plan: 84 }),
         (
             "done",
-            What::Done {
+            CommandKind::Done {
                 plan: 85,
                 machine: "c03".to_string(),
             },
         ),
         (
             "force",
-            What::Force {
+            CommandKind::Force {
                 plan: 86,
                 machine: "c04".to_string(),
                 member: "b1".to_string(),
@@ -112,7 +112,7 @@
         ),
         (
             "step of a balancer",
-            What::Step {
+            CommandKind::Step {
                 plan: 87,
                 machine: Machine::Balancer("b2".to_string()),
                 entered: 88,
@@ -133,7 +133,7 @@
     cases.extend(stages.map(|(label, to)| {
         (
             label,
-            What::Step {
+            CommandKind::Step {
                 plan: 89,
                 machine: cache(),
                 entered: 90,
@@ -175,34 +175,40 @@
 }
 
 fn outcomes() -> Vec<(&'static str, Outcome)> {
-    let fault = PlanFault {
+    let fault = PlanError {
         key: "at_once".to_string(),
         problem: "must be 1 at least".to_string(),
     };
     let results = vec![
         ("carried out", Ok(91)),
-        ("fault of a plan", Err(Refusal::Plan(fault))),
-        ("no such plan", Err(Refusal::NoPlan(92))),
+        ("fault of a plan", Err(CommandError::Plan(fault))),
+        ("no such plan", Err(CommandError::NoPlan(92))),
         (
             "no such machine",
-            Err(Refusal::NoMachine {
+            Err(CommandError::NoMachine {
                 plan: 93,
                 machine: "c05".to_string(),
             }),
         ),
         (
             "other stage",
-            Err(Refusal::Stage {
+            Err(CommandError::Stage {
                 machine: "c06".to_string(),
                 at: "out".to_string(),
             }),
         ),
-        ("too many", Err(Refusal::TooMany(94))),
-        ("no such member", Err(Refusal::NoMember("b9".to_string()))),
-        ("old term", Err(Refusal::OldTerm { given: 95, now: 96 })),
+        ("too many", Err(CommandError::TooMany(94))),
+        (
+            "no such member",
+            Err(CommandError::NoMember("b9".to_string())),
+        ),
+        (
+            "old term",
+            Err(CommandError::OldTerm { given: 95, now: 96 }),
+        ),
         (
             "changed",
-            Err(Refusal::Changed("b1 has not said so".to_string())),
+            Err(CommandError::Changed("b1 has not said so".to_string())),
         ),
     ];
     let outcomes = (1..).zip(results);
@@ -244,7 +250,7 @@
 }
 
 impl Script {
-    fn say(&mut self, what: What) -> Result<u64, Refusal> {
+    fn say(&mut self, what: CommandKind) -> Result<u64, CommandError> {
         self.index += 1;
         let (id, at_ms, term) = (7000 + self.index, 90_000 + self.index, 17);
         let command = Command {
@@ -259,11 +265,11 @@
         self.state.outcome(id).unwrap().result.clone()
     }
 
-    fn step(&mut self, plan: u64, machine: &Machine, to: Stage) -> Result<u64, Refusal> {
+    fn step(&mut self, plan: u64, machine: &Machine, to: Stage) -> Result<u64, CommandError> {
         let key = (plan, machine.name().to_string());
         let entered = *self.entered.get(&key).unwrap_or(&plan);
         let by = texts(&["b0", "b1", "b2", "b3"]);
-        let index = self.say(What::Step {
+        let index = self.say(CommandKind::Step {
             plan,
             machine: machine.clone(),
             entered,
@@ -297,14 +303,14 @@
         entered: BTreeMap::new(),
     };
     let s = &mut script;
-    s.say(What::Fleet(fleet())).unwrap();
+    s.say(CommandKind::Fleet(fleet())).unwrap();
     let first = ["c00", "c01", "c02", "c03", "c04", "c05", "c06", "c07"];
-    let one = s.say(What::Post(plan(&first, &[], &[]))).unwrap();
-    let done = |machine: &str| What::Done {
+    let one = s.say(CommandKind::Post(plan(&first, &[], &[]))).unwrap();
+    let done = |machine: &str| CommandKind::Done {
         plan: one,
         machine: machine.to_string(),
     };
-    let force = |machine: &str, member: &str| What::Force {
+    let force = |machine: &str, member: &str| CommandKind::Force {
         plan: one,
         machine: machine.to_string(),
         member: member.to_string(),
@@ -328,7 +334,7 @@
         .rev()
         .find(|row| row.stage == Stage::Waiting)
         .cloned();
-    s.say(What::Skip {
+    s.say(CommandKind::Skip {
         plan: one,
         machine: waiting.unwrap().machine,
     })
@@ -339,30 +345,30 @@
         done: DoneBy::Restart,
         ..plan(&["b3"], &["z1"], &[])
     };
-    let two = s.say(What::Post(second)).unwrap();
-    s.say(What::Hold {
+    let two = s.say(CommandKind::Post(second)).unwrap();
+    s.say(CommandKind::Hold {
         plan: two,
         why: "lunch".to_string(),
     })
     .unwrap();
     let third = ["c08", "c10", "c12"];
     let three = s
-        .say(What::Post(Plan {
+        .say(CommandKind::Post(Plan {
             at_once: 2,
             ..plan(&third, &[], &[])
         }))
         .unwrap();
     s.take(three, &third, &[Stage::Held]);
-    s.say(What::Drop { plan: three }).unwrap();
-    let four = s.say(What::Post(plan(&["b3"], &[], &[]))).unwrap();
+    s.say(CommandKind::Drop { plan: three }).unwrap();
+    let four = s.say(CommandKind::Post(plan(&["b3"], &[], &[]))).unwrap();
     for stage in [Stage::Told, Stage::Held, Stage::Out] {
         s.step(four, &Machine::Balancer("b3".to_string()), stage)
             .unwrap();
     }
-    s.say(What::Resume { plan: 9999 }).unwrap_err();
+    s.say(CommandKind::Resume { plan: 9999 }).unwrap_err();
     assert_eq!(s.state.apply(s.index + 1, 17, &[255]), None);
     s.index += 1;
-    s.say(What::Fleet(Fleet {
+    s.say(CommandKind::Fleet(Fleet {
         trouble: Some("queues grow".to_string()),
         ..fleet()
     }))
@@ -413,7 +419,7 @@
         serde_json::from_str(r#"{"reason":"new disks","author":"ann","stay":{}}"#).unwrap();
     let whole = Plan {
         at_once: 1,
-        stay: Stay {
+        stay: AvailabilityBudget {
             zone: 0.5,
             whole: 0.66,
         },
@@ -432,7 +438,7 @@
         Machine::Cache("c01".to_string()),
         Machine::Balancer("b1".to_string()),
     ];
-    let waits = Waits {
+    let waits = BlockedMachine {
         plan: 97,
         machine: "c07".to_string(),
         why: "not its turn".to_string(),
--- a/crates/stairfront-overload/examples/cost.rs
+++ b/crates/stairfront-overload/examples/cost.rs
@@ -2,12 +2,12 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use stairfront_overload::{Arrival, Door, DoorSettings};
+use stairfront_overload::{AdmissionController, AdmissionSettings, Arrival};
 
 const ROUNDS: u32 = 5_000_000;
 
 fn main() {
-    let set = DoorSettings {
+    let set = AdmissionSettings {
         target: 10_000,
         quotas: vec![1.0; 8],
         worths: vec![2.0, 1.0],
@@ -15,7 +15,7 @@
         seed: 1,
     };
     for (name, growth) in [("open", 0), ("refusing", 20_000)] {
-        let mut door = Door::new(0, set.clone());
+        let mut door = AdmissionController::new(0, set.clone());
         for beat in 1..200 {
             door.timer(beat * 10_000, beat * growth);
         }
--- a/crates/stairfront-overload/src/controller.rs
+++ b/crates/stairfront-overload/src/controller.rs
@@ -4,7 +4,7 @@
 //! While a queue stands, the speed at which its delay grows tells how much too much is taken: a loop that gets behind by
 //! half a second in a second is asked for half as much again as it does. So a cut is as large as it has to be, whatever the
 //! machine and the requests, and a delay that shrinks by itself is left to.
-use crate::{Micros, Reading};
+use crate::{DelaySample, Micros};
 
 /// Least part that is ever taken: with nothing taken nothing would tell that it could be.
 const LEAST: f64 = 0.02;
@@ -51,7 +51,7 @@
         self.part
     }
 
-    pub fn hear(&mut self, reading: Reading) {
+    pub fn hear(&mut self, reading: DelaySample) {
         let before = std::mem::replace(&mut self.before, reading.standing);
         if reading.standing as f64 <= CALM * self.target as f64 {
             self.calm += 1;
--- a/crates/stairfront-overload/src/door.rs
+++ b/crates/stairfront-overload/src/door.rs
@@ -1,12 +1,12 @@
 //! One question for each request: is it taken, or refused at once?
-use crate::{Controller, Gauge, Micros, Reading, Worth};
+use crate::{Controller, DelaySample, Micros, PriorityThreshold, QueueDelayMonitor};
 
 /// Longest advice where much is refused, and its shortest: the return is spread between half and one and a half of it.
 const ADVICE_MS: f64 = 1_000.0;
 const LEAST_ADVICE_MS: f64 = 100.0;
 
 #[derive(Clone, Debug, Default)]
-pub struct DoorSettings {
+pub struct AdmissionSettings {
     /// How far behind the loop may stand.
     pub target: Micros,
     /// What each tenant is entitled to, in any unit.
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     Take,
     /// With advice in milliseconds, where advice is given.
     Refuse {
@@ -37,24 +37,24 @@
     },
 }
 
-pub struct Door {
+pub struct AdmissionController {
     /// How late due timers are handled, and messages.
-    timers: Gauge,
-    messages: Gauge,
+    timers: QueueDelayMonitor,
+    messages: QueueDelayMonitor,
     controller: Controller,
-    worth: Worth,
+    worth: PriorityThreshold,
     most_advice_ms: f64,
     draws: u64,
     worst: Micros,
 }
 
-impl Door {
-    pub fn new(now: Micros, set: DoorSettings) -> Self {
-        Door {
-            timers: Gauge::new(now),
-            messages: Gauge::new(now),
+impl AdmissionController {
+    pub fn new(now: Micros, set: AdmissionSettings) -> Self {
+        AdmissionController {
+            timers: QueueDelayMonitor::new(now),
+            messages: QueueDelayMonitor::new(now),
             controller: Controller::new(set.target),
-            worth: Worth::new(&set.quotas, &set.worths),
+            worth: PriorityThreshold::new(&set.quotas, &set.worths),
             most_advice_ms: set.most_advice_ms,
             draws: set.seed | 1,
             worst: 0,
@@ -62,7 +62,7 @@
     }
 
     /// Other settings from now on; what was measured and counted stays.
-    pub fn retune(&mut self, set: &DoorSettings) {
+    pub fn retune(&mut self, set: &AdmissionSettings) {
         self.controller.set_target(set.target);
         self.worth.retune(&set.quotas, &set.worths);
         self.most_advice_ms = set.most_advice_ms;
@@ -83,7 +83,7 @@
         let messages = self.messages.take(now);
         let standing = timers.standing.max(messages.standing);
         self.worst = timers.worst.max(messages.worst);
-        self.controller.hear(Reading {
+        self.controller.hear(DelaySample {
             standing,
             worst: self.worst,
             ..timers
@@ -101,7 +101,7 @@
         self.worst
     }
 
-    pub fn ask(&mut self, arrival: Arrival) -> Verdict {
+    pub fn ask(&mut self, arrival: Arrival) -> AdmissionDecision {
         let Arrival {
             tenant,
             class,
@@ -111,9 +111,9 @@
         let level = self.worth.level(tenant, class, retry, excess_draw);
         let part = self.controller.part();
         if part >= 1.0 || self.worth.is_within(part, level, line_draw) {
-            return Verdict::Take;
+            return AdmissionDecision::Take;
         }
-        Verdict::Refuse {
+        AdmissionDecision::Refuse {
             after_ms: self.advice(part),
         }
     }
--- a/crates/stairfront-overload/src/gauge.rs
+++ b/crates/stairfront-overload/src/gauge.rs
@@ -7,7 +7,7 @@
 
 /// What the gauge found in one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct DelaySample {
     /// The least that the loop was behind at any look: a standing queue, as opposed to a burst.
     pub standing: Micros,
     /// The most.
@@ -20,16 +20,16 @@
 
 /// Gathers how late due timers and waiting messages were handled.
 #[derive(Clone, Debug)]
-pub struct Gauge {
+pub struct QueueDelayMonitor {
     since: Micros,
-    reading: Reading,
+    reading: DelaySample,
 }
 
-impl Gauge {
+impl QueueDelayMonitor {
     pub fn new(now: Micros) -> Self {
-        Gauge {
+        QueueDelayMonitor {
             since: now,
-            reading: Reading::default(),
+            reading: DelaySample::default(),
         }
     }
 
@@ -47,12 +47,12 @@
     }
 
     /// What was found, once an interval is over.
-    pub fn reading(&mut self, now: Micros) -> Option<Reading> {
+    pub fn reading(&mut self, now: Micros) -> Option<DelaySample> {
         (now - self.since >= INTERVAL).then(|| self.take(now))
     }
 
     /// What was found since the last time, whenever that was.
-    pub fn take(&mut self, now: Micros) -> Reading {
+    pub fn take(&mut self, now: Micros) -> DelaySample {
         self.reading.span = now - std::mem::replace(&mut self.since, now);
         std::mem::take(&mut self.reading)
     }
--- a/crates/stairfront-overload/src/lib.rs
+++ b/crates/stairfront-overload/src/lib.rs
@@ -9,9 +9,9 @@
 mod worth;
 
 pub use controller::Controller;
-pub use door::{Arrival, Door, DoorSettings, Verdict};
-pub use gauge::{Gauge, Reading};
-pub use worth::{Level, Worth, LEVELS};
+pub use door::{AdmissionController, AdmissionDecision, AdmissionSettings, Arrival};
+pub use gauge::{DelaySample, QueueDelayMonitor};
+pub use worth::{AdmissionLevel, PriorityThreshold, LEVELS};
 
 /// Microseconds.
 pub type Micros = i64;
--- a/crates/stairfront-overload/src/worth.rs
+++ b/crates/stairfront-overload/src/worth.rs
@@ -15,11 +15,11 @@
 
 /// 0 is the most worthy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Level(pub u8);
+pub struct AdmissionLevel(pub u8);
 
 /// What came lately, by tenant and by level; it fades.
 #[derive(Clone, Debug)]
-pub struct Worth {
+pub struct PriorityThreshold {
     /// Part of all quotas that each tenant has.
     quotas: Vec<f64>,
     /// Rank of each class by worth, 0 for the one worth most.
@@ -32,10 +32,10 @@
     looked_at: Micros,
 }
 
-impl Worth {
+impl PriorityThreshold {
     /// `quotas`: what each tenant is entitled to, in any unit; `worths`: what a request of each class is worth.
     pub fn new(quotas: &[f64], worths: &[f64]) -> Self {
-        let mut worth = Worth {
+        let mut worth = PriorityThreshold {
             quotas: Vec::new(),
             ranks: Vec::new(),
             came: Vec::new(),
@@ -66,7 +66,13 @@
 
     /// Counts a request and says how worthy it is. `draw`, between 0 and 1, tells which of a tenant's requests are those
     /// beyond its share. A tenant that is not known has no share.
-    pub fn level(&mut self, tenant: Option<usize>, class: usize, retry: bool, draw: f64) -> Level {
+    pub fn level(
+        &mut self,
+        tenant: Option<usize>,
+        class: usize,
+        retry: bool,
+        draw: f64,
+    ) -> AdmissionLevel {
         self.all += 1.0;
         let excess = match tenant.filter(|tenant| *tenant < self.came.len()) {
             Some(tenant) => {
@@ -88,11 +94,11 @@
             rank
         };
         self.levels[level] += 1.0;
-        Level(level as u8)
+        AdmissionLevel(level as u8)
     }
 
     /// Whether a request of this level is among the most worthy `part` of what came lately.
-    pub fn is_within(&self, part: f64, level: Level, draw: f64) -> bool {
+    pub fn is_within(&self, part: f64, level: AdmissionLevel, draw: f64) -> bool {
         let level = usize::from(level.0);
         let sum: f64 = self.levels.iter().sum();
         let (before, own) = (self.levels[..level].iter().sum::<f64>(), self.levels[level]);
--- a/crates/stairfront-overload/tests/door.rs
+++ b/crates/stairfront-overload/tests/door.rs
@@ -1,12 +1,14 @@
 //! The door before a loop that can do so much and no more: a plant that gets behind by what it takes beyond that.
-use stairfront_overload::{Arrival, Door, DoorSettings, Micros, Verdict};
+use stairfront_overload::{
+    AdmissionController, AdmissionDecision, AdmissionSettings, Arrival, Micros,
+};
 
 const TICK: Micros = 5_000;
 const TARGET: Micros = 10_000;
 
 /// A loop with a capacity, in units of work a second; a served request is one, a refused one a fifth.
 struct Loop {
-    door: Door,
+    door: AdmissionController,
     now: Micros,
     behind: f64,
     capacity: f64,
@@ -29,7 +31,7 @@
 
 impl Loop {
     fn new(capacity: f64) -> Self {
-        let set = DoorSettings {
+        let set = AdmissionSettings {
             target: TARGET,
             quotas: vec![1.0, 1.0],
             worths: vec![2.0, 1.0],
@@ -37,7 +39,7 @@
             seed: 1,
         };
         Loop {
-            door: Door::new(0, set),
+            door: AdmissionController::new(0, set),
             now: 0,
             behind: 0.0,
             capacity,
@@ -66,7 +68,7 @@
                     tenant: Some(tenant),
                     class,
                     retry,
-                }) == Verdict::Take;
+                }) == AdmissionDecision::Take;
                 self.behind += if taken { 1.0 } else { 0.2 };
                 let count = |pair: &mut (u32, u32)| *pair = (pair.0 + 1, pair.1 + u32::from(taken));
                 count(&mut seen.tenants[tenant]);
@@ -161,7 +163,7 @@
     plant.run(50_000.0, 3.0, 0.5);
     let mut advice = Vec::new();
     for _ in 0..200 {
-        if let Verdict::Refuse { after_ms: Some(ms) } = plant.door.ask(Arrival {
+        if let AdmissionDecision::Refuse { after_ms: Some(ms) } = plant.door.ask(Arrival {
             tenant: Some(1),
             class: 1,
             retry: true,
--- a/crates/stairfront-policy/src/interface.rs
+++ b/crates/stairfront-policy/src/interface.rs
@@ -3,7 +3,7 @@
 //! Nothing here knows a wire format: an adapter (the balancer's engine, or the simulator's adapter) translates. All points
 //! in time and durations are whole microseconds.
 
-pub use crate::knowledge::Knowledge;
+pub use crate::snapshot::PolicySnapshot;
 
 /// A point in time or a duration, in microseconds. The clock has no meaningful start.
 pub type Micros = i64;
@@ -424,7 +424,7 @@
         body: &'a [u8],
     },
     /// State exported by the previous process; given after the first list, which takes precedence.
-    Inherited(&'a Knowledge),
+    Inherited(&'a PolicySnapshot),
     /// New settings apply from now on. Classes keep their positions; `tenants` holds for each new tenant its position
     /// before. Requests in progress keep the class and the number of attempts that they were admitted with.
     SettingsChanged {
--- a/crates/stairfront-policy/src/knowledge.rs
+++ b/crates/stairfront-policy/src/snapshot.rs
@@ -13,7 +13,7 @@
 
 /// All times are Unix time in microseconds, which both processes read from one machine's clock.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct PolicySnapshot {
     pub at: Micros,
     servers: Vec<KnownServer>,
     placements: Vec<KnownPlacement>,
@@ -49,7 +49,7 @@
 struct KnownPlacement(u64, u32, Micros, bool);
 
 impl Policy {
-    pub fn knowledge(&self, now: Micros) -> Knowledge {
+    pub fn snapshot(&self, now: Micros) -> PolicySnapshot {
         let mut servers: Vec<KnownServer> = self.servers.values().map(KnownServer::of).collect();
         servers.sort_unstable_by_key(|server| server.id);
         let position = |cache: CacheId| servers.binary_search_by_key(&cache.0, |s| s.id).ok();
@@ -72,7 +72,7 @@
             Cordon::Off(at) => Some((id.0, *at)),
             Cordon::On => None,
         };
-        Knowledge {
+        PolicySnapshot {
             at: now,
             uncordoned: self.cordons.iter().filter_map(off).collect(),
             warm_rate: self.warm_rate,
@@ -88,7 +88,7 @@
 
     /// Takes over what still holds: of servers that the list in hand knows by the same start, of keys seen within the
     /// time that a placement lives.
-    pub(crate) fn inherit(&mut self, now: Micros, known: &Knowledge) {
+    pub(crate) fn inherit(&mut self, now: Micros, known: &PolicySnapshot) {
         let fresh = now - known.at < FRESH;
         for (id, at) in &known.uncordoned {
             // Before any start times are compared.
--- a/crates/stairfront-policy/tests/inheritance.rs
+++ b/crates/stairfront-policy/tests/inheritance.rs
@@ -21,7 +21,7 @@
 
 /// A process that has just started with this list and heard of what `before` knows.
 fn successor(before: &Rig, list: &[Endpoint], after: Micros) -> Rig {
-    let known = before.policy.knowledge(before.now);
+    let known = before.policy.snapshot(before.now);
     let mut rig = Rig::seeded(through(), list, 99);
     rig.now = before.now + after;
     rig.event(Event::Inherited(&known));
@@ -38,7 +38,7 @@
         .count();
     // Alone it would place those with nearly even counts anew.
     assert_eq!(kept, served.len());
-    assert_eq!(next.policy.knowledge(next.now).at, next.now);
+    assert_eq!(next.policy.snapshot(next.now).at, next.now);
 }
 
 #[test]
--- a/crates/stairfront-policy/tests/large_fleets.rs
+++ b/crates/stairfront-policy/tests/large_fleets.rs
@@ -101,7 +101,7 @@
 #[test]
 fn likely_misses_come_back_from_nought() {
     let mut known =
-        serde_json::to_value(one_of_many(through(), 9).policy.knowledge(100 * SECOND)).unwrap();
+        serde_json::to_value(one_of_many(through(), 9).policy.snapshot(100 * SECOND)).unwrap();
     known["misses"] = 0.0.into();
     let known = serde_json::from_value(known).unwrap();
     let mut rig = one_of_many(through(), 9);
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -237,7 +237,7 @@
                 "{:24}{:10}{:10}{:>8} s  {}{forced}\n",
                 row.machine,
                 row.kind,
-                row.stage.word(),
+                row.stage.as_str(),
                 since,
                 why.map_or("", |waits| waits.why.as_str())
             );
