--- /dev/null
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -0,0 +1,299 @@
+//! What a balancer stores, leaves to its successor and tells operators, as it was pinned. Names in the program may
+//! change; these texts may not, since other builds, scripts and people read them.
+mod common;
+mod golden;
+
+use std::path::Path;
+
+use common::*;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::json;
+use stairfront_balancer::config::Config;
+use stairfront_balancer::cordon_record::CordonRecord;
+use stairfront_balancer::counters::Counters;
+use stairfront_balancer::handover_socket;
+use stairfront_balancer::handover_state::HandoverState;
+use stairfront_balancer::maintenance::{DryRun, Settled, Shown};
+use stairfront_maintenance::Balancer as FleetBalancer;
+use stairfront_maintenance::{
+    Command, DoneBy, Fleet, Host, Maintenance, Plan, PlanView, Stage, Stay, View, Waits, What,
+};
+use stairfront_members::{Report, Standing, State};
+use stairfront_policy::interface::Knowledge;
+use stairfront_voters::Status;
+use tokio::net::TcpListener;
+
+/// Written as pinned; the pinned text, read.
+fn through<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> T {
+    let pinned = golden::same(name, &serde_json::to_vec(value).unwrap());
+    serde_json::from_slice(&pinned).unwrap_or_else(|problem| panic!("{name}: {problem}"))
+}
+
+fn text(word: &str) -> String {
+    word.to_string()
+}
+
+/// The knowledge in it is one that the decision module's own test has pinned.
+#[test]
+fn what_a_successor_is_left_is_as_pinned() {
+    let knowledge = include_str!("../../stairfront-policy/tests/golden/knowledge_even.json");
+    let knowledge: Knowledge = serde_json::from_str(knowledge).unwrap();
+    let state = HandoverState { knowledge, listed: vec![7, 1, u64::MAX] };
+    let read = through("handover_state.json", &state);
+    assert_eq!((read.knowledge, read.listed), (state.knowledge, state.listed));
+}
+
+/// Old and new of one balancer meet at this path.
+#[test]
+fn the_handover_socket_has_the_pinned_name() {
+    let path = handover_socket::path(Path::new("/run/stairfront"), "b-7");
+    golden::same("socket.txt", format!("{}\n", path.display()).as_bytes());
+}
+
+/// The name of the record of cordons, and its text in the next line.
+#[test]
+fn the_record_of_cordons_is_as_pinned() {
+    let folder = memory_folder();
+    let record = CordonRecord::within(Some(folder.path()), "b-7");
+    let names = ["s-1", "s \"2\""];
+    record.write(names.into_iter()).unwrap();
+    let files: Vec<_> = std::fs::read_dir(folder.path()).unwrap().map(|file| file.unwrap().path()).collect();
+    assert_eq!(files.len(), 1, "{files:?}");
+    let name = files[0].file_name().unwrap().to_str().unwrap();
+    let now = format!("{name}\n{}", std::fs::read_to_string(&files[0]).unwrap());
+    let pinned = String::from_utf8(golden::same("cordons.txt", now.as_bytes())).unwrap();
+    std::fs::write(&files[0], pinned.split_once('\n').unwrap().1).unwrap();
+    assert_eq!(CordonRecord::within(Some(folder.path()), "b-7").read(), names);
+}
+
+/// The part of each line before the colon.
+fn names(info: &str) -> String {
+    info.split("\r\n").filter(|line| !line.is_empty()).map(|line| line.split(':').next().unwrap()).fold(
+        String::new(),
+        |mut names, name| {
+            names.push_str(name);
+            names.push('\n');
+            names
+        },
+    )
+}
+
+/// Figures vary; their names and the order of these do not.
+#[test]
+fn info_names_its_figures_as_pinned() {
+    let counters = Counters::default();
+    counters.taken_in.set(3);
+    counters.server_connections_surplus.set(4);
+    let shown = counters.to_string();
+    assert!(shown.starts_with("taken_in:3\r\n") && shown.ends_with("server_connections_surplus:4\r\n"));
+    golden::same("counters.txt", names(&shown).as_bytes());
+}
+
+/// The answer to `INFO` of a balancer in no group.
+#[test]
+fn the_answer_to_info_names_its_figures_as_pinned() {
+    run(async {
+        let log = Log::default();
+        let host = cache("c", &log, |_, _| hit("v")).await;
+        let balancer = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
+        let said = balancer.client().await.ask(&["INFO"]).await;
+        let (_, info) = said.split_once("\r\n").unwrap();
+        golden::same("info.txt", names(info).as_bytes());
+    });
+}
+
+/// Health is told in words, and a balancer without a group or an agreement says so.
+#[test]
+fn pages_of_a_lone_balancer_are_as_pinned() {
+    run(async {
+        let log = Log::default();
+        let host = cache("c", &log, |_, _| hit("v")).await;
+        let serves = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let text = config(listener.local_addr().unwrap(), dead_address().await, &[], 1024).to_string();
+        let empty = Balancer::begin(None, listener, Config::from_text("test", &text).unwrap()).await;
+        let mut pages = String::new();
+        for (of, balancer, path) in [
+            ("serves", &serves, "/admin/health"),
+            ("without servers", &empty, "/admin/health"),
+            ("no group", &serves, "/admin/members"),
+            ("no agreement", &serves, "/admin/maintenance"),
+        ] {
+            let (_, whole) = balancer.call("GET", path).await;
+            pages.push_str(&format!("== {of}: {path}\n{}\n", whole.replace("\r\n", "\n")));
+        }
+        golden::same("pages.txt", pages.as_bytes());
+    });
+}
+
+/// The body of `/admin/members`, with each word for a standing and a state. The types of its rows belong to another
+/// crate, so that it is built from a text here and looked at by its fields.
+#[test]
+fn the_members_page_is_as_pinned() {
+    let states = [
+        ("alive", Some("127.0.0.1:7001"), 0),
+        ("suspect", Some("[::1]:7002"), 12),
+        ("failed", None, 13),
+        ("left", Some("10.0.0.4:7004"), 1_u64 << 61),
+    ];
+    let rows: Vec<_> = states
+        .iter()
+        .enumerate()
+        .map(|(i, (state, address, incarnation))| {
+            json!({"name": format!("b-{i}"), "address": address, "state": state,
+                   "incarnation": incarnation, "since_ms": 100 + i})
+        })
+        .collect();
+    let standings = [
+        ("settling", Standing::Settling),
+        ("whole", Standing::Whole),
+        ("majority", Standing::Majority),
+        ("minority", Standing::Minority),
+        ("alone", Standing::Alone),
+    ];
+    let reports: Vec<_> = standings
+        .iter()
+        .enumerate()
+        .map(|(i, (word, _))| {
+            let rows = if i == 0 { &rows[..] } else { &[] };
+            json!({"me": "b-0", "group": "g-1", "standing": word, "standing_since_ms": 21,
+                   "digest": "00ff", "roster_differs": ["b-3"], "disagree_ms": 22, "namesake": i % 2 == 0,
+                   "cordons": ["s-1", "s-2"], "members": rows})
+        })
+        .collect();
+    let reports: Vec<Report> = serde_json::from_value(json!(reports)).unwrap();
+    let read = through("members.json", &reports);
+    assert_eq!(read, reports);
+    for (i, (report, (_, standing))) in read.iter().zip(standings).enumerate() {
+        assert_eq!((report.me.as_str(), report.group.as_str()), ("b-0", "g-1"));
+        assert_eq!((report.standing, report.standing_since_ms), (standing, 21));
+        assert_eq!((report.digest.as_str(), report.disagree_ms, report.namesake), ("00ff", 22, i % 2 == 0));
+        assert_eq!(report.roster_differs, ["b-3"]);
+        assert_eq!(report.cordons, ["s-1", "s-2"]);
+    }
+    let states: Vec<State> = read[0].members.iter().map(|member| member.state).collect();
+    assert_eq!(states, [State::Alive, State::Suspect, State::Failed, State::Left]);
+    let of = &read[0].members[1];
+    assert_eq!((of.name.as_str(), of.incarnation, of.since_ms, of.run), ("b-1", 12, 101, 0));
+    assert_eq!(of.address, Some("[::1]:7002".parse().unwrap()));
+}
+
+/// A row of each stage, and of each kind of machine.
+fn view() -> View {
+    let stages =
+        [Stage::Waiting, Stage::Told, Stage::Held, Stage::Out, Stage::Warming, Stage::Back, Stage::Skipped];
+    let rows: Vec<_> = stages
+        .iter()
+        .enumerate()
+        .map(|(i, stage)| {
+            let kind = ["cache", "balancer"][i % 2];
+            let forced = if i == 1 { vec!["b-2", "b-3"] } else { vec![] };
+            json!({"machine": format!("s-{i}"), "kind": kind, "stage": stage, "since_ms": 1_000 + i,
+                   "forced": forced})
+        })
+        .collect();
+    let machines = serde_json::from_value(json!(rows)).unwrap();
+    let first = PlanView {
+        plan: 17,
+        author: text("ann"),
+        reason: text("new kernel"),
+        held: Some(text("storm")),
+        dropped: false,
+        machines,
+    };
+    let second = PlanView {
+        plan: 18,
+        author: text("bo"),
+        reason: text("disks"),
+        held: None,
+        dropped: true,
+        machines: vec![],
+    };
+    let history = json!([{"index": 31, "term": 32, "at_ms": 33, "author": "cy", "text": "plan 17 goes on"}]);
+    View {
+        trouble: Some(text("the origin is short")),
+        plans: vec![first, second],
+        history: serde_json::from_value(history).unwrap(),
+    }
+}
+
+/// The body of `/admin/maintenance`, with and without what may be missing.
+#[test]
+fn the_maintenance_page_is_as_pinned() {
+    let agreement = Status {
+        role: text("leads"),
+        leader: Some(text("b-1")),
+        term: 41,
+        settled: 42,
+        voters: vec![text("b-1"), text("b-2")],
+        not_in: vec![text("b-3")],
+    };
+    let waits = vec![Waits { plan: 17, machine: text("s-0"), why: text("b-2 has not confirmed") }];
+    let full = Shown { me: text("b-1"), agreement, view: view(), waits };
+    // As a state machine shows itself that has settled nothing.
+    let none = Shown {
+        me: text("b-1"),
+        agreement: Status::default(),
+        view: Maintenance::default().view(),
+        waits: vec![],
+    };
+    let both = vec![full, none];
+    assert_eq!(through("maintenance.json", &both), both);
+}
+
+/// What the plans' own module shows of a plan that has been posted and held: the words that it chooses itself.
+#[test]
+fn a_posted_plan_is_shown_as_pinned() {
+    let host = Host { name: text("s-1"), zone: text("z-1"), group: 0, up: true, born_ms: 0 };
+    let other = Host { name: text("s-2"), ..host.clone() };
+    let third = Host { name: text("s-3"), ..host.clone() };
+    let (there, left, votes, leads, run) = (true, false, true, true, 5);
+    let balancer = |name: &str| FleetBalancer { name: text(name), there, left, votes, leads, run };
+    let balancers = ["b-1", "b-2", "b-3"].map(balancer).to_vec();
+    let fleet = Fleet { hosts: vec![host, other, third], balancers, trouble: Some(text("storm")) };
+    let plan = json!({"machines": ["s-1", "b-1"], "reason": "new kernel", "author": "ann"});
+    let plan = serde_json::from_value(plan).unwrap();
+    let words = [What::Fleet(fleet), What::Post(plan), What::Hold { plan: 2, why: text("wait") }];
+    let mut maintenance = Maintenance::default();
+    for (i, what) in (1..).zip(words) {
+        let (via, author) = (text("b-1"), text("ann"));
+        let command = Command { id: i, at_ms: 10 + i, term: 7, via, author, what };
+        assert_eq!(maintenance.apply(i, 7, &command.write()), Some(i));
+        assert_eq!(maintenance.outcome(i).unwrap().result, Ok(i));
+    }
+    let view = maintenance.view();
+    assert_eq!(through("posted.json", &view), view);
+}
+
+/// What operators post, whole and as short as it may be.
+#[test]
+fn plans_are_as_pinned() {
+    let plan = Plan {
+        machines: vec![text("s-1"), text("b-2")],
+        zones: vec![text("z-1")],
+        kinds: vec![text("caches")],
+        at_once: 2,
+        stay: Stay { zone: 0.25, whole: 0.75 },
+        done: DoneBy::Restart,
+        confirm_s: 51,
+        quiet_s: 52,
+        work_s: 53,
+        warm_s: 54,
+        reason: text("new kernel"),
+        author: text("ann"),
+    };
+    let short: Plan = serde_json::from_value(json!({"reason": "disks", "author": "bo"})).unwrap();
+    assert_eq!((short.at_once, short.done, short.confirm_s), (1, DoneBy::Operator, 60));
+    let both = vec![plan, short];
+    assert_eq!(through("plans.json", &both), both);
+}
+
+/// The answer to what operators have settled, and to a plan that is only tried.
+#[test]
+fn answers_to_plans_are_as_pinned() {
+    let settled = Settled { via: text("b-2"), leader: Some(text("b-1")), index: 61, term: 62 };
+    let dry_run = DryRun { order: vec![text("s-1"), text("s-2")], rounds: 71, at_most_s: 72 };
+    let both = (settled, dry_run);
+    assert_eq!(through("answers.json", &both), both);
+}
