--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -17,11 +17,12 @@
 use stairfront_balancer::maintenance::{DryRun, Settled, Shown};
 use stairfront_maintenance::Balancer as FleetBalancer;
 use stairfront_maintenance::{
-    Command, DoneBy, Fleet, Host, Maintenance, Plan, PlanView, Stage, Stay, View, Waits, What,
+    AvailabilityBudget, BlockedMachine, Command, CommandKind, DoneBy, Fleet, Host, Maintenance,
+    Plan, PlanView, Stage, View,
 };
-use stairfront_members::{Report, Standing, State};
-use stairfront_policy::interface::Knowledge;
-use stairfront_voters::Status;
+use stairfront_membership_agent::{MemberState, QuorumStatus, Report};
+use stairfront_policy::interface::PolicySnapshot;
+use stairfront_raft_node::Status;
 use tokio::net::TcpListener;
 
 /// Written as pinned; the pinned text, read.
@@ -38,10 +39,16 @@
 #[test]
 fn what_a_successor_is_left_is_as_pinned() {
     let knowledge = include_str!("../../stairfront-policy/tests/golden/knowledge_even.json");
-    let knowledge: Knowledge = serde_json::from_str(knowledge).unwrap();
-    let state = HandoverState { knowledge, listed: vec![7, 1, u64::MAX] };
+    let knowledge: PolicySnapshot = serde_json::from_str(knowledge).unwrap();
+    let state = HandoverState {
+        knowledge,
+        listed: vec![7, 1, u64::MAX],
+    };
     let read = through("handover_state.json", &state);
-    assert_eq!((read.knowledge, read.listed), (state.knowledge, state.listed));
+    assert_eq!(
+        (read.knowledge, read.listed),
+        (state.knowledge, state.listed)
+    );
 }
 
 /// Old and new of one balancer meet at this path.
@@ -58,25 +65,31 @@
     let record = CordonRecord::within(Some(folder.path()), "b-7");
     let names = ["s-1", "s \"2\""];
     record.write(names.into_iter()).unwrap();
-    let files: Vec<_> = std::fs::read_dir(folder.path()).unwrap().map(|file| file.unwrap().path()).collect();
+    let files: Vec<_> = std::fs::read_dir(folder.path())
+        .unwrap()
+        .map(|file| file.unwrap().path())
+        .collect();
     assert_eq!(files.len(), 1, "{files:?}");
     let name = files[0].file_name().unwrap().to_str().unwrap();
     let now = format!("{name}\n{}", std::fs::read_to_string(&files[0]).unwrap());
     let pinned = String::from_utf8(golden::same("cordons.txt", now.as_bytes())).unwrap();
     std::fs::write(&files[0], pinned.split_once('\n').unwrap().1).unwrap();
-    assert_eq!(CordonRecord::within(Some(folder.path()), "b-7").read(), names);
+    assert_eq!(
+        CordonRecord::within(Some(folder.path()), "b-7").read(),
+        names
+    );
 }
 
 /// The part of each line before the colon.
 fn names(info: &str) -> String {
-    info.split("\r\n").filter(|line| !line.is_empty()).map(|line| line.split(':').next().unwrap()).fold(
-        String::new(),
-        |mut names, name| {
+    info.split("\r\n")
+        .filter(|line| !line.is_empty())
+        .map(|line| line.split(':').next().unwrap())
+        .fold(String::new(), |mut names, name| {
             names.push_str(name);
             names.push('\n');
             names
-        },
-    )
+        })
 }
 
 /// Figures vary; their names and the order of these do not.
@@ -86,7 +99,9 @@
     counters.taken_in.set(3);
     counters.server_connections_surplus.set(4);
     let shown = counters.to_string();
-    assert!(shown.starts_with("taken_in:3\r\n") && shown.ends_with("server_connections_surplus:4\r\n"));
+    assert!(
+        shown.starts_with("taken_in:3\r\n") && shown.ends_with("server_connections_surplus:4\r\n")
+    );
     golden::same("counters.txt", names(&shown).as_bytes());
 }
 
@@ -111,8 +126,15 @@
         let host = cache("c", &log, |_, _| hit("v")).await;
         let serves = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let text = config(listener.local_addr().unwrap(), dead_address().await, &[], 1024).to_string();
-        let empty = Balancer::begin(None, listener, Config::from_text("test", &text).unwrap()).await;
+        let text = config(
+            listener.local_addr().unwrap(),
+            dead_address().await,
+            &[],
+            1024,
+        )
+        .to_string();
+        let empty =
+            Balancer::begin(None, listener, Config::from_text("test", &text).unwrap()).await;
         let mut pages = String::new();
         for (of, balancer, path) in [
             ("serves", &serves, "/admin/health"),
@@ -121,7 +143,10 @@
             ("no agreement", &serves, "/admin/maintenance"),
         ] {
             let (_, whole) = balancer.call("GET", path).await;
-            pages.push_str(&format!("== {of}: {path}\n{}\n", whole.replace("\r\n", "\n")));
+            pages.push_str(&format!(
+                "== {of}: {path}\n{}\n",
+                whole.replace("\r\n", "\n")
+            ));
         }
         golden::same("pages.txt", pages.as_bytes());
     });
@@ -146,11 +171,11 @@
         })
         .collect();
     let standings = [
-        ("settling", Standing::Settling),
-        ("whole", Standing::Whole),
-        ("majority", Standing::Majority),
-        ("minority", Standing::Minority),
-        ("alone", Standing::Alone),
+        ("settling", QuorumStatus::Settling),
+        ("whole", QuorumStatus::Whole),
+        ("majority", QuorumStatus::Majority),
+        ("minority", QuorumStatus::Minority),
+        ("alone", QuorumStatus::Alone),
     ];
     let reports: Vec<_> = standings
         .iter()
@@ -168,21 +193,42 @@
     for (i, (report, (_, standing))) in read.iter().zip(standings).enumerate() {
         assert_eq!((report.me.as_str(), report.group.as_str()), ("b-0", "g-1"));
         assert_eq!((report.standing, report.standing_since_ms), (standing, 21));
-        assert_eq!((report.digest.as_str(), report.disagree_ms, report.namesake), ("00ff", 22, i % 2 == 0));
+        assert_eq!(
+            (report.digest.as_str(), report.disagree_ms, report.namesake),
+            ("00ff", 22, i % 2 == 0)
+        );
         assert_eq!(report.roster_differs, ["b-3"]);
         assert_eq!(report.cordons, ["s-1", "s-2"]);
     }
-    let states: Vec<State> = read[0].members.iter().map(|member| member.state).collect();
-    assert_eq!(states, [State::Alive, State::Suspect, State::Failed, State::Left]);
+    let states: Vec<MemberState> = read[0].members.iter().map(|member| member.state).collect();
+    assert_eq!(
+        states,
+        [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Failed,
+            MemberState::Left
+        ]
+    );
     let of = &read[0].members[1];
-    assert_eq!((of.name.as_str(), of.incarnation, of.since_ms, of.run), ("b-1", 12, 101, 0));
+    assert_eq!(
+        (of.name.as_str(), of.incarnation, of.since_ms, of.run),
+        ("b-1", 12, 101, 0)
+    );
     assert_eq!(of.address, Some("[::1]:7002".parse().unwrap()));
 }
 
 /// A row of each stage, and of each kind of machine.
 fn view() -> View {
-    let stages =
-        [Stage::Waiting, Stage::Told, Stage::Held, Stage::Out, Stage::Warming, Stage::Back, Stage::Skipped];
+    let stages = [
+        Stage::Waiting,
+        Stage::Told,
+        Stage::Held,
+        Stage::Out,
+        Stage::Warming,
+        Stage::Back,
+        Stage::Skipped,
+    ];
     let rows: Vec<_> = stages
         .iter()
         .enumerate()
@@ -210,7 +256,8 @@
         dropped: true,
         machines: vec![],
     };
-    let history = json!([{"index": 31, "term": 32, "at_ms": 33, "author": "cy", "text": "plan 17 goes on"}]);
+    let history =
+        json!([{"index": 31, "term": 32, "at_ms": 33, "author": "cy", "text": "plan 17 goes on"}]);
     View {
         trouble: Some(text("the origin is short")),
         plans: vec![first, second],
@@ -225,12 +272,21 @@
         role: text("leads"),
         leader: Some(text("b-1")),
         term: 41,
-        settled: 42,
+        committed: 42,
         voters: vec![text("b-1"), text("b-2")],
         not_in: vec![text("b-3")],
     };
-    let waits = vec![Waits { plan: 17, machine: text("s-0"), why: text("b-2 has not confirmed") }];
-    let full = Shown { me: text("b-1"), agreement, view: view(), waits };
+    let waits = vec![BlockedMachine {
+        plan: 17,
+        machine: text("s-0"),
+        why: text("b-2 has not confirmed"),
+    }];
+    let full = Shown {
+        me: text("b-1"),
+        agreement,
+        view: view(),
+        waits,
+    };
     // As a state machine shows itself that has settled nothing.
     let none = Shown {
         me: text("b-1"),
@@ -245,20 +301,57 @@
 /// What the plans' own module shows of a plan that has been posted and held: the words that it chooses itself.
 #[test]
 fn a_posted_plan_is_shown_as_pinned() {
-    let host = Host { name: text("s-1"), zone: text("z-1"), group: 0, up: true, born_ms: 0 };
-    let other = Host { name: text("s-2"), ..host.clone() };
-    let third = Host { name: text("s-3"), ..host.clone() };
+    let host = Host {
+        name: text("s-1"),
+        zone: text("z-1"),
+        group: 0,
+        up: true,
+        born_ms: 0,
+    };
+    let other = Host {
+        name: text("s-2"),
+        ..host.clone()
+    };
+    let third = Host {
+        name: text("s-3"),
+        ..host.clone()
+    };
     let (there, left, votes, leads, run) = (true, false, true, true, 5);
-    let balancer = |name: &str| FleetBalancer { name: text(name), there, left, votes, leads, run };
+    let balancer = |name: &str| FleetBalancer {
+        name: text(name),
+        there,
+        left,
+        votes,
+        leads,
+        run,
+    };
     let balancers = ["b-1", "b-2", "b-3"].map(balancer).to_vec();
-    let fleet = Fleet { hosts: vec![host, other, third], balancers, trouble: Some(text("storm")) };
+    let fleet = Fleet {
+        hosts: vec![host, other, third],
+        balancers,
+        trouble: Some(text("storm")),
+    };
     let plan = json!({"machines": ["s-1", "b-1"], "reason": "new kernel", "author": "ann"});
     let plan = serde_json::from_value(plan).unwrap();
-    let words = [What::Fleet(fleet), What::Post(plan), What::Hold { plan: 2, why: text("wait") }];
+    let words = [
+        CommandKind::Fleet(fleet),
+        CommandKind::Post(plan),
+        CommandKind::Hold {
+            plan: 2,
+            why: text("wait"),
+        },
+    ];
     let mut maintenance = Maintenance::default();
     for (i, what) in (1..).zip(words) {
         let (via, author) = (text("b-1"), text("ann"));
-        let command = Command { id: i, at_ms: 10 + i, term: 7, via, author, what };
+        let command = Command {
+            id: i,
+            at_ms: 10 + i,
+            term: 7,
+            via,
+            author,
+            what,
+        };
         assert_eq!(maintenance.apply(i, 7, &command.write()), Some(i));
         assert_eq!(maintenance.outcome(i).unwrap().result, Ok(i));
     }
@@ -274,7 +367,10 @@
         zones: vec![text("z-1")],
         kinds: vec![text("caches")],
         at_once: 2,
-        stay: Stay { zone: 0.25, whole: 0.75 },
+        stay: AvailabilityBudget {
+            zone: 0.25,
+            whole: 0.75,
+        },
         done: DoneBy::Restart,
         confirm_s: 51,
         quiet_s: 52,
@@ -284,7 +380,10 @@
         author: text("ann"),
     };
     let short: Plan = serde_json::from_value(json!({"reason": "disks", "author": "bo"})).unwrap();
-    assert_eq!((short.at_once, short.done, short.confirm_s), (1, DoneBy::Operator, 60));
+    assert_eq!(
+        (short.at_once, short.done, short.confirm_s),
+        (1, DoneBy::Operator, 60)
+    );
     let both = vec![plan, short];
     assert_eq!(through("plans.json", &both), both);
 }
@@ -292,8 +391,17 @@
 /// The answer to what operators have settled, and to a plan that is only tried.
 #[test]
 fn answers_to_plans_are_as_pinned() {
-    let settled = Settled { via: text("b-2"), leader: Some(text("b-1")), index: 61, term: 62 };
-    let dry_run = DryRun { order: vec![text("s-1"), text("s-2")], rounds: 71, at_most_s: 72 };
+    let settled = Settled {
+        via: text("b-2"),
+        leader: Some(text("b-1")),
+        index: 61,
+        term: 62,
+    };
+    let dry_run = DryRun {
+        order: vec![text("s-1"), text("s-2")],
+        rounds: 71,
+        at_most_s: 72,
+    };
     let both = (settled, dry_run);
     assert_eq!(through("answers.json", &both), both);
 }
--- a/crates/stairfront-handover/tests/golden/mod.rs
+++ b/crates/stairfront-handover/tests/golden/mod.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 
 fn path(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 /// The bytes of a golden file, which `now` is written into first where it is to be renewed.
--- a/crates/stairfront-policy/tests/stored_forms.rs
+++ b/crates/stairfront-policy/tests/stored_forms.rs
@@ -13,26 +13,40 @@
     let tenant = |(quota_per_s, share): (f64, f64)| Tenant { quota_per_s, share };
     Settings {
         tenants: TENANTS.map(tenant).to_vec(),
-        over_share_worth: 0.2,
+        over_share_weight: 0.2,
         report: vec![ReportField::Utilization],
         ..through()
     }
 }
 
 /// Caches 0 to 3; that at 1 has started lately.
-fn list() -> Vec<Member> {
+fn list() -> Vec<Endpoint> {
     let mut list = ready(0..4);
-    list[1].born = 97 * SECOND;
+    list[1].incarnation = 97 * SECOND;
     list
 }
 
 /// How an attempt ends whose cache tells how busy it is.
 fn settle(rig: &mut Rig, id: RequestId, outcome: Outcome, elapsed: Micros, closed: bool) {
-    let Some(cache) = rig.last_cache(id) else { return };
+    let Some(cache) = rig.last_cache(id) else {
+        return;
+    };
     let attempt = rig.sent[&id.0].len() as u8 - 1;
-    let load = Load { len: 1, values: [0.25 + 0.125 * cache.0 as f32, 0.0, 0.0, 0.0] };
-    let note = Note::Hit;
-    rig.event(Event::Settled(Settled { id, attempt, cache, outcome, closed, elapsed, note, load }));
+    let load = LoadReport {
+        len: 1,
+        values: [0.25 + 0.125 * cache.0 as f32, 0.0, 0.0, 0.0],
+    };
+    let note = CacheStatus::Hit;
+    rig.event(Event::AttemptFinished(AttemptResult {
+        id,
+        attempt,
+        cache,
+        outcome,
+        request_finished: closed,
+        elapsed,
+        cache_status: note,
+        load,
+    }));
 }
 
 /// A balancer in which each thing that is handed over has happened: caches served, late, silent and lost, one called
@@ -42,11 +56,18 @@
     for key in 0..60 {
         rig.now += 7 * MS;
         let id = rig.ask_of(key as u32 % 2, 0, key % 40, false);
-        settle(&mut rig, id, Outcome::Served, (20 + key as Micros) * MS, true);
+        settle(
+            &mut rig,
+            id,
+            Outcome::Served,
+            (20 + key as Micros) * MS,
+            true,
+        );
     }
     // More at once than there is room for.
-    let crowd: Vec<RequestId> =
-        (0..160).map(|key| rig.ask_of(u32::from(key % 4 == 0), 0, 100 + key, false)).collect();
+    let crowd: Vec<RequestId> = (0..160)
+        .map(|key| rig.ask_of(u32::from(key % 4 == 0), 0, 100 + key, false))
+        .collect();
     rig.now += 600 * MS;
     for (i, id) in crowd.iter().enumerate() {
         match i % 5 {
@@ -58,7 +79,10 @@
     }
     for on in [true, false] {
         rig.now += 11 * MS;
-        rig.event(Event::Cordon { cache: CacheId(2), on });
+        rig.event(Event::Cordon {
+            cache: CacheId(2),
+            on,
+        });
     }
     // Placed, and not served yet.
     for key in 300..306 {
@@ -96,12 +120,12 @@
     lacking
 }
 
-fn text(known: &Knowledge) -> Vec<u8> {
+fn text(known: &PolicySnapshot) -> Vec<u8> {
     serde_json::to_vec(known).unwrap()
 }
 
 /// A new process with the same list, told of this at the same time.
-fn heir(known: &Knowledge) -> Rig {
+fn heir(known: &PolicySnapshot) -> Rig {
     let mut rig = Rig::seeded(settings(), &list(), 99);
     rig.now = known.at;
     rig.event(Event::Inherited(known));
@@ -115,12 +139,19 @@
         Value::Number(number) if number.is_f64() => {
             let number = number.as_f64().unwrap();
             let even = (number * 64.0).round() / 64.0;
-            Value::from(if even == 0.0 && number != 0.0 { 1.0 / 64.0 } else { even })
+            Value::from(if even == 0.0 && number != 0.0 {
+                1.0 / 64.0
+            } else {
+                even
+            })
         }
         Value::Array(values) => values.into_iter().map(evened).collect(),
-        Value::Object(fields) => {
-            Value::Object(fields.into_iter().map(|(name, value)| (name, evened(value))).collect())
-        }
+        Value::Object(fields) => Value::Object(
+            fields
+                .into_iter()
+                .map(|(name, value)| (name, evened(value)))
+                .collect(),
+        ),
         other => other,
     }
 }
@@ -132,7 +163,9 @@
             let (a, b) = (a.as_f64().unwrap(), b.as_f64().unwrap());
             (a - b).abs() <= 4.0 * f64::EPSILON * a.abs()
         }
-        (Value::Array(a), Value::Array(b)) => a.len() == b.len() && a.iter().zip(b).all(|(a, b)| near(a, b)),
+        (Value::Array(a), Value::Array(b)) => {
+            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| near(a, b))
+        }
         (Value::Object(a), Value::Object(b)) => {
             a.len() == b.len() && a.iter().zip(b).all(|((m, a), (n, b))| m == n && near(a, b))
         }
@@ -141,13 +174,19 @@
 }
 
 /// Fails where the knowledge lacks an example of something.
-fn assert_filled(known: &Knowledge) {
+fn assert_filled(known: &PolicySnapshot) {
     let whole: Value = serde_json::from_slice(&text(known)).unwrap();
     let servers: Vec<&Value> = whole["servers"].as_array().unwrap().iter().collect();
     let mut lacking = unfilled(&[&whole], "knowledge");
     lacking.extend(unfilled(&servers, "server"));
     assert_eq!(lacking, Vec::<String>::new(), "{whole:#}");
-    let held = |is: bool| whole["placements"].as_array().unwrap().iter().any(|of| of[3] == is);
+    let held = |is: bool| {
+        whole["placements"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .any(|of| of[3] == is)
+    };
     assert!(held(true) && held(false));
 }
 
@@ -159,14 +198,14 @@
 #[test]
 fn knowledge_is_written_and_read_as_pinned() {
     let rig = busy();
-    let known = rig.policy.knowledge(rig.now);
+    let known = rig.policy.snapshot(rig.now);
     assert_filled(&known);
     let pinned = golden::same("knowledge.json", &text(&known));
-    let read: Knowledge = serde_json::from_slice(&pinned).unwrap();
+    let read: PolicySnapshot = serde_json::from_slice(&pinned).unwrap();
     let value = |text: &[u8]| -> Value { serde_json::from_slice(text).unwrap() };
     assert!(near(&value(&text(&read)), &value(&text(&known))));
     // Told at the same time, so that nothing has aged; the heir has nothing from elsewhere.
-    let next = heir(&read).policy.knowledge(read.at);
+    let next = heir(&read).policy.snapshot(read.at);
     assert_eq!(next, read);
     assert_eq!(text(&next), text(&read));
 }
@@ -175,13 +214,13 @@
 #[test]
 fn pinned_knowledge_goes_through_a_new_process_unchanged() {
     let rig = busy();
-    let driven = serde_json::to_value(rig.policy.knowledge(rig.now)).unwrap();
-    let known: Knowledge = serde_json::from_value(evened(driven)).unwrap();
+    let driven = serde_json::to_value(rig.policy.snapshot(rig.now)).unwrap();
+    let known: PolicySnapshot = serde_json::from_value(evened(driven)).unwrap();
     assert_filled(&known);
     let pinned = golden::same("knowledge_even.json", &text(&known));
-    let read: Knowledge = serde_json::from_slice(&pinned).unwrap();
+    let read: PolicySnapshot = serde_json::from_slice(&pinned).unwrap();
     assert_eq!(read, known);
-    let next = heir(&read).policy.knowledge(read.at);
+    let next = heir(&read).policy.snapshot(read.at);
     assert_eq!(next, known);
     assert_eq!(text(&next), pinned);
 }
