--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -281,7 +281,7 @@
     }
 
     fn snapshot(&mut self, to: oneshot::Sender<Snapshot>) {
-        let knowledge = self.policy.knowledge(self.clock.now());
+        let knowledge = self.policy.snapshot(self.clock.now());
         let state = HandoverState {
             knowledge,
             listed: self.registry.known().map(|id| id.0).collect(),
--- a/crates/stairfront-balancer/src/stages/route.rs
+++ b/crates/stairfront-balancer/src/stages/route.rs
@@ -9,7 +9,7 @@
 pub trait Decide: 'static {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
     /// What a process that takes over from this one should know; nothing by default.
-    fn knowledge(&self, _now: Micros) -> PolicySnapshot {
+    fn snapshot(&self, _now: Micros) -> PolicySnapshot {
         PolicySnapshot::default()
     }
 }
@@ -19,8 +19,8 @@
         Policy::handle(self, now, event, actions);
     }
 
-    fn knowledge(&self, now: Micros) -> PolicySnapshot {
-        Policy::knowledge(self, now)
+    fn snapshot(&self, now: Micros) -> PolicySnapshot {
+        Policy::snapshot(self, now)
     }
 }
 
