--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -579,7 +579,7 @@
                 self.timers.insert(Due::Token(token), duration(delay));
             }
             Action::Disconnect { cache } => self.pool.close_idle(cache),
-            Action::Log(text) => info!("{text}"),
+            Action::Log(record) => info!("{record}"),
             // Probes answer as not made, so that a module that tries them learns nothing wrong.
             Action::HealthCheck { cache } => {
                 let (outcome, load) = (Outcome::NeverSent, LoadReport::default());
--- a/crates/stairfront-simulator-adapter/src/wire.rs
+++ b/crates/stairfront-simulator-adapter/src/wire.rs
@@ -522,8 +522,8 @@
                 self.put_tail(&mut record, 5, body);
                 8
             }
-            Action::Log(text) => {
-                self.put_tail(&mut record, 3, text.as_bytes());
+            Action::Log(log_record) => {
+                self.put_tail(&mut record, 3, log_record.to_string().as_bytes());
                 9
             }
             Action::Watch(on) => {
--- a/crates/stairfront-simulator-adapter/tests/codec.rs
+++ b/crates/stairfront-simulator-adapter/tests/codec.rs
@@ -118,15 +118,18 @@
             token: 77,
         },
     );
-    reply.push(9, &Action::Log("two servers known".to_string()));
-    let mut want = hex("03000000 61000000");
+    reply.push(
+        9,
+        &Action::Log(LogRecord::OverShareShedding { active: true }),
+    );
+    let mut want = hex("03000000 72000000");
     want.extend(padded(
         "01 0300 c4913a5d 0a124a07 2b23 0000000000005440",
         24,
     ));
     want.extend(padded("05 0500 0000000000407f40 4d00000000000000", 24));
-    want.extend(padded("09 0900 00000000 11000000", 24));
-    want.extend(b"two servers known");
+    want.extend(padded("09 0900 00000000 22000000", 24));
+    want.extend(b"shedding over-share traffic starts");
     assert_eq!(reply.finish(), want);
 }
 
