--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -591,7 +591,7 @@
                 });
             }
             // Balancers share nothing here, and the watch on discovery's agent never ends.
-            Action::SendToPeer { .. } | Action::Watch(_) | Action::PollList => {}
+            Action::SendToPeer { .. } | Action::WatchList(_) | Action::PollList => {}
         }
     }
 
--- a/crates/stairfront-policy/src/interface.rs
+++ b/crates/stairfront-policy/src/interface.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the answering cache reported of the key (compare RFC 9211, `Cache-Status`).
+/// Status of the key as reported by the answering cache (compare RFC 9211, `Cache-Status`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
     /// Nothing reported.
@@ -120,13 +120,13 @@
     pub request_finished: bool,
     /// Time from sending to the end.
     pub elapsed: Micros,
-    /// What the cache reported of the key.
+    /// Status of the key as reported by the cache.
     pub cache_status: CacheStatus,
     /// The server's load report.
     pub load: LoadReport,
 }
 
-/// What has happened.
+/// An event that the policy decides on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
     /// News of the endpoint list.
@@ -194,7 +194,7 @@
     },
 }
 
-/// What the driver is to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -253,7 +253,7 @@
         body: Vec<u8>,
     },
     /// Open or close the watch of the endpoint list.
-    Watch(bool),
+    WatchList(bool),
     /// Poll the endpoint list once.
     PollList,
     /// Write a log line; the record's `Display` is its text.
--- a/crates/stairfront-policy/src/interface/endpoint.rs
+++ b/crates/stairfront-policy/src/interface/endpoint.rs
@@ -34,7 +34,7 @@
     pub size: f32,
 }
 
-/// What discovery has said.
+/// An update of the endpoint list by discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointListUpdate<'a> {
     /// Changed entries only.
--- a/crates/stairfront-policy/src/interface/log_record.rs
+++ b/crates/stairfront-policy/src/interface/log_record.rs
@@ -1,4 +1,4 @@
-//! What a balancer reports in its log.
+//! Records for a balancer's log.
 use std::fmt;
 
 use stairfront_common::time::{Micros, MS};
--- a/crates/stairfront-policy/src/interface/settings.rs
+++ b/crates/stairfront-policy/src/interface/settings.rs
@@ -4,7 +4,7 @@
 use super::endpoint::Location;
 use super::ids::{Kind, Zone};
 
-/// What repeating a request may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Safe to repeat.
@@ -46,7 +46,7 @@
 /// A class of requests and what is promised for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// What repeating a request of this class may do.
+    /// Whether a request of this class may be repeated.
     pub idempotency: Idempotency,
     /// Time within which an answer counts in full.
     pub latency_objective: Micros,
@@ -111,7 +111,7 @@
     Other,
 }
 
-/// What a balancer may do at all.
+/// Limits on the means that a balancer may use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
     /// Attempts for one request, the first included.
@@ -151,8 +151,8 @@
     pub overload_window: Micros,
 }
 
-/// Weight of the slowest requests, by class and 5 s. What was served counts in full while no more than the tolerated
-/// fraction missed its latency objective, and for nothing at five times that. A rejection within the objective is no miss.
+/// Weight of the slowest requests, by class and 5 s. Served requests count in full while no more than the tolerated
+/// fraction missed the latency objective, and for nothing at five times that. A rejection within the objective is no miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TailLatency {
     /// Part of the result that the tail decides; 0 where only priority weights are counted.
@@ -184,7 +184,7 @@
     pub over_share_weight: f64,
     /// Weight of the slowest requests.
     pub tail: TailLatency,
-    /// What the balancer may do at all.
+    /// Limits on the means that the balancer may use.
     pub limits: Limits,
     /// The times and multiples of the four rules.
     pub rules: Rules,
--- a/crates/stairfront-policy/src/policy/admission.rs
+++ b/crates/stairfront-policy/src/policy/admission.rs
@@ -15,7 +15,7 @@
     /// Handles a request that has arrived.
     pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
         let request = self.bounded_by_shutdown(request);
-        self.measure_fleet(now);
+        self.update_fleet_rates(now);
         self.slow_start_draw = self.rng.unit();
         self.retry_budget.deposit();
         self.tenant_usage.record(request.tenant);
--- a/crates/stairfront-policy/src/policy/endpoint_list.rs
+++ b/crates/stairfront-policy/src/policy/endpoint_list.rs
@@ -22,7 +22,7 @@
 /// Fraction of the time allowed without a call to discovery within which a balancer polls.
 const POLL_FRACTION: f64 = 0.7;
 
-/// What is known of the endpoint list as a whole.
+/// State of the endpoint list as a whole.
 #[derive(Default)]
 pub(super) struct ListState {
     /// Number of servers in the last full list.
@@ -31,7 +31,7 @@
     started: bool,
     /// Removals by the current list are judged by the outcomes of attempts.
     doubted: bool,
-    /// Watch events arrive.
+    /// The watch of the list is open, so its events arrive.
     subscribed: bool,
     /// Failed polls and broken watches in a row, up to a bound.
     failures: u32,
@@ -152,7 +152,7 @@
     /// Opens the watch of the list if it is not open.
     pub(super) fn on_poll_timer(&self, actions: &mut Vec<Action>) {
         if !self.list.subscribed {
-            actions.push(Action::Watch(true));
+            actions.push(Action::WatchList(true));
         }
     }
 
@@ -165,7 +165,7 @@
         let placed_keys = if known {
             0
         } else {
-            self.mean_placed_keys(endpoint.id)
+            self.average_placed_keys(endpoint.id)
         };
         let blank = self.blank_server(now, endpoint, placed_keys);
         let server = self
@@ -208,7 +208,7 @@
 
     /// The mean number of keys placed on the other caches, which a new cache starts with: it would otherwise attract
     /// all new keys.
-    fn mean_placed_keys(&self, new_server: CacheId) -> i64 {
+    fn average_placed_keys(&self, new_server: CacheId) -> i64 {
         let mut sum = 0;
         let mut count = 0;
         for server in self.ring_servers().filter(|s| s.id() != new_server) {
--- a/crates/stairfront-policy/src/policy/hand_off.rs
+++ b/crates/stairfront-policy/src/policy/hand_off.rs
@@ -1,7 +1,6 @@
 //! Hand-off to the next process: what is exported, and what of it the next process adopts.
 //!
-//! What counts of a snapshot is what the endpoint list in hand still says: nothing in it overrides a drain, a restart or
-//! a cordon.
+//! The endpoint list in hand goes before a snapshot: nothing in it overrides a drain, a restart or a cordon.
 use std::cmp::Reverse;
 
 use stairfront_common::time::{Micros, SECOND};
@@ -18,7 +17,7 @@
 const MEASUREMENT_TTL: Micros = 10 * SECOND;
 
 impl Policy {
-    /// What this balancer has learned, for the process that takes over from it.
+    /// Exports the state that the process which takes over from this one may adopt.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> PolicySnapshot {
         let mut servers: Vec<ServerRecord> = self.servers.values().map(Server::record).collect();
@@ -138,7 +137,7 @@
             return;
         }
         self.placed_keys = record.placed_keys;
-        // What a cold cache was sent counts against its budget for as long as it is cold.
+        // Requests sent to a cold cache count against its budget for as long as it is cold.
         self.slow_start_tokens = record.slow_start_tokens;
         self.tokens_updated_at = record.tokens_updated_at;
         self.sent_rate = record.sent_rate;
--- a/crates/stairfront-policy/src/policy/idle_connections.rs
+++ b/crates/stairfront-policy/src/policy/idle_connections.rs
@@ -11,7 +11,7 @@
 /// How long connections that were idle for longer than the limit are not used after a loss.
 const LIMIT_TTL: Micros = 20 * SECOND;
 
-/// What an outcome says of the connection that its attempt was sent on.
+/// Conclusion from an outcome about the connection that its attempt was sent on.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct IdleVerdict {
     /// The attempt may have been lost with an idle connection, so it says nothing of its server.
--- a/crates/stairfront-policy/src/policy/load_shedding.rs
+++ b/crates/stairfront-policy/src/policy/load_shedding.rs
@@ -17,7 +17,7 @@
 pub(super) struct LoadShedding {
     /// From 0, nothing, to 1.
     pub(super) level: f64,
-    /// What was last reported.
+    /// The last report.
     active: bool,
 }
 
--- a/crates/stairfront-policy/src/policy/miss_admission.rs
+++ b/crates/stairfront-policy/src/policy/miss_admission.rs
@@ -32,7 +32,7 @@
     pub(super) late_fraction: Ewma,
     grown_at: Micros,
     cut_at: Micros,
-    /// What was last reported.
+    /// The last report.
     restricted: bool,
 }
 
--- a/crates/stairfront-policy/src/policy/outlier_detection.rs
+++ b/crates/stairfront-policy/src/policy/outlier_detection.rs
@@ -24,7 +24,7 @@
 /// Fraction of its latency objective that an answer may take on average; the rest is for variation and a retry.
 const TARGET_FRACTION: f64 = 0.4;
 
-/// What an attempt is measured by.
+/// Measures by which the outcome of an attempt is judged.
 struct AttemptContext {
     /// Time that its answer may take on average, in microseconds.
     target: f64,
--- a/crates/stairfront-policy/src/policy/pending_request.rs
+++ b/crates/stairfront-policy/src/policy/pending_request.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of one open request.
+//! State of one open request.
 use stairfront_common::time::Micros;
 
 use crate::interface::{CacheId, Class, Location, Request};
@@ -14,7 +14,7 @@
     pub(crate) location: Location,
 }
 
-/// What an open request waits for.
+/// The stage of an open request, by the event that it waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// An attempt at a cache, or a write at the origin.
@@ -58,7 +58,7 @@
     pub(crate) objective_at: Micros,
     /// On admission its key had been served by the cache where it is placed, so a hit is likely.
     pub(crate) likely_cached: bool,
-    /// What it waits for.
+    /// The event that it waits for.
     pub(crate) stage: Stage,
     /// Number of attempts sent.
     pub(crate) attempts_sent: u8,
--- a/crates/stairfront-policy/src/policy/placement.rs
+++ b/crates/stairfront-policy/src/policy/placement.rs
@@ -213,10 +213,10 @@
                 placement.seen_at = now;
                 return Some(placement.cache);
             }
-            self.forget_key(key);
+            self.remove_key(key);
         }
         while let Some(expired) = self.placements.pop_expired(now) {
-            self.forget_key(expired);
+            self.remove_key(expired);
         }
         let (first, second) = self.ring.candidates(key).choices()?;
         let cache = self.ring.cache(self.less_loaded(first, second));
@@ -265,7 +265,7 @@
     }
 
     /// Ends the placement of a key.
-    pub(super) fn forget_key(&mut self, key: Key) {
+    pub(super) fn remove_key(&mut self, key: Key) {
         let Some(placement) = self.placements.remove(key) else {
             return;
         };
--- a/crates/stairfront-policy/src/policy/retry_budget.rs
+++ b/crates/stairfront-policy/src/policy/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget: retries are paid from a budget that first attempts fill, as in Finagle and linkerd. Retries of failures
 //! would otherwise multiply the load that caused them.
 
-/// What each request adds to the budget, in retries.
+/// Amount that each request adds to the budget, in retries.
 const DEPOSIT_PER_REQUEST: f64 = 0.3;
 /// Most retries that the budget holds.
 const MAX_TOKENS: f64 = 10.0;
@@ -18,7 +18,7 @@
 }
 
 impl RetryBudget {
-    /// Adds what one request pays in.
+    /// Adds the amount of one request.
     pub(super) fn deposit(&mut self) {
         self.tokens = (self.tokens + DEPOSIT_PER_REQUEST).min(MAX_TOKENS);
     }
--- a/crates/stairfront-policy/src/policy/server.rs
+++ b/crates/stairfront-policy/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of one server.
+//! State of one server as this balancer sees it.
 use stairfront_common::time::Micros;
 
 use crate::interface::{CacheId, Endpoint, EndpointState};
@@ -14,7 +14,7 @@
     Origin,
 }
 
-/// What one balancer knows of one server.
+/// State of one server as this balancer sees it.
 #[derive(Clone, Default)]
 pub(crate) struct Server {
     /// The entry of the endpoint list as it applies here, cordons included.
--- a/crates/stairfront-policy/src/policy/server_selection.rs
+++ b/crates/stairfront-policy/src/policy/server_selection.rs
@@ -23,7 +23,7 @@
 /// Age of a load report, in microseconds, from which it is no longer used.
 const LOAD_REPORT_TTL: f64 = 20.0 * SECOND as f64;
 
-/// What a walk over the candidates of a key has found.
+/// Result of a walk over the candidates of a key.
 #[derive(Default)]
 struct CandidateReview {
     /// The first candidate with capacity below the spill limit, or else the one with the fewest attempts in flight.
@@ -124,7 +124,7 @@
         let target = self.next_clockwise(key, tried, |server| {
             self.accepts_requests(server, now) && is_idle(server)
         })?;
-        self.forget_key(key);
+        self.remove_key(key);
         self.place_on(now, key, target);
         Some(target)
     }
--- a/crates/stairfront-policy/src/policy/slow_start.rs
+++ b/crates/stairfront-policy/src/policy/slow_start.rs
@@ -44,7 +44,7 @@
 
 impl Policy {
     /// Measures the rates of the fleet, if that is due.
-    pub(super) fn measure_fleet(&mut self, now: Micros) {
+    pub(super) fn update_fleet_rates(&mut self, now: Micros) {
         if now - self.fleet_rates.measured_at < MEASUREMENT_INTERVAL {
             return;
         }
@@ -88,8 +88,8 @@
 
     /// Requests that a cold server may get from this balancer now.
     ///
-    /// A cold cache that gets a multiple of its present capacity fails and does not recover. What this balancer sends to
-    /// a warm cache stands for its part of the capacity, so that no other balancer has to be asked.
+    /// A cold cache that gets a multiple of its present capacity fails and does not recover. The rate at which
+    /// this balancer sends to a warm cache stands for its part of the capacity, so that no other balancer has to be asked.
     pub(super) fn available_tokens(&self, server: &Server, now: Micros) -> f64 {
         let trickle = TRICKLE_PER_SECOND / f64::from(self.settings.balancers);
         // The mean of all kinds is a multiple of what the weakest kind can do, and what a full cache rejected is no work
--- a/crates/stairfront-policy/src/policy/timer_token.rs
+++ b/crates/stairfront-policy/src/policy/timer_token.rs
@@ -1,4 +1,4 @@
-//! What the timers of the policy are for. A timer's number holds it, so that no table of timers is kept.
+//! Purposes of the policy's timers. A timer's number encodes its purpose, so that no table of timers is kept.
 use crate::interface::RequestId;
 
 const POLL_LIST: u64 = u64::MAX;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What a number given by `encode` stands for.
+    /// The purpose that a number returned by `encode` stands for.
     pub(super) fn decode(token: u64) -> Self {
         let id = RequestId(token as u32);
         if token == POLL_LIST {
--- a/crates/stairfront-policy/src/snapshot.rs
+++ b/crates/stairfront-policy/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What one balancer process has learned, as plain data for the process that takes over from it.
+//! State that one balancer process has learned, as plain data for the process that takes over from it.
 //!
 //! Both processes may be of different versions, so the stored names are pinned: where a field's name here differs, the
 //! stored one stands in `serde(rename)`. All times are Unix time in microseconds, which both processes read from the clock
@@ -8,7 +8,7 @@
 
 use crate::statistics::{DecayingRate, Ewma};
 
-/// State exported by one process for the next one. What the next process adopts of it, `Policy` decides.
+/// State exported by one process for the next one. `Policy` decides how much of it the next process adopts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
     /// When it was exported.
@@ -29,7 +29,7 @@
     pub(crate) tenant_samples: f64,
 }
 
-/// What was learned of one server.
+/// State of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ServerRecord {
     pub(crate) id: u64,
--- a/crates/stairfront-policy/tests/common/mod.rs
+++ b/crates/stairfront-policy/tests/common/mod.rs
@@ -7,9 +7,9 @@
 
 pub const ORIGIN: CacheId = CacheId(9_000);
 
-pub fn class(semantics: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: semantics,
+        idempotency: idempotency,
         latency_objective: 500 * MS,
         deadline: 1_000 * MS,
         priority_weight: 1.0,
@@ -54,15 +54,15 @@
     }
 }
 
-pub fn through() -> Settings {
+pub fn read_through() -> Settings {
     settings(CacheMode::Through)
 }
 
-pub fn aside() -> Settings {
+pub fn cache_aside() -> Settings {
     settings(CacheMode::Aside { origin: Kind(1) })
 }
 
-pub fn member(id: u64, state: EndpointState) -> Endpoint {
+pub fn endpoint(id: u64, state: EndpointState) -> Endpoint {
     let zone = Zone((id % 2) as u8);
     Endpoint {
         id: CacheId(id),
@@ -75,21 +75,21 @@
     }
 }
 
-pub fn ready(ids: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
+pub fn ready_list(ids: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
     ids.into_iter()
-        .map(|id| member(id, EndpointState::Ready))
+        .map(|id| endpoint(id, EndpointState::Ready))
         .collect()
 }
 
 pub fn with_origin(mut list: Vec<Endpoint>) -> Vec<Endpoint> {
     list.push(Endpoint {
         kind: Kind(1),
-        ..member(ORIGIN.0, EndpointState::Ready)
+        ..endpoint(ORIGIN.0, EndpointState::Ready)
     });
     list
 }
 
-pub struct Rig {
+pub struct TestBalancer {
     pub policy: Policy,
     pub now: Micros,
     pub out: Vec<Action>,
@@ -98,22 +98,22 @@
     next: u32,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, list: &[Endpoint]) -> Rig {
-        Rig::seeded(settings, list, 7)
+impl TestBalancer {
+    pub fn new(settings: Settings, list: &[Endpoint]) -> TestBalancer {
+        TestBalancer::seeded(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: &[Endpoint], seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, list: &[Endpoint], seed: u64) -> TestBalancer {
         let policy = Policy::new(settings, seed);
-        let mut rig = Rig {
+        let mut balancer = TestBalancer {
             policy,
             now: 100 * SECOND,
             out: vec![],
             sent: BTreeMap::new(),
             next: 0,
         };
-        rig.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
-        rig
+        balancer.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
+        balancer
     }
 
     /// Hands in one event; the actions it caused are returned and kept in `out`.
@@ -129,15 +129,15 @@
         actions
     }
 
-    pub fn ask(&mut self, key: u64) -> RequestId {
-        self.ask_as(0, key, false)
+    pub fn request(&mut self, key: u64) -> RequestId {
+        self.request_of_class(0, key, false)
     }
 
-    pub fn ask_as(&mut self, class: u8, key: u64, write: bool) -> RequestId {
-        self.ask_of(0, class, key, write)
+    pub fn request_of_class(&mut self, class: u8, key: u64, write: bool) -> RequestId {
+        self.request_from(0, class, key, write)
     }
 
-    pub fn ask_of(&mut self, tenant: u32, class: u8, key: u64, write: bool) -> RequestId {
+    pub fn request_from(&mut self, tenant: u32, class: u8, key: u64, write: bool) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let (key, expires) = (Some(Key(key)), self.now + 1_000 * MS);
@@ -155,27 +155,27 @@
     }
 
     /// The last attempt of a request ends so.
-    pub fn settle(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
+    pub fn finish_attempt(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
         let sends = &self.sent[&id.0];
         let (attempt, cache) = (sends.len() as u8 - 1, sends[sends.len() - 1]);
-        let closed = outcome == Outcome::Served;
-        let (elapsed, note, load) = (20 * MS, CacheStatus::Hit, LoadReport::default());
+        let request_finished = outcome == Outcome::Served;
+        let (elapsed, cache_status, load) = (20 * MS, CacheStatus::Hit, LoadReport::default());
         self.event(Event::AttemptFinished(AttemptResult {
             id,
             attempt,
             cache,
             outcome,
-            request_finished: closed,
+            request_finished,
             elapsed,
-            cache_status: note,
+            cache_status,
             load,
         }))
     }
 
     /// Asks for a key and has it served; tells by whom.
     pub fn serve(&mut self, key: u64) -> CacheId {
-        let id = self.ask(key);
-        self.settle(id, Outcome::Served);
+        let id = self.request(key);
+        self.finish_attempt(id, Outcome::Served);
         self.last_cache(id).expect("an idle cache takes a request")
     }
 
@@ -183,21 +183,21 @@
         self.sent.get(&id.0).and_then(|s| s.last().copied())
     }
 
-    pub fn finals(&self, id: RequestId) -> usize {
+    pub fn final_answers(&self, id: RequestId) -> usize {
         let is_final = |a: &&Action| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i } if *i == id);
         self.out.iter().filter(is_final).count()
     }
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn sends(actions: &[Action]) -> Vec<CacheId> {
+pub fn servers_sent_to(actions: &[Action]) -> Vec<CacheId> {
     actions
         .iter()
         .filter_map(|a| {
--- a/crates/stairfront-policy/tests/inheritance.rs
+++ b/crates/stairfront-policy/tests/hand_off.rs
@@ -7,31 +7,31 @@
 use stairfront_policy::interface::*;
 
 /// Where each key is served, in a balancer that has run for a while.
-fn long_running() -> (Rig, BTreeMap<u64, CacheId>) {
-    let mut rig = Rig::new(through(), &ready(0..6));
+fn long_running() -> (TestBalancer, BTreeMap<u64, CacheId>) {
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(0..6));
     for round in 0..3 {
         for key in 0..200 {
-            rig.now += 5 * MS;
-            rig.serve(key + round);
+            balancer.now += 5 * MS;
+            balancer.serve(key + round);
         }
     }
-    let served = (0..200).map(|key| (key, rig.serve(key))).collect();
-    (rig, served)
+    let served = (0..200).map(|key| (key, balancer.serve(key))).collect();
+    (balancer, served)
 }
 
 /// A process that has just started with this list and heard of what `before` knows.
-fn successor(before: &Rig, list: &[Endpoint], after: Micros) -> Rig {
+fn successor(before: &TestBalancer, list: &[Endpoint], after: Micros) -> TestBalancer {
     let known = before.policy.snapshot(before.now);
-    let mut rig = Rig::seeded(through(), list, 99);
-    rig.now = before.now + after;
-    rig.event(Event::Inherited(&known));
-    rig
+    let mut balancer = TestBalancer::seeded(read_through(), list, 99);
+    balancer.now = before.now + after;
+    balancer.event(Event::Inherited(&known));
+    balancer
 }
 
 #[test]
 fn keys_stay_where_they_were_placed() {
     let (before, served) = long_running();
-    let mut next = successor(&before, &ready(0..6), 2 * SECOND);
+    let mut next = successor(&before, &ready_list(0..6), 2 * SECOND);
     let kept = served
         .iter()
         .filter(|(key, cache)| next.serve(**key) == **cache)
@@ -42,18 +42,18 @@
 }
 
 #[test]
-fn a_list_that_says_draining_or_restarted_goes_before_what_was_known() {
+fn a_list_that_reports_draining_or_restarted_takes_precedence_over_a_snapshot() {
     let (before, served) = long_running();
-    let mut list = ready(0..6);
+    let mut list = ready_list(0..6);
     list[1].state = EndpointState::Draining;
     list[2].incarnation = before.now - SECOND;
     let mut next = successor(&before, &list, SECOND);
     let (mut drained, mut restarted) = (0, 0);
     for key in served.keys() {
-        let id = next.ask(*key);
+        let id = next.request(*key);
         next.now += 5 * MS;
         if let Some(cache) = next.last_cache(id) {
-            next.settle(id, Outcome::Served);
+            next.finish_attempt(id, Outcome::Served);
             drained += usize::from(cache == CacheId(1));
             restarted += usize::from(cache == CacheId(2));
         }
@@ -70,28 +70,28 @@
 }
 
 #[test]
-fn windows_that_are_old_are_not_believed() {
+fn windows_of_an_old_snapshot_are_not_adopted() {
     let (mut before, _) = long_running();
     for key in 1_000..1_060 {
-        let id = before.ask(key);
+        let id = before.request(key);
         if before.last_cache(id) == Some(CacheId(3)) {
-            before.settle(id, Outcome::ConnectFailed);
+            before.finish_attempt(id, Outcome::ConnectFailed);
         }
     }
     // All at once, so that a window is what limits them.
-    let uses = |rig: &mut Rig| {
-        let ids: Vec<RequestId> = (2_000..2_100).map(|key| rig.ask(key)).collect();
+    let uses = |balancer: &mut TestBalancer| {
+        let ids: Vec<RequestId> = (2_000..2_100).map(|key| balancer.request(key)).collect();
         ids.iter()
-            .filter(|id| rig.last_cache(**id) == Some(CacheId(3)))
+            .filter(|id| balancer.last_cache(**id) == Some(CacheId(3)))
             .count()
     };
-    let soon = uses(&mut successor(&before, &ready(0..6), SECOND));
-    let late = uses(&mut successor(&before, &ready(0..6), 30 * SECOND));
+    let soon = uses(&mut successor(&before, &ready_list(0..6), SECOND));
+    let late = uses(&mut successor(&before, &ready_list(0..6), 30 * SECOND));
     assert!(soon < late, "{soon} soon after, {late} long after");
 }
 
 #[test]
-fn a_cache_called_back_from_a_cordon_is_still_cold_in_the_next_process() {
+fn a_cache_whose_cordon_was_lifted_is_still_cold_in_the_next_process() {
     // The same state but for the time since the call back.
     let sent = |wait: Micros| {
         let (mut before, _) = long_running();
@@ -102,8 +102,8 @@
             });
         }
         before.now += wait;
-        let mut next = successor(&before, &ready(0..6), SECOND);
-        let ids: Vec<RequestId> = (5_000..5_200).map(|key| next.ask(key)).collect();
+        let mut next = successor(&before, &ready_list(0..6), SECOND);
+        let ids: Vec<RequestId> = (5_000..5_200).map(|key| next.request(key)).collect();
         ids.iter()
             .filter(|id| next.last_cache(**id) == Some(CacheId(4)))
             .count()
--- a/crates/stairfront-policy/tests/rules.rs
+++ b/crates/stairfront-policy/tests/invariants.rs
@@ -38,7 +38,7 @@
 
 /// A legal world around one balancer, and the judge of what it does.
 struct World {
-    set: Settings,
+    settings: Settings,
     now: Micros,
     policy: Policy,
     jobs: BTreeMap<u32, Job>,
@@ -51,8 +51,8 @@
 }
 
 impl World {
-    fn new(set: Settings, list: &[Endpoint], seed: u64, slow: bool) -> World {
-        let policy = Policy::new(set.clone(), seed);
+    fn new(settings: Settings, list: &[Endpoint], seed: u64, slow: bool) -> World {
+        let policy = Policy::new(settings.clone(), seed);
         let lines = list
             .iter()
             .map(|m| {
@@ -68,7 +68,7 @@
         let (jobs, now) = (BTreeMap::new(), 100 * SECOND);
         let (timers, probes, faults) = (vec![], vec![], vec![]);
         let mut world = World {
-            set,
+            settings,
             now,
             policy,
             jobs,
@@ -105,15 +105,15 @@
         let mut actions = vec![];
         self.policy.handle(self.now, event, &mut actions);
         for action in actions {
-            self.judge(action);
+            self.check(action);
         }
     }
 
-    fn judge(&mut self, action: Action) {
+    fn check(&mut self, action: Action) {
         match action {
             Action::Send {
                 id, cache, timeout, ..
-            } => self.judge_send(id, cache, timeout),
+            } => self.check_send(id, cache, timeout),
             Action::Reject { id, .. } => {
                 self.fault_if(
                     !self.may_refuse(id),
@@ -135,8 +135,8 @@
         }
     }
 
-    fn semantics(&self, request: &Request) -> Idempotency {
-        self.set.classes[usize::from(request.class.0)].idempotency
+    fn idempotency(&self, request: &Request) -> Idempotency {
+        self.settings.classes[usize::from(request.class.0)].idempotency
     }
 
     /// Attempts that are out or did not prove that they never ran.
@@ -154,7 +154,7 @@
             .collect()
     }
 
-    fn judge_send(&mut self, id: RequestId, cache: CacheId, timeout: Micros) {
+    fn check_send(&mut self, id: RequestId, cache: CacheId, timeout: Micros) {
         let (now, roll, slow) = (self.now, self.roll(100), self.slow);
         let delay = (1 + self.roll(if slow { 300 } else { 60 }) as Micros) * MS;
         let Some(job) = self.jobs.get(&id.0) else {
@@ -164,10 +164,10 @@
         if job.over {
             wrong.push("sent after its end");
         }
-        if job.attempts.iter().any(|a| a.ended.is_none()) && !self.set.limits.may_hedge {
+        if job.attempts.iter().any(|a| a.ended.is_none()) && !self.settings.limits.may_hedge {
             wrong.push("two attempts out");
         }
-        if job.attempts.len() >= usize::from(self.set.limits.max_attempts) {
+        if job.attempts.len() >= usize::from(self.settings.limits.max_attempts) {
             wrong.push("too many attempts");
         }
         let (expires, ran) = (job.request.expires_at, self.may_have_run(job));
@@ -175,11 +175,11 @@
             None => wrong.push("to a cache that was never listed"),
             Some(l)
                 if l.left
-                    .is_some_and(|at| now > at + self.set.rules.drain_grace) =>
+                    .is_some_and(|at| now > at + self.settings.rules.drain_grace) =>
             {
                 wrong.push("to a cache that left")
             }
-            Some(line) => match self.semantics(&job.request) {
+            Some(line) => match self.idempotency(&job.request) {
                 Idempotency::NotIdempotent if !ran.is_empty() => {
                     wrong.push("single shot sent twice")
                 }
@@ -232,7 +232,7 @@
         let Some(job) = self.jobs.get(&id.0) else {
             return false;
         };
-        match self.semantics(&job.request) {
+        match self.idempotency(&job.request) {
             Idempotency::Idempotent
             | Idempotency::Keyed {
                 scope: DeduplicationScope::All,
@@ -244,7 +244,7 @@
 
     /// The balancer's own final answer.
     fn end(&mut self, id: RequestId) {
-        let (now, slack) = (self.now, self.set.rules.answer_slack);
+        let (now, slack) = (self.now, self.settings.rules.answer_slack);
         let Some(job) = self.jobs.get_mut(&id.0) else {
             return self.fault(format!("{id:?} was never given"));
         };
@@ -260,8 +260,8 @@
     }
 
     fn request(&mut self, id: u32) {
-        let class = self.roll(self.set.classes.len() as u64) as u8;
-        let deadline = self.set.classes[usize::from(class)].deadline;
+        let class = self.roll(self.settings.classes.len() as u64) as u8;
+        let deadline = self.settings.classes[usize::from(class)].deadline;
         let expires = self.now + deadline * (40 + self.roll(61) as Micros) / 100;
         let (key, tenant) = (Some(Key(1 + self.roll(40))), TenantId(self.roll(3) as u32));
         let write = self.roll(8) == 0;
@@ -309,8 +309,8 @@
         if turn == 0 {
             line.member.incarnation = self.now - SECOND;
         }
-        let news = [line.member];
-        self.event(Event::EndpointList(EndpointListUpdate::Delta(&news)));
+        let update = [line.member];
+        self.event(Event::EndpointList(EndpointListUpdate::Delta(&update)));
     }
 
     /// One tick: what ends or fires now, and clients that leave.
@@ -357,7 +357,7 @@
                 load: LoadReport::default(),
             });
         }
-        let slack = self.set.rules.answer_slack;
+        let slack = self.settings.rules.answer_slack;
         let lost = |j: &Job| !j.over && now > j.request.expires_at + slack;
         let lost: Vec<u32> = self
             .jobs
@@ -382,59 +382,64 @@
         if outcome == Outcome::Served && !job.over {
             (job.over, job.answered) = (true, job.answered + 1);
         }
-        let (closed, note, load) = (job.over, CacheStatus::None, LoadReport::default());
+        let (request_finished, cache_status, load) =
+            (job.over, CacheStatus::None, LoadReport::default());
         let (id, attempt) = (RequestId(id), i as u8);
         self.event(Event::AttemptFinished(AttemptResult {
             id,
             attempt,
             cache,
             outcome,
-            request_finished: closed,
+            request_finished,
             elapsed,
-            cache_status: note,
+            cache_status,
             load,
         }));
     }
 }
 
 fn any_settings(aside_mode: bool, ask: bool, group: u8, probes: bool, tries: u8) -> Settings {
-    let mut set = if aside_mode { aside() } else { through() };
+    let mut settings = if aside_mode {
+        cache_aside()
+    } else {
+        read_through()
+    };
     let group = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ][usize::from(group % 3)];
-    let guarded = Idempotency::Keyed {
+    let keyed = Idempotency::Keyed {
         scope: group,
         key_ttl: 250 * MS,
     };
-    set.classes = vec![
+    settings.classes = vec![
         class(Idempotency::Idempotent),
-        class(guarded),
+        class(keyed),
         class(Idempotency::NotIdempotent),
     ];
-    set.classes[1].late_weight = 0.5;
-    set.classes[2].late_weight = if tries > 3 { 0.5 } else { 0.0 };
-    set.discovery = if ask {
+    settings.classes[1].late_weight = 0.5;
+    settings.classes[2].late_weight = if tries > 3 { 0.5 } else { 0.0 };
+    settings.discovery = if ask {
         DiscoveryMode::Poll
     } else {
         DiscoveryMode::Push
     };
-    set.limits.may_probe = probes;
-    set.limits.max_attempts = tries;
-    set.tenants = (0..3)
+    settings.limits.may_probe = probes;
+    settings.limits.max_attempts = tries;
+    settings.tenants = (0..3)
         .map(|_| Tenant {
             quota_per_s: 20.0,
             share: 0.3,
         })
         .collect();
-    set.over_share_weight = 0.1;
-    set
+    settings.over_share_weight = 0.1;
+    settings
 }
 
-fn play(set: Settings, caches: u64, seed: u64, slow: bool, per_tick: u64) -> Vec<String> {
-    let list = with_origin(ready(1..=caches));
-    let mut world = World::new(set, &list, seed, slow);
+fn play(settings: Settings, caches: u64, seed: u64, slow: bool, per_tick: u64) -> Vec<String> {
+    let list = with_origin(ready_list(1..=caches));
+    let mut world = World::new(settings, &list, seed, slow);
     let mut id = 0;
     for _ in 0..300 {
         for _ in 0..world.roll(per_tick + 1) {
@@ -466,19 +471,19 @@
     fn the_rules_hold_on_random_days(aside_mode: bool, ask: bool, group: u8, probes: bool, slow: bool,
                                      tries in 1u8..6, seed: u64, per_tick in 1u64..5,
                                      tier in 0usize..3, fleet in 0usize..4) {
-        let mut set = any_settings(aside_mode, ask, group, probes, tries);
-        set.balancers = [1, 3, 400][tier];
-        let faults = play(set, [0, 1, 6, 255][fleet], seed, slow, per_tick);
+        let mut settings = any_settings(aside_mode, ask, group, probes, tries);
+        settings.balancers = [1, 3, 400][tier];
+        let faults = play(settings, [0, 1, 6, 255][fleet], seed, slow, per_tick);
         prop_assert!(faults.is_empty(), "{:#?}", &faults[..faults.len().min(8)]);
     }
 }
 
 #[test]
-fn the_same_day_brings_the_same_actions() {
+fn the_same_events_give_the_same_actions() {
     let run = || {
         let mut world = World::new(
             any_settings(true, true, 0, true, 4),
-            &with_origin(ready(1..=6)),
+            &with_origin(ready_list(1..=6)),
             3,
             true,
         );
--- a/crates/stairfront-policy/tests/placement.rs
+++ b/crates/stairfront-policy/tests/placement.rs
@@ -65,10 +65,13 @@
 }
 
 #[test]
-fn keys_go_to_the_candidate_with_clearly_fewer_own_keys_and_ties_to_the_shorter_arc() {
-    let (mut rig, mut model) = (Rig::new(through(), &ready(1..=8)), Model::new(1..=8));
+fn keys_are_placed_on_the_candidate_with_clearly_fewer_keys_and_ties_on_the_shorter_arc() {
+    let (mut balancer, mut model) = (
+        TestBalancer::new(read_through(), &ready_list(1..=8)),
+        Model::new(1..=8),
+    );
     for key in 1..500 {
-        assert_eq!(rig.serve(key).0, model.place(key), "key {key}");
+        assert_eq!(balancer.serve(key).0, model.place(key), "key {key}");
     }
     let (least, most) = (
         model.keys.values().min().unwrap(),
@@ -87,13 +90,13 @@
 fn balancers_that_placed_few_and_different_keys_agree_on_a_new_one() {
     let agreed = (1..=100).filter(|key| {
         let served: BTreeSet<_> = (0..20u64)
-            .map(|balancer| {
-                let mut rig = Rig::new(through(), &ready(1..=50));
+            .map(|index| {
+                let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=50));
                 for own in 0..40 {
-                    rig.serve(10_000 + 100 * balancer + own);
+                    balancer.serve(10_000 + 100 * index + own);
                 }
-                rig.now += SECOND;
-                rig.serve(*key)
+                balancer.now += SECOND;
+                balancer.serve(*key)
             })
             .collect();
         served.len() == 1
@@ -107,53 +110,58 @@
 
 #[test]
 fn a_placed_key_stays() {
-    let mut rig = Rig::new(through(), &ready(1..=6));
-    let first: Vec<_> = (1..200).map(|key| rig.serve(key)).collect();
-    rig.now += 30 * SECOND;
-    let again: Vec<_> = (1..200).map(|key| rig.serve(key)).collect();
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=6));
+    let first: Vec<_> = (1..200).map(|key| balancer.serve(key)).collect();
+    balancer.now += 30 * SECOND;
+    let again: Vec<_> = (1..200).map(|key| balancer.serve(key)).collect();
     assert_eq!(first, again);
 }
 
 #[test]
 fn the_ring_is_the_same_at_every_balancer_whatever_its_seed_and_list_order() {
-    let mut other = through();
+    let mut other = read_through();
     other.instance = 2;
-    let mut list = ready(1..=9);
-    let mut a = Rig::new(through(), &list);
+    let mut list = ready_list(1..=9);
+    let mut a = TestBalancer::new(read_through(), &list);
     list.reverse();
-    let mut b = Rig::new(other, &list);
+    let mut b = TestBalancer::new(other, &list);
     (1..100).for_each(|key| assert_eq!(a.serve(key), b.serve(key)));
 }
 
 #[test]
-fn an_entry_unseen_for_a_minute_is_placed_anew() {
-    let (mut rig, mut model) = (Rig::new(through(), &ready(1..=5)), Model::new(1..=5));
+fn a_key_not_requested_for_a_minute_is_placed_again() {
+    let (mut balancer, mut model) = (
+        TestBalancer::new(read_through(), &ready_list(1..=5)),
+        Model::new(1..=5),
+    );
     let mut crowded_out = None;
     for key in 1..300 {
         let placed = model.place(key);
-        assert_eq!(rig.serve(key).0, placed);
+        assert_eq!(balancer.serve(key).0, placed);
         if placed != Model::new(1..=5).place(key) {
             crowded_out = Some((key, placed));
         }
     }
     let (key, placed) = crowded_out.expect("counts sent some key to its longer arc");
-    rig.now += 59 * SECOND;
-    assert_eq!(rig.serve(key).0, placed, "seen within a minute");
-    rig.now += 61 * SECOND;
+    balancer.now += 59 * SECOND;
+    assert_eq!(balancer.serve(key).0, placed, "seen within a minute");
+    balancer.now += 61 * SECOND;
     assert_eq!(
-        rig.serve(key).0,
+        balancer.serve(key).0,
         Model::new(1..=5).place(key),
         "all counts have lapsed, the shorter arc decides"
     );
 }
 
 #[test]
-fn a_newcomer_starts_at_the_mean_count_and_takes_only_its_part() {
-    let mut rig = Rig::new(through(), &ready(1..=4));
-    (1..=400).for_each(|key| assert!(rig.serve(key).0 > 0));
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&ready([77]))));
+fn a_new_cache_starts_at_the_mean_key_count_and_gets_only_its_fraction() {
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=4));
+    (1..=400).for_each(|key| assert!(balancer.serve(key).0 > 0));
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&ready_list(
+        [77],
+    ))));
     let taken = (1_001..=1_300)
-        .filter(|key| rig.serve(*key) == CacheId(77))
+        .filter(|key| balancer.serve(*key) == CacheId(77))
         .count();
     assert!(
         (1..150).contains(&taken),
@@ -162,44 +170,46 @@
 }
 
 #[test]
-fn a_leaving_cache_loses_its_keys_to_the_rest_and_gets_none_when_back_but_anew() {
-    let mut rig = Rig::new(through(), &ready(1..=4));
-    let before: Vec<_> = (1..=200).map(|key| rig.serve(key)).collect();
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(
+fn a_removed_cache_loses_its_keys_and_gets_none_of_them_when_listed_again() {
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=4));
+    let before: Vec<_> = (1..=200).map(|key| balancer.serve(key)).collect();
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&[endpoint(
         2,
         EndpointState::Removed,
     )])));
     for (key, old) in (1..=200).zip(&before) {
-        let now = rig.serve(key);
+        let now = balancer.serve(key);
         assert_ne!(now, CacheId(2));
         assert!(
             *old == CacheId(2) || now == *old,
             "key {key} stays where it was"
         );
     }
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&ready([2]))));
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&ready_list(
+        [2],
+    ))));
     assert!(
-        (1..=200).all(|key| rig.serve(key) != CacheId(2)),
+        (1..=200).all(|key| balancer.serve(key) != CacheId(2)),
         "placements made meanwhile stand"
     );
 }
 
 #[test]
 fn a_restarted_process_under_its_old_id_is_a_new_cache() {
-    let mut rig = Rig::new(through(), &ready(1..=4));
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=4));
     let old: Vec<u64> = (1..=400)
-        .filter(|key| rig.serve(*key) == CacheId(3))
+        .filter(|key| balancer.serve(*key) == CacheId(3))
         .collect();
-    let born = rig.now;
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[
+    let started_at = balancer.now;
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&[
         Endpoint {
-            incarnation: born,
-            ..member(3, EndpointState::Ready)
+            incarnation: started_at,
+            ..endpoint(3, EndpointState::Ready)
         },
     ])));
     let back = old
         .iter()
-        .filter(|key| rig.serve(**key) == CacheId(3))
+        .filter(|key| balancer.serve(**key) == CacheId(3))
         .count();
     assert!(
         back < old.len(),
@@ -209,12 +219,18 @@
 }
 
 #[test]
-fn a_cache_well_over_the_mean_in_flight_sheds_the_one_request() {
-    let (mut rig, model) = (Rig::new(through(), &ready(1..=6)), Model::new(1..=6));
+fn a_cache_well_over_the_mean_in_flight_spills_the_one_request() {
+    let (mut balancer, model) = (
+        TestBalancer::new(read_through(), &ready_list(1..=6)),
+        Model::new(1..=6),
+    );
     let key = (1..).find(|key| model.candidates(*key).len() > 1).unwrap();
-    let placed = rig.serve(key);
-    let open: Vec<_> = (0..4).map(|_| rig.ask(key)).collect();
-    let went: Vec<_> = open.iter().map(|id| rig.last_cache(*id).unwrap()).collect();
+    let placed = balancer.serve(key);
+    let open: Vec<_> = (0..4).map(|_| balancer.request(key)).collect();
+    let went: Vec<_> = open
+        .iter()
+        .map(|id| balancer.last_cache(*id).unwrap())
+        .collect();
     assert_eq!(
         went[..2],
         [placed, placed],
@@ -228,62 +244,66 @@
         .collect();
     assert!(two.contains(&went[3].0));
     open.into_iter()
-        .for_each(|id| drop(rig.settle(id, Outcome::Served)));
-    assert_eq!(rig.serve(key), placed, "only that request went elsewhere");
+        .for_each(|id| drop(balancer.finish_attempt(id, Outcome::Served)));
+    assert_eq!(
+        balancer.serve(key),
+        placed,
+        "only that request went elsewhere"
+    );
 }
 
 #[test]
 fn two_points_with_one_owner_leave_one_candidate_of_the_first_two_and_the_third_point() {
     let model = Model::new(1..=2);
     let key = (1..).find(|key| model.candidates(*key).len() == 1).unwrap();
-    let mut rig = Rig::new(through(), &ready(1..=2));
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=2));
     let only = model.ring[model.candidates(key)[0]].1;
-    assert!((0..3).all(|_| rig.serve(key).0 == only));
+    assert!((0..3).all(|_| balancer.serve(key).0 == only));
 }
 
 #[test]
 fn the_table_is_bounded() {
-    let mut rig = Rig::new(through(), &ready(1..=3));
-    let first = rig.serve(1);
-    (2..=70_000).for_each(|key| assert!(rig.serve(key).0 > 0));
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=3));
+    let first = balancer.serve(1);
+    (2..=70_000).for_each(|key| assert!(balancer.serve(key).0 > 0));
     // Still deterministic and serving; the oldest entries made room.
-    assert!([1, 2, 3].contains(&first.0) && rig.serve(70_000).0 <= 3);
+    assert!([1, 2, 3].contains(&first.0) && balancer.serve(70_000).0 <= 3);
 }
 
 #[test]
-fn an_empty_list_refuses_at_once() {
-    let mut rig = Rig::new(through(), &[]);
-    let id = rig.ask(5);
-    assert_eq!((rig.finals(id), rig.sent.len()), (1, 0));
+fn an_empty_list_rejects_at_once() {
+    let mut balancer = TestBalancer::new(read_through(), &[]);
+    let id = balancer.request(5);
+    assert_eq!((balancer.final_answers(id), balancer.sent.len()), (1, 0));
 }
 
 #[test]
-fn every_cache_of_the_list_is_reached() {
-    let mut rig = Rig::new(through(), &ready(1..=10));
-    let used: BTreeSet<_> = (1..2_000).map(|key| rig.serve(key)).collect();
+fn every_cache_of_the_list_is_used() {
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=10));
+    let used: BTreeSet<_> = (1..2_000).map(|key| balancer.serve(key)).collect();
     assert_eq!(used.len(), 10);
 }
 
 #[test]
-fn a_process_that_left_the_list_and_restarted_is_a_new_cache_too() {
-    let mut rig = Rig::new(through(), &ready(1..=4));
+fn a_process_that_was_removed_and_restarted_is_a_new_cache_too() {
+    let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=4));
     let old: Vec<u64> = (1..=400)
-        .filter(|key| rig.serve(*key) == CacheId(3))
+        .filter(|key| balancer.serve(*key) == CacheId(3))
         .collect();
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[member(
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&[endpoint(
         3,
         EndpointState::Removed,
     )])));
-    let born = rig.now;
-    rig.event(Event::EndpointList(EndpointListUpdate::Delta(&[
+    let started_at = balancer.now;
+    balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&[
         Endpoint {
-            incarnation: born,
-            ..member(3, EndpointState::Ready)
+            incarnation: started_at,
+            ..endpoint(3, EndpointState::Ready)
         },
     ])));
     let back = old
         .iter()
-        .filter(|key| rig.serve(**key) == CacheId(3))
+        .filter(|key| balancer.serve(**key) == CacheId(3))
         .count();
     assert!(
         back < old.len(),
@@ -295,7 +315,7 @@
 /// Danger: each of hundreds of balancers has one request out at a cache that many keys are hot at, and all of them wait there
 /// past their aim. What the cache says of its cores counts for a while; no word of them, or an old one, moves nothing.
 #[test]
-fn a_cache_that_reports_its_cores_in_use_is_passed_over_for_the_other_owner_for_a_while() {
+fn a_cache_that_reports_busy_cores_is_passed_over_for_the_other_owner_for_a_while() {
     let told = LoadReport {
         len: 1,
         values: [0.95, 0.0, 0.0, 0.0],
@@ -315,32 +335,32 @@
     ] {
         let mut moved = 0;
         for key in 1..=40 {
-            let mut rig = Rig::new(
+            let mut balancer = TestBalancer::new(
                 Settings {
                     report: report.clone(),
-                    ..through()
+                    ..read_through()
                 },
-                &ready(1..=6),
+                &ready_list(1..=6),
             );
-            let placed = rig.serve(key);
-            let id = rig.ask(key);
-            let (attempt, cache, outcome, closed) = (0, placed, Outcome::Served, true);
-            let (elapsed, note) = (20 * MS, CacheStatus::Hit);
-            rig.event(Event::AttemptFinished(AttemptResult {
+            let placed = balancer.serve(key);
+            let id = balancer.request(key);
+            let (attempt, cache, outcome, request_finished) = (0, placed, Outcome::Served, true);
+            let (elapsed, cache_status) = (20 * MS, CacheStatus::Hit);
+            balancer.event(Event::AttemptFinished(AttemptResult {
                 id,
                 attempt,
                 cache,
                 outcome,
-                request_finished: closed,
+                request_finished,
                 elapsed,
-                cache_status: note,
+                cache_status,
                 load,
             }));
-            let next = rig.ask(key);
-            moved += usize::from(rig.last_cache(next) != Some(placed));
-            rig.settle(next, Outcome::Served);
-            rig.now += 21 * SECOND;
-            assert_eq!(rig.serve(key), placed, "its place stays: {load:?}");
+            let next = balancer.request(key);
+            moved += usize::from(balancer.last_cache(next) != Some(placed));
+            balancer.finish_attempt(next, Outcome::Served);
+            balancer.now += 21 * SECOND;
+            assert_eq!(balancer.serve(key), placed, "its place stays: {load:?}");
         }
         // Some keys have one owner alone.
         assert_eq!(moved > 30, moves, "{moved} moved, {load:?}");
--- a/crates/stairfront-policy/tests/scale.rs
+++ b/crates/stairfront-policy/tests/scale.rs
@@ -10,49 +10,49 @@
 /// Requests a second at one cache, by all balancers together.
 const LOAD: i64 = 20;
 
-fn tier(balancers: u16, mut set: Settings) -> Vec<Rig> {
-    set.balancers = balancers;
-    let rig = |me| {
-        let mut rig = Rig::seeded(
+fn tier(balancers: u16, mut settings: Settings) -> Vec<TestBalancer> {
+    settings.balancers = balancers;
+    let test_balancer = |instance| {
+        let mut balancer = TestBalancer::seeded(
             Settings {
-                instance: me,
-                ..set.clone()
+                instance,
+                ..settings.clone()
             },
-            &ready(1..=CACHES),
-            u64::from(me) * 7_919,
+            &ready_list(1..=CACHES),
+            u64::from(instance) * 7_919,
         );
-        rig.now = 100 * SECOND;
-        rig
+        balancer.now = 100 * SECOND;
+        balancer
     };
-    (0..balancers).map(rig).collect()
+    (0..balancers).map(test_balancer).collect()
 }
 
 /// Sends to the cold cache in each tenth of a second after its start, by all balancers together.
 fn cold_sends(balancers: u16, seconds: i64) -> Vec<usize> {
-    let mut rigs = tier(balancers, through());
+    let mut group = tier(balancers, read_through());
     let step = SECOND / (LOAD * CACHES as i64);
     let (warm, mut sent) = (20 * SECOND, vec![0; 10 * seconds as usize]);
-    let born = 100 * SECOND + warm;
+    let started_at = 100 * SECOND + warm;
     for i in 0..(warm + seconds * SECOND) / step {
         let now = 100 * SECOND + i * step;
-        if now == born {
+        if now == started_at {
             let line = [Endpoint {
-                incarnation: born,
-                ..member(COLD.0, EndpointState::Ready)
+                incarnation: started_at,
+                ..endpoint(COLD.0, EndpointState::Ready)
             }];
-            rigs.iter_mut().for_each(|rig| {
-                rig.now = now;
-                rig.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
+            group.iter_mut().for_each(|balancer| {
+                balancer.now = now;
+                balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
             });
         }
-        let rig = &mut rigs[(i * 101 % i64::from(balancers)) as usize];
-        rig.now = now;
-        let id = rig.ask((i * 7_907 % 1_009) as u64);
-        if rig.last_cache(id) == Some(COLD) && now >= born {
-            sent[((now - born) / (SECOND / 10)) as usize] += 1;
+        let balancer = &mut group[(i * 101 % i64::from(balancers)) as usize];
+        balancer.now = now;
+        let id = balancer.request((i * 7_907 % 1_009) as u64);
+        if balancer.last_cache(id) == Some(COLD) && now >= started_at {
+            sent[((now - started_at) / (SECOND / 10)) as usize] += 1;
         }
-        if rig.last_cache(id).is_some() {
-            rig.settle(id, Outcome::Served);
+        if balancer.last_cache(id).is_some() {
+            balancer.finish_attempt(id, Outcome::Served);
         }
     }
     sent
@@ -61,7 +61,7 @@
 /// Danger: one first request and half a request a second from each of hundreds of balancers push a cold cache over.
 #[test]
 fn many_balancers_together_keep_a_cold_cache_within_its_budget() {
-    let rules = through().rules;
+    let rules = read_through().rules;
     for balancers in [4, 50, 400] {
         let sent = cold_sends(balancers, 8);
         let span = (rules.overload_window / (SECOND / 10)) as usize;
@@ -100,35 +100,35 @@
 /// Danger: a burst for keys of a cache that came back cold finds a whole token saved up at each of hundreds of
 /// balancers, and all go out at once.
 #[test]
-fn a_burst_from_all_balancers_at_once_does_not_push_a_cold_cache_over() {
-    let (balancers, mut set) = (400, through());
-    set.rules.slow_start_window = 60 * SECOND;
-    let (rules, mut rigs) = (set.rules.clone(), tier(balancers, set));
-    let home = rigs[0].serve(5);
-    let (born, age) = (120 * SECOND, rules.slow_start_window / 2);
+fn a_burst_from_all_balancers_at_once_does_not_overload_a_cold_cache() {
+    let (balancers, mut settings) = (400, read_through());
+    settings.rules.slow_start_window = 60 * SECOND;
+    let (rules, mut group) = (settings.rules.clone(), tier(balancers, settings));
+    let home = group[0].serve(5);
+    let (started_at, age) = (120 * SECOND, rules.slow_start_window / 2);
     let line = [Endpoint {
-        incarnation: born,
-        ..member(home.0, EndpointState::Ready)
+        incarnation: started_at,
+        ..endpoint(home.0, EndpointState::Ready)
     }];
-    for rig in &mut rigs {
+    for balancer in &mut group {
         // A request every two seconds, which saves up tokens for the cold cache.
         for i in 0..25 {
-            rig.now = born - 20 * SECOND + i * 2 * SECOND;
-            if rig.now == born {
-                rig.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
+            balancer.now = started_at - 20 * SECOND + i * 2 * SECOND;
+            if balancer.now == started_at {
+                balancer.event(Event::EndpointList(EndpointListUpdate::Delta(&line)));
             }
             let key = (1_000 * (1 + i as u64)..).find(|key| !may_go_to(*key, home));
-            rig.serve(key.expect("keys do not end"));
+            balancer.serve(key.expect("keys do not end"));
         }
-        rig.now = born + age;
+        balancer.now = started_at + age;
     }
-    let asks = |rig: &mut Rig| {
-        let ids: Vec<_> = (0..10).map(|_| rig.ask(5)).collect();
+    let asks = |balancer: &mut TestBalancer| {
+        let ids: Vec<_> = (0..10).map(|_| balancer.request(5)).collect();
         ids.iter()
-            .filter(|id| rig.last_cache(**id) == Some(home))
+            .filter(|id| balancer.last_cache(**id) == Some(home))
             .count()
     };
-    let sent: usize = rigs.iter_mut().map(asks).sum();
+    let sent: usize = group.iter_mut().map(asks).sum();
     // Each sends half a request a second to ten caches: that much a warm cache has from all of them together.
     let warm = f64::from(balancers) * 0.5 / CACHES as f64;
     let part = rules.slow_start_floor + (1.0 - rules.slow_start_floor) / 2.0;
@@ -143,11 +143,11 @@
 /// Danger: past the stated time without a call a balancer counts as told what its old list lacks; and calls made
 /// all at once fail.
 #[test]
-fn first_calls_to_discovery_are_spread_and_come_within_the_time_allowed() {
-    let mut set = through();
-    set.discovery = DiscoveryMode::Poll;
+fn first_polls_of_discovery_are_spread_within_the_time_allowed() {
+    let mut settings = read_through();
+    settings.discovery = DiscoveryMode::Poll;
     let delays = |balancers| -> Vec<Micros> {
-        let delay = |rig: &Rig| {
+        let delay = |balancer: &TestBalancer| {
             let timer = |a: &Action| match a {
                 Action::Timer {
                     delay,
@@ -155,18 +155,22 @@
                 } => Some(*delay),
                 _ => None,
             };
-            rig.out
+            balancer
+                .out
                 .iter()
                 .find_map(timer)
                 .expect("asks after the start")
         };
-        tier(balancers, set.clone()).iter().map(delay).collect()
+        tier(balancers, settings.clone())
+            .iter()
+            .map(delay)
+            .collect()
     };
     for balancers in [3, 50, 400] {
         let delays = delays(balancers);
         let last = delays.iter().max().copied().unwrap_or(0);
         assert!(
-            last < set.rules.poll_interval * 3 / 4,
+            last < settings.rules.poll_interval * 3 / 4,
             "{balancers} balancers: the last after {last}"
         );
         let first = delays.iter().filter(|d| **d < SECOND).count();
@@ -184,33 +188,33 @@
 /// Danger: where a balancer asks a cache every few seconds, a rest counted in answer times is over before the next
 /// request for it, so that hundreds of balancers go on filling a cache that answers too late.
 #[test]
-fn a_late_answer_makes_a_rare_asker_pass_the_cache_by() {
-    let mut set = through();
-    set.balancers = 400;
-    let mut rig = Rig::new(set, &ready(1..=CACHES));
+fn a_late_answer_makes_a_balancer_with_rare_requests_avoid_the_cache() {
+    let mut settings = read_through();
+    settings.balancers = 400;
+    let mut balancer = TestBalancer::new(settings, &ready_list(1..=CACHES));
     for key in 0..40 {
-        rig.now += SECOND;
-        rig.serve(100 + key);
+        balancer.now += SECOND;
+        balancer.serve(100 + key);
     }
-    let home = rig.serve(5);
-    let id = rig.ask(5);
-    assert_eq!(rig.last_cache(id), Some(home));
-    rig.now += 900 * MS;
-    let (attempt, outcome, closed, elapsed) = (0, Outcome::TimedOut, true, 900 * MS);
-    let (cache, note, load) = (home, CacheStatus::None, LoadReport::default());
-    rig.event(Event::AttemptFinished(AttemptResult {
+    let home = balancer.serve(5);
+    let id = balancer.request(5);
+    assert_eq!(balancer.last_cache(id), Some(home));
+    balancer.now += 900 * MS;
+    let (attempt, outcome, request_finished, elapsed) = (0, Outcome::TimedOut, true, 900 * MS);
+    let (cache, cache_status, load) = (home, CacheStatus::None, LoadReport::default());
+    balancer.event(Event::AttemptFinished(AttemptResult {
         id,
         attempt,
         cache,
         outcome,
-        request_finished: closed,
+        request_finished,
         elapsed,
-        cache_status: note,
+        cache_status,
         load,
     }));
-    rig.now += 3 * SECOND;
+    balancer.now += 3 * SECOND;
     assert_ne!(
-        rig.serve(5),
+        balancer.serve(5),
         home,
         "three answer times later it still rests"
     );
@@ -220,28 +224,28 @@
 /// every tenant one beyond its share, so all were shed alike.
 #[test]
 fn with_few_requests_only_the_tenant_beyond_its_share_is_shed() {
-    let mut set = through();
-    set.balancers = 400;
-    set.over_share_weight = 0.05;
-    set.tenants = (0..4)
+    let mut settings = read_through();
+    settings.balancers = 400;
+    settings.over_share_weight = 0.05;
+    settings.tenants = (0..4)
         .map(|_| Tenant {
             quota_per_s: 50.0,
             share: 0.25,
         })
         .collect();
-    let mut rig = Rig::new(set, &ready(1..=CACHES));
+    let mut balancer = TestBalancer::new(settings, &ready_list(1..=CACHES));
     let mut shed = [0; 4];
     // Every answer comes too late, which raises the shed level to the full; one request in two seconds.
     for i in 0..400u64 {
-        rig.now += 2 * SECOND;
+        balancer.now += 2 * SECOND;
         let tenant = if i % 8 < 5 { 0 } else { i as usize % 8 - 4 };
-        let id = rig.ask_of(tenant as u32, 0, i, false);
-        if rig.last_cache(id).is_none() {
+        let id = balancer.request_from(tenant as u32, 0, i, false);
+        if balancer.last_cache(id).is_none() {
             shed[tenant] += 1;
             continue;
         }
-        rig.now += 600 * MS;
-        rig.settle(id, Outcome::Served);
+        balancer.now += 600 * MS;
+        balancer.finish_attempt(id, Outcome::Served);
     }
     let [heavy, light @ ..] = shed;
     assert!(
--- a/crates/stairfront-policy/tests/ending.rs
+++ b/crates/stairfront-policy/tests/shutdown.rs
@@ -5,17 +5,17 @@
 
 /// Danger: a request whose client waits longer than the process lives would end with it, unanswered.
 #[test]
-fn what_is_open_and_what_still_comes_is_answered_before_the_end() {
-    let mut set = through();
-    set.classes = vec![Class {
+fn open_and_later_requests_are_answered_before_the_shutdown() {
+    let mut settings = read_through();
+    settings.classes = vec![Class {
         latency_objective: 6 * SECOND,
         deadline: 6 * SECOND,
         ..class(Idempotency::Idempotent)
     }];
-    let mut rig = Rig::new(set, &ready(1..=6));
-    let asked = |rig: &mut Rig, id: u32| {
+    let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
+    let asked = |balancer: &mut TestBalancer, id: u32| {
         let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(u64::from(id))));
-        let expires = rig.now + 6 * SECOND;
+        let expires = balancer.now + 6 * SECOND;
         let request = Request {
             id: RequestId(id),
             class,
@@ -25,21 +25,21 @@
             write: false,
             retry: false,
         };
-        rig.event(Event::Request(request))
+        balancer.event(Event::Request(request))
     };
-    asked(&mut rig, 1);
-    rig.now += SECOND;
-    let by = rig.now + 3 * SECOND;
+    asked(&mut balancer, 1);
+    balancer.now += SECOND;
+    let by = balancer.now + 3 * SECOND;
     let mut due: Vec<(Micros, u64)> = Vec::new();
-    let now = rig.now;
+    let now = balancer.now;
     let timers = |actions: Vec<Action>, now: Micros| {
         actions.into_iter().filter_map(move |action| match action {
             Action::Timer { delay, token } => Some((now + delay, token)),
             _ => None,
         })
     };
-    due.extend(timers(rig.event(Event::ShuttingDown { by }), now));
-    let sent = asked(&mut rig, 2);
+    due.extend(timers(balancer.event(Event::ShuttingDown { by }), now));
+    let sent = asked(&mut balancer, 2);
     let least =
         |action: &Action| matches!(action, Action::Send { timeout, .. } if now + timeout < by);
     assert!(
@@ -53,40 +53,45 @@
         .min_by_key(|i| due[*i].0)
     {
         let (at, token) = due.remove(i);
-        rig.now = at;
-        let more = rig.event(Event::Timer { token });
+        balancer.now = at;
+        let more = balancer.event(Event::Timer { token });
         due.extend(timers(more, at));
     }
     for id in [1, 2] {
-        assert_eq!(rig.finals(RequestId(id)), 1, "request {id} by the end");
+        assert_eq!(
+            balancer.final_answers(RequestId(id)),
+            1,
+            "request {id} by the end"
+        );
     }
 }
 
 /// Danger: the first byte of a repeat may go out long after it was decided. It carries the end of its window, counted from
 /// the attempt that may have run; one that is bound to no window carries none.
 #[test]
-fn a_guarded_repeat_carries_the_end_of_its_window() {
-    let lapses = |semantics, outcome| {
-        let mut set = through();
-        set.classes = vec![class(semantics)];
-        let mut rig = Rig::new(set, &ready(1..=6));
-        let id = rig.ask_as(0, 42, true);
-        rig.now += 100 * MS;
+fn a_keyed_retry_carries_the_time_left_of_its_key() {
+    let lapses = |idempotency, outcome| {
+        let mut settings = read_through();
+        settings.classes = vec![class(idempotency)];
+        let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
+        let id = balancer.request_of_class(0, 42, true);
+        balancer.now += 100 * MS;
         let told = |action: &Action| match action {
             Action::Send { send_within, .. } => Some(*send_within),
             _ => None,
         };
-        rig.settle(id, outcome)
+        balancer
+            .finish_attempt(id, outcome)
             .iter()
             .find_map(told)
             .expect("it is sent again")
     };
-    let guarded = Idempotency::Keyed {
+    let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         key_ttl: 300 * MS,
     };
-    let within = lapses(guarded, Outcome::Errored).expect("it may have run");
+    let within = lapses(keyed, Outcome::Errored).expect("it may have run");
     assert!(within <= 200 * MS && within > 150 * MS, "{within}");
-    assert_eq!(lapses(guarded, Outcome::Full), None, "nothing ran");
+    assert_eq!(lapses(keyed, Outcome::Full), None, "nothing ran");
     assert_eq!(lapses(Idempotency::Idempotent, Outcome::Errored), None);
 }
--- a/crates/stairfront-policy/tests/stored_forms.rs
+++ b/crates/stairfront-policy/tests/stored_forms.rs
@@ -15,49 +15,55 @@
         tenants: TENANTS.map(tenant).to_vec(),
         over_share_weight: 0.2,
         report: vec![ReportField::Utilization],
-        ..through()
+        ..read_through()
     }
 }
 
 /// Caches 0 to 3; that at 1 has started lately.
 fn list() -> Vec<Endpoint> {
-    let mut list = ready(0..4);
+    let mut list = ready_list(0..4);
     list[1].incarnation = 97 * SECOND;
     list
 }
 
 /// How an attempt ends whose cache tells how busy it is.
-fn settle(rig: &mut Rig, id: RequestId, outcome: Outcome, elapsed: Micros, closed: bool) {
-    let Some(cache) = rig.last_cache(id) else {
+fn settle(
+    balancer: &mut TestBalancer,
+    id: RequestId,
+    outcome: Outcome,
+    elapsed: Micros,
+    request_finished: bool,
+) {
+    let Some(cache) = balancer.last_cache(id) else {
         return;
     };
-    let attempt = rig.sent[&id.0].len() as u8 - 1;
+    let attempt = balancer.sent[&id.0].len() as u8 - 1;
     let load = LoadReport {
         len: 1,
         values: [0.25 + 0.125 * cache.0 as f32, 0.0, 0.0, 0.0],
     };
-    let note = CacheStatus::Hit;
-    rig.event(Event::AttemptFinished(AttemptResult {
+    let cache_status = CacheStatus::Hit;
+    balancer.event(Event::AttemptFinished(AttemptResult {
         id,
         attempt,
         cache,
         outcome,
-        request_finished: closed,
+        request_finished,
         elapsed,
-        cache_status: note,
+        cache_status,
         load,
     }));
 }
 
 /// A balancer in which each thing that is handed over has happened: caches served, late, silent and lost, one called
 /// back from a cordon, and more asked of it than it had room for.
-fn busy() -> Rig {
-    let mut rig = Rig::new(settings(), &list());
+fn busy() -> TestBalancer {
+    let mut balancer = TestBalancer::new(settings(), &list());
     for key in 0..60 {
-        rig.now += 7 * MS;
-        let id = rig.ask_of(key as u32 % 2, 0, key % 40, false);
+        balancer.now += 7 * MS;
+        let id = balancer.request_from(key as u32 % 2, 0, key % 40, false);
         settle(
-            &mut rig,
+            &mut balancer,
             id,
             Outcome::Served,
             (20 + key as Micros) * MS,
@@ -66,36 +72,36 @@
     }
     // More at once than there is room for.
     let crowd: Vec<RequestId> = (0..160)
-        .map(|key| rig.ask_of(u32::from(key % 4 == 0), 0, 100 + key, false))
+        .map(|key| balancer.request_from(u32::from(key % 4 == 0), 0, 100 + key, false))
         .collect();
-    rig.now += 600 * MS;
+    balancer.now += 600 * MS;
     for (i, id) in crowd.iter().enumerate() {
         match i % 5 {
-            0 => settle(&mut rig, *id, Outcome::TimedOut, 600 * MS, true),
-            1 => settle(&mut rig, *id, Outcome::Errored, 550 * MS, true),
-            2 => settle(&mut rig, *id, Outcome::Reset, 580 * MS, true),
-            _ => settle(&mut rig, *id, Outcome::Served, 590 * MS, true),
+            0 => settle(&mut balancer, *id, Outcome::TimedOut, 600 * MS, true),
+            1 => settle(&mut balancer, *id, Outcome::Errored, 550 * MS, true),
+            2 => settle(&mut balancer, *id, Outcome::Reset, 580 * MS, true),
+            _ => settle(&mut balancer, *id, Outcome::Served, 590 * MS, true),
         }
     }
     for on in [true, false] {
-        rig.now += 11 * MS;
-        rig.event(Event::Cordon {
+        balancer.now += 11 * MS;
+        balancer.event(Event::Cordon {
             cache: CacheId(2),
             on,
         });
     }
     // Placed, and not served yet.
     for key in 300..306 {
-        rig.now += 3 * MS;
-        rig.ask_of(0, 0, key, false);
+        balancer.now += 3 * MS;
+        balancer.request_from(0, 0, key, false);
     }
     // Without a word at each, as the last thing.
     for key in 400..424 {
-        rig.now += 40 * MS;
-        let id = rig.ask_of(1, 0, key, false);
-        settle(&mut rig, id, Outcome::TimedOut, 500 * MS, true);
+        balancer.now += 40 * MS;
+        let id = balancer.request_from(1, 0, key, false);
+        settle(&mut balancer, id, Outcome::TimedOut, 500 * MS, true);
     }
-    rig
+    balancer
 }
 
 /// The fields of an object that no example of it has filled.
@@ -125,11 +131,11 @@
 }
 
 /// A new process with the same list, told of this at the same time.
-fn heir(known: &PolicySnapshot) -> Rig {
-    let mut rig = Rig::seeded(settings(), &list(), 99);
-    rig.now = known.at;
-    rig.event(Event::Inherited(known));
-    rig
+fn heir(known: &PolicySnapshot) -> TestBalancer {
+    let mut balancer = TestBalancer::seeded(settings(), &list(), 99);
+    balancer.now = known.at;
+    balancer.event(Event::Inherited(known));
+    balancer
 }
 
 /// Every fraction moved to a whole number of 64ths, none of them to 0: such ones are written in few digits and read
@@ -196,9 +202,9 @@
 /// Read again, fractions of many digits may differ in the last bit, since the JSON reader rounds them so; that alone is
 /// allowed here. The next test allows nothing.
 #[test]
-fn knowledge_is_written_and_read_as_pinned() {
-    let rig = busy();
-    let known = rig.policy.snapshot(rig.now);
+fn a_snapshot_is_written_and_read_as_pinned() {
+    let balancer = busy();
+    let known = balancer.policy.snapshot(balancer.now);
     assert_filled(&known);
     let pinned = golden::same("knowledge.json", &text(&known));
     let read: PolicySnapshot = serde_json::from_slice(&pinned).unwrap();
@@ -212,9 +218,9 @@
 
 /// The same with fractions that are read exactly: what is pinned goes through a process unchanged, byte for byte.
 #[test]
-fn pinned_knowledge_goes_through_a_new_process_unchanged() {
-    let rig = busy();
-    let driven = serde_json::to_value(rig.policy.snapshot(rig.now)).unwrap();
+fn a_pinned_snapshot_passes_through_a_new_process_unchanged() {
+    let balancer = busy();
+    let driven = serde_json::to_value(balancer.policy.snapshot(balancer.now)).unwrap();
     let known: PolicySnapshot = serde_json::from_value(evened(driven)).unwrap();
     assert_filled(&known);
     let pinned = golden::same("knowledge_even.json", &text(&known));
--- a/crates/stairfront-simulator-adapter/src/wire.rs
+++ b/crates/stairfront-simulator-adapter/src/wire.rs
@@ -526,7 +526,7 @@
                 self.put_tail(&mut record, 3, log_record.to_string().as_bytes());
                 9
             }
-            Action::Watch(on) => {
+            Action::WatchList(on) => {
                 record[3] = u8::from(*on);
                 11
             }
--- a/crates/stairfront-simulator-adapter/tests/codec.rs
+++ b/crates/stairfront-simulator-adapter/tests/codec.rs
@@ -168,8 +168,8 @@
             },
             "08 0300 0200 00000000 04000000",
         ),
-        (Action::Watch(true), "0b 0300 01"),
-        (Action::Watch(false), "0b 0300 00"),
+        (Action::WatchList(true), "0b 0300 01"),
+        (Action::WatchList(false), "0b 0300 00"),
         (Action::PollList, "0c 0300"),
     ];
     for (action, want) in cases {
