--- a/crates/stairfront-policy/src/interface/settings.rs
+++ b/crates/stairfront-policy/src/interface/settings.rs
@@ -72,12 +72,12 @@
 /// Who fetches a value that a cache lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheMode {
-    /// Cache-aside: the balancer asks the listed origin, an endpoint of this kind; writes go there too.
+    /// Cache-aside: the balancer fetches from the listed origin, an endpoint of this kind, and sends writes there.
     Aside {
         /// Machine kind of the origin in the endpoint list.
         origin: Kind,
     },
-    /// Read-through: the cache asks the origin.
+    /// Read-through: the cache fetches from the origin.
     #[default]
     Through,
 }
--- a/crates/stairfront-policy/src/policy/placement.rs
+++ b/crates/stairfront-policy/src/policy/placement.rs
@@ -1,5 +1,5 @@
-//! Placement of keys by two-choice consistent hashing, after Byers, Considine and Mitzenmacher, "Simple load balancing
-//! for distributed hash tables": a key hashes to two points of the ring and belongs to the owner with fewer keys.
+//! Placement of keys by two-choice consistent hashing, after Byers, Considine and Mitzenmacher, "Geometric generalizations
+//! of the power of two choices": a key hashes to two points of the ring and belongs to the owner with fewer keys.
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
--- a/crates/stairfront-policy/tests/admission.rs
+++ b/crates/stairfront-policy/tests/admission.rs
@@ -1,9 +1,10 @@
 //! Admission: concurrency limits, priorities and likely misses.
 mod common;
+
 use std::collections::BTreeMap;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{class, read_through, ready_list, TestBalancer};
+use stairfront_policy::interface::{Class, Idempotency, Outcome};
 
 #[test]
 fn a_key_whose_candidates_are_full_moves_to_an_idle_cache_and_stays() {
--- a/crates/stairfront-policy/tests/advisory_removals.rs
+++ b/crates/stairfront-policy/tests/advisory_removals.rs
@@ -1,11 +1,15 @@
-//! A list is a claim: where only draining binds, hosts that it drops are judged by their own outcomes.
+//! Advisory removals: where only draining is binding, a list that removes much of the fleet is doubted, and the outcomes of
+//! attempts decide.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
 
-fn balancer(dropped_stay_open: bool) -> TestBalancer {
+use common::{endpoint, read_through, ready_list, servers_sent_to, TestBalancer};
+use stairfront_policy::interface::{
+    CacheId, Endpoint, EndpointListUpdate, EndpointState, Event, Outcome, MS,
+};
+
+fn balancer(removal_is_advisory: bool) -> TestBalancer {
     let mut settings = read_through();
-    settings.rules.removal_is_advisory = dropped_stay_open;
+    settings.rules.removal_is_advisory = removal_is_advisory;
     TestBalancer::new(settings, &ready_list(1..=10))
 }
 
@@ -16,8 +20,8 @@
     keys.map(|key| balancer.serve(key)).collect()
 }
 
-/// Danger: a list calls most of the fleet gone, or all of it, while it serves: all would go to the few that are left, and
-/// a cold one among them is pushed over.
+/// A list removes most of the fleet, or all of it, while it serves. All requests would go to the few servers that remain, and
+/// overload a cold one among them.
 #[test]
 fn a_list_that_removes_most_of_the_fleet_moves_nothing_where_removal_is_advisory() {
     for kept in [0, 1] {
@@ -48,8 +52,8 @@
     }
 }
 
-/// Danger: the rule on drains. Who was listed as draining gets nothing new, dropped or not; and where a list binds as a whole
-/// nobody does whom it drops.
+/// A server that was listed as draining gets nothing new, removed afterwards or not; and where removals are binding a
+/// removed server gets nothing new either.
 #[test]
 fn drains_are_binding_always_and_removals_where_the_settings_say_so() {
     let mut balancer = balancer(true);
@@ -72,8 +76,8 @@
     assert_eq!(used(&mut balancer, 0..100), (1..=2).map(CacheId).collect());
 }
 
-/// Danger: a host that has died comes back cold under its name, long before the list tells its start. A few that a list drops
-/// are believed gone.
+/// A host that has failed comes back cold under its name, long before the list reports its new start. So the removal of a
+/// few hosts is not doubted.
 #[test]
 fn a_list_that_removes_a_few_hosts_is_binding() {
     let mut balancer = balancer(true);
@@ -91,11 +95,11 @@
     );
 }
 
-/// The false alarm: a host that has left for good costs a few attempts, and then nothing more.
+/// A doubted removal that is true costs a few failed attempts, and then nothing more.
 #[test]
 fn a_host_with_a_doubted_removal_is_removed_once_its_attempts_fail() {
     let mut balancer = balancer(true);
-    // With it go two more, which serve on: so many are doubted.
+    // Three of ten are removed, which is doubted; the other two go on serving.
     balancer.event(Event::EndpointList(EndpointListUpdate::Full(&ready_list(
         4..=10,
     ))));
@@ -117,7 +121,7 @@
         (1..=4).contains(&failed),
         "{failed} attempts were lost to it"
     );
-    // Listed anew it is used again.
+    // Listed again, it is used again.
     balancer.event(Event::EndpointList(EndpointListUpdate::Full(&ready_list(
         1..=10,
     ))));
--- a/crates/stairfront-policy/tests/common/mod.rs
+++ b/crates/stairfront-policy/tests/common/mod.rs
@@ -1,15 +1,21 @@
-//! A hand-driven balancer: events in, actions out, and a book of what is out. No bench, no clock.
+//! A policy that a test drives by hand: events in, actions out, and a record of the attempts. No clock.
+// Each test file uses some of these helpers only.
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 
-use stairfront_policy::interface::*;
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, CacheMode, CacheStatus, Cell, Class, ClassId, DiscoveryMode,
+    Endpoint, EndpointListUpdate, EndpointState, Event, Idempotency, Key, Kind, Limits, LoadReport,
+    Micros, Outcome, ReportField, Request, RequestId, Rules, Settings, TailLatency, TenantId, Zone,
+    MS, SECOND,
+};
 use stairfront_policy::Policy;
 
 pub const ORIGIN: CacheId = CacheId(9_000);
 
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: idempotency,
+        idempotency,
         latency_objective: 500 * MS,
         deadline: 1_000 * MS,
         priority_weight: 1.0,
@@ -93,7 +99,7 @@
     pub policy: Policy,
     pub now: Micros,
     pub out: Vec<Action>,
-    /// Where each attempt went, by request.
+    /// The server of each attempt, by request.
     pub sent: BTreeMap<u32, Vec<CacheId>>,
     next: u32,
 }
@@ -116,7 +122,7 @@
         balancer
     }
 
-    /// Hands in one event; the actions it caused are returned and kept in `out`.
+    /// Gives the policy one event. The actions that it caused are returned and kept in `out`.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = vec![];
         self.policy.handle(self.now, event, &mut actions);
@@ -140,39 +146,26 @@
     pub fn request_from(&mut self, tenant: u32, class: u8, key: u64, write: bool) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
-        let (key, expires) = (Some(Key(key)), self.now + 1_000 * MS);
-        let (class, tenant) = (ClassId(class), TenantId(tenant));
         self.event(Event::Request(Request {
             id,
-            class,
-            tenant,
-            key,
-            expires_at: expires,
+            class: ClassId(class),
+            tenant: TenantId(tenant),
+            key: Some(Key(key)),
+            expires_at: self.now + 1_000 * MS,
             write,
             retry: false,
         }));
         id
     }
 
-    /// The last attempt of a request ends so.
+    /// Ends the last attempt of a request.
     pub fn finish_attempt(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
-        let sends = &self.sent[&id.0];
-        let (attempt, cache) = (sends.len() as u8 - 1, sends[sends.len() - 1]);
-        let request_finished = outcome == Outcome::Served;
-        let (elapsed, cache_status, load) = (20 * MS, CacheStatus::Hit, LoadReport::default());
-        self.event(Event::AttemptFinished(AttemptResult {
-            id,
-            attempt,
-            cache,
-            outcome,
-            request_finished,
-            elapsed,
-            cache_status,
-            load,
-        }))
+        let sent = &self.sent[&id.0];
+        let result = attempt_result(id, sent.len() as u8 - 1, sent[sent.len() - 1], outcome);
+        self.event(Event::AttemptFinished(result))
     }
 
-    /// Asks for a key and has it served; tells by whom.
+    /// Requests a key and has it served; returns the cache that served it.
     pub fn serve(&mut self, key: u64) -> CacheId {
         let id = self.request(key);
         self.finish_attempt(id, Outcome::Served);
@@ -189,6 +182,41 @@
     }
 }
 
+/// The end of an attempt after 20 ms; the request is finished if it was served.
+pub fn attempt_result(
+    id: RequestId,
+    attempt: u8,
+    cache: CacheId,
+    outcome: Outcome,
+) -> AttemptResult {
+    AttemptResult {
+        id,
+        attempt,
+        cache,
+        outcome,
+        request_finished: outcome == Outcome::Served,
+        elapsed: 20 * MS,
+        cache_status: CacheStatus::Hit,
+        load: LoadReport::default(),
+    }
+}
+
+/// A load report that holds the utilization alone.
+pub fn utilization_report(utilization: f32) -> LoadReport {
+    LoadReport {
+        len: 1,
+        values: [utilization, 0.0, 0.0, 0.0],
+    }
+}
+
+/// Settings in which servers report their utilization.
+pub fn reporting_utilization(settings: Settings) -> Settings {
+    Settings {
+        report: vec![ReportField::Utilization],
+        ..settings
+    }
+}
+
 pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
--- a/crates/stairfront-policy/tests/cordons.rs
+++ b/crates/stairfront-policy/tests/cordons.rs
@@ -1,8 +1,13 @@
-//! Cordons: what operators say of a cache holds against whatever discovery tells of it meanwhile.
+//! Cordons: an order of the operators holds, whatever discovery reports of the cache meanwhile.
 mod common;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{
+    cache_aside, endpoint, read_through, ready_list, servers_sent_to, with_origin, TestBalancer,
+    ORIGIN,
+};
+use stairfront_policy::interface::{
+    CacheId, Endpoint, EndpointListUpdate, EndpointState, Event, Outcome, RequestId, MS, SECOND,
+};
 
 const OUT: CacheId = CacheId(1);
 
@@ -10,7 +15,7 @@
     balancer.event(Event::Cordon { cache: OUT, on });
 }
 
-/// How many of a row of new keys were sent to the cache in question.
+/// Number of requests for these new keys that were sent to the cordoned cache.
 fn used(balancer: &mut TestBalancer, keys: std::ops::Range<u64>) -> usize {
     let before = balancer
         .sent
@@ -44,7 +49,7 @@
         ..endpoint(OUT.0, EndpointState::Ready)
     };
     let gone = [endpoint(OUT.0, EndpointState::Removed)];
-    let update = [
+    let updates = [
         EndpointListUpdate::Delta(&[]),
         EndpointListUpdate::Delta(&[restarted]),
         EndpointListUpdate::Delta(&gone),
@@ -53,9 +58,13 @@
         EndpointListUpdate::Full(&ready_list(0..4)),
         EndpointListUpdate::Failed,
     ];
-    for (i, told) in update.into_iter().enumerate() {
-        balancer.event(Event::EndpointList(told));
-        assert_eq!(used(&mut balancer, 0..100), 0, "after news {i}: {told:?}");
+    for (i, update) in updates.into_iter().enumerate() {
+        balancer.event(Event::EndpointList(update));
+        assert_eq!(
+            used(&mut balancer, 0..100),
+            0,
+            "after update {i}: {update:?}"
+        );
     }
 }
 
@@ -74,7 +83,7 @@
 
 #[test]
 fn after_its_cordon_is_lifted_a_cache_is_cold_whatever_the_list_says() {
-    // Warm before, and listed as started long ago: without a word of the restart.
+    // It was warm, and is listed as started long ago: discovery does not report the restart.
     let mut balancer = TestBalancer::new(read_through(), &ready_list(0..4));
     used(&mut balancer, 0..400);
     cordon(&mut balancer, true);
@@ -84,7 +93,7 @@
         0..4,
     ))));
     let cold = used(&mut balancer, 1_000..1_100);
-    // The call back again does not make it cold once more.
+    // A repeated order to lift the cordon does not make it cold again.
     balancer.now += 10 * SECOND;
     cordon(&mut balancer, false);
     let warm = used(&mut balancer, 2_000..2_100);
@@ -126,7 +135,7 @@
             on: true,
         });
     }
-    // All at once, and each a miss of what is left.
+    // All at once, and each is a miss at the cache that remains.
     let ids: Vec<RequestId> = (1_000..1_400).map(|key| balancer.request(key)).collect();
     let open: Vec<RequestId> = ids
         .into_iter()
--- a/crates/stairfront-policy/tests/endpoint_list.rs
+++ b/crates/stairfront-policy/tests/endpoint_list.rs
@@ -1,7 +1,10 @@
 //! Endpoint list: removals, and when discovery is polled.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
+
+use common::{endpoint, read_through, ready_list, servers_sent_to, TestBalancer};
+use stairfront_policy::interface::{
+    Action, CacheId, DiscoveryMode, EndpointListUpdate, EndpointState, Event, Micros, Outcome,
+};
 
 #[test]
 fn a_draining_or_removed_cache_gets_nothing_from_the_same_event_on() {
@@ -67,14 +70,14 @@
     let mut settings = read_through();
     settings.discovery = DiscoveryMode::Poll;
     let mut balancer = TestBalancer::new(settings, &ready_list(1..=3));
-    let first = list_timer(&balancer.out).expect("asks after the start");
+    let first = list_timer(&balancer.out).expect("it polls after the start");
     balancer.now += first;
     assert_eq!(
         subscriptions(&balancer.event(Event::Timer { token: u64::MAX })),
         1
     );
     let failed = balancer.event(Event::EndpointList(EndpointListUpdate::Failed));
-    let again = list_timer(&failed).expect("asks again");
+    let again = list_timer(&failed).expect("it polls again");
     assert!(subscriptions(&failed) == 0 && again > 0);
     balancer.now += again;
     assert_eq!(
@@ -85,7 +88,7 @@
     assert_eq!(
         subscriptions(&balancer.event(Event::Timer { token: u64::MAX })),
         0,
-        "subscribed: nothing to ask"
+        "subscribed: nothing to poll"
     );
 }
 
--- a/crates/stairfront-policy/tests/hand_off.rs
+++ b/crates/stairfront-policy/tests/hand_off.rs
@@ -1,10 +1,12 @@
-//! What a process takes over from the one before it, and what it must not.
+//! Hand-off: what a process adopts from the one before it, and what it must not.
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{read_through, ready_list, TestBalancer};
+use stairfront_policy::interface::{
+    CacheId, Endpoint, EndpointState, Event, Micros, Outcome, RequestId, MS, SECOND,
+};
 
 /// Where each key is served, in a balancer that has run for a while.
 fn long_running() -> (TestBalancer, BTreeMap<u64, CacheId>) {
@@ -19,7 +21,7 @@
     (balancer, served)
 }
 
-/// A process that has just started with this list and heard of what `before` knows.
+/// A process that has just started with this list and was given the snapshot of `before`.
 fn successor(before: &TestBalancer, list: &[Endpoint], after: Micros) -> TestBalancer {
     let known = before.policy.snapshot(before.now);
     let mut balancer = TestBalancer::seeded(read_through(), list, 99);
@@ -36,7 +38,7 @@
         .iter()
         .filter(|(key, cache)| next.serve(**key) == **cache)
         .count();
-    // Alone it would place those with nearly even counts anew.
+    // Without the snapshot it would place keys with nearly even counts elsewhere.
     assert_eq!(kept, served.len());
     assert_eq!(next.policy.snapshot(next.now).at, next.now);
 }
@@ -78,7 +80,7 @@
             before.finish_attempt(id, Outcome::ConnectFailed);
         }
     }
-    // All at once, so that a window is what limits them.
+    // All at once, so that the window limits them.
     let uses = |balancer: &mut TestBalancer| {
         let ids: Vec<RequestId> = (2_000..2_100).map(|key| balancer.request(key)).collect();
         ids.iter()
@@ -92,7 +94,7 @@
 
 #[test]
 fn a_cache_whose_cordon_was_lifted_is_still_cold_in_the_next_process() {
-    // The same state but for the time since the call back.
+    // The same state, but for the time since the cordon was lifted.
     let sent = |wait: Micros| {
         let (mut before, _) = long_running();
         for on in [true, false] {
--- a/crates/stairfront-policy/tests/invariants.rs
+++ b/crates/stairfront-policy/tests/invariants.rs
@@ -1,12 +1,17 @@
-//! The four rules, as far as one balancer can see them, over random legal days in settings of every mode.
-//! The checker below knows only events, actions and the settings; it shares no code with the module.
+//! The four rules, as far as one balancer can see them, over random events that are legal in settings of every mode.
+//! The checker knows only events, actions and the settings; it shares no code with the policy.
 mod common;
+
 use std::collections::BTreeMap;
 
-use common::*;
+use common::{attempt_result, cache_aside, class, read_through, ready_list, with_origin, ORIGIN};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stairfront_policy::interface::*;
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, CacheStatus, ClassId, DeduplicationScope, DiscoveryMode,
+    Endpoint, EndpointListUpdate, EndpointState, Event, Idempotency, Key, LoadReport, Micros,
+    Outcome, Request, RequestId, Settings, Tenant, TenantId, MS, SECOND,
+};
 use stairfront_policy::Policy;
 
 const TICK: Micros = 5 * MS;
@@ -15,89 +20,92 @@
 struct Attempt {
     at: Micros,
     cache: CacheId,
-    /// None while out.
+    /// `None` while in flight.
     ended: Option<Outcome>,
-    /// When the world will end it, and how.
+    /// When the environment ends it.
     due: Micros,
-    fate: Outcome,
+    /// How the environment ends it.
+    planned_outcome: Outcome,
 }
 
 #[derive(Debug)]
-struct Job {
+struct OpenRequest {
     request: Request,
     attempts: Vec<Attempt>,
-    over: bool,
+    /// It has its final answer.
+    finished: bool,
     answered: usize,
 }
 
-struct Line {
-    member: Endpoint,
-    /// When this balancer was told that it drains or is gone.
-    left: Option<Micros>,
+struct ListedServer {
+    endpoint: Endpoint,
+    /// When this balancer was notified that it drains or is removed.
+    unlisted_at: Option<Micros>,
 }
 
-/// A legal world around one balancer, and the judge of what it does.
-struct World {
+/// A legal environment of one balancer, and the checker of its actions.
+struct Environment {
     settings: Settings,
     now: Micros,
     policy: Policy,
-    jobs: BTreeMap<u32, Job>,
+    requests: BTreeMap<u32, OpenRequest>,
     timers: Vec<(Micros, u64)>,
-    probes: Vec<(Micros, CacheId)>,
-    lines: BTreeMap<CacheId, Line>,
-    faults: Vec<String>,
-    dice: u64,
+    health_checks: Vec<(Micros, CacheId)>,
+    listed: BTreeMap<CacheId, ListedServer>,
+    violations: Vec<String>,
+    rng_state: u64,
     slow: bool,
 }
 
-impl World {
-    fn new(settings: Settings, list: &[Endpoint], seed: u64, slow: bool) -> World {
+impl Environment {
+    fn new(settings: Settings, list: &[Endpoint], seed: u64, slow: bool) -> Environment {
         let policy = Policy::new(settings.clone(), seed);
-        let lines = list
+        let listed = list
             .iter()
             .map(|m| {
                 (
                     m.id,
-                    Line {
-                        member: *m,
-                        left: None,
+                    ListedServer {
+                        endpoint: *m,
+                        unlisted_at: None,
                     },
                 )
             })
             .collect();
-        let (jobs, now) = (BTreeMap::new(), 100 * SECOND);
-        let (timers, probes, faults) = (vec![], vec![], vec![]);
-        let mut world = World {
+        let (requests, now) = (BTreeMap::new(), 100 * SECOND);
+        let (timers, health_checks, violations) = (vec![], vec![], vec![]);
+        let mut environment = Environment {
             settings,
             now,
             policy,
-            jobs,
+            requests,
             timers,
-            probes,
-            lines,
-            faults,
-            dice: seed,
+            health_checks,
+            listed,
+            violations,
+            rng_state: seed,
             slow,
         };
-        world.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
-        world
+        environment.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
+        environment
     }
 
-    fn roll(&mut self, sides: u64) -> u64 {
-        self.dice = self
-            .dice
+    fn draw(&mut self, sides: u64) -> u64 {
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.dice >> 33) % sides
+        (self.rng_state >> 33) % sides
     }
 
-    fn fault(&mut self, text: String) {
-        self.faults.push(format!("{} ms: {text}", self.now / MS));
+    fn violation(&mut self, text: String) {
+        self.violations
+            .push(format!("{} ms: {text}", self.now / MS));
     }
 
-    fn fault_if(&mut self, wrong: bool, text: String) {
+    fn violation_if(&mut self, wrong: bool, text: String) {
         if wrong {
-            self.fault(text);
+            self.violation(text);
         }
     }
 
@@ -115,22 +123,25 @@
                 id, cache, timeout, ..
             } => self.check_send(id, cache, timeout),
             Action::Reject { id, .. } => {
-                self.fault_if(
-                    !self.may_refuse(id),
-                    format!("{id:?} refused though it may have run"),
+                self.violation_if(
+                    !self.may_reject(id),
+                    format!("{id:?} rejected though it may have run"),
                 );
-                self.end(id);
+                self.answer(id);
             }
-            Action::Fail { id } => self.end(id),
+            Action::Fail { id } => self.answer(id),
             Action::Cancel { id, attempt } => {
-                let made = self.jobs.get(&id.0).map_or(0, |j| j.attempts.len());
-                self.fault_if(
-                    made <= usize::from(attempt),
+                let sent = self
+                    .requests
+                    .get(&id.0)
+                    .map_or(0, |open| open.attempts.len());
+                self.violation_if(
+                    sent <= usize::from(attempt),
                     format!("{id:?} has no attempt {attempt} to cancel"),
                 );
             }
             Action::Timer { delay, token } => self.timers.push((self.now + delay.max(TICK), token)),
-            Action::HealthCheck { cache } => self.probes.push((self.now + 10 * MS, cache)),
+            Action::HealthCheck { cache } => self.health_checks.push((self.now + 10 * MS, cache)),
             _ => {}
         }
     }
@@ -139,15 +150,15 @@
         self.settings.classes[usize::from(request.class.0)].idempotency
     }
 
-    /// Attempts that are out or did not prove that they never ran.
-    fn may_have_run(&self, job: &Job) -> Vec<Attempt> {
+    /// Attempts that are in flight, or whose outcome does not prove that they had no effect.
+    fn may_have_run(&self, open: &OpenRequest) -> Vec<Attempt> {
         let clean = |o| {
             matches!(
                 o,
                 Outcome::Miss | Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent
             )
         };
-        job.attempts
+        open.attempts
             .iter()
             .filter(|a| !a.ended.is_some_and(clean))
             .copied()
@@ -155,143 +166,147 @@
     }
 
     fn check_send(&mut self, id: RequestId, cache: CacheId, timeout: Micros) {
-        let (now, roll, slow) = (self.now, self.roll(100), self.slow);
-        let delay = (1 + self.roll(if slow { 300 } else { 60 }) as Micros) * MS;
-        let Some(job) = self.jobs.get(&id.0) else {
-            return self.fault(format!("{id:?} was never given"));
+        let outcome_draw = self.draw(100);
+        let max_delay_ms = if self.slow { 300 } else { 60 };
+        let delay = (1 + self.draw(max_delay_ms) as Micros) * MS;
+        let Some(open) = self.requests.get(&id.0) else {
+            return self.violation(format!("{id:?} was never received"));
+        };
+        let expires_at = open.request.expires_at;
+        let mut wrong = self.wrong_attempts(open);
+        wrong.extend(self.wrong_target(open, cache));
+        for text in wrong {
+            self.violation(format!("{id:?} {text}"));
+        }
+        let limit = (self.now + timeout).min(expires_at);
+        let answer_at = self.now + delay;
+        let (due, planned_outcome) = match drawn_outcome(outcome_draw) {
+            Outcome::TimedOut => (limit, Outcome::TimedOut),
+            _ if answer_at >= limit => (limit, Outcome::TimedOut),
+            outcome => (answer_at, outcome),
         };
+        if let Some(open) = self.requests.get_mut(&id.0) {
+            open.attempts.push(Attempt {
+                at: self.now,
+                cache,
+                ended: None,
+                due: due.max(self.now + TICK),
+                planned_outcome,
+            });
+        }
+    }
+
+    /// Violations by the number and the state of the request's attempts.
+    fn wrong_attempts(&self, open: &OpenRequest) -> Vec<&'static str> {
         let mut wrong = vec![];
-        if job.over {
+        if open.finished {
             wrong.push("sent after its end");
         }
-        if job.attempts.iter().any(|a| a.ended.is_none()) && !self.settings.limits.may_hedge {
-            wrong.push("two attempts out");
+        if open.attempts.iter().any(|a| a.ended.is_none()) && !self.settings.limits.may_hedge {
+            wrong.push("two attempts in flight");
         }
-        if job.attempts.len() >= usize::from(self.settings.limits.max_attempts) {
+        if open.attempts.len() >= usize::from(self.settings.limits.max_attempts) {
             wrong.push("too many attempts");
         }
-        let (expires, ran) = (job.request.expires_at, self.may_have_run(job));
-        match self.lines.get(&cache) {
-            None => wrong.push("to a cache that was never listed"),
-            Some(l)
-                if l.left
-                    .is_some_and(|at| now > at + self.settings.rules.drain_grace) =>
-            {
-                wrong.push("to a cache that left")
-            }
-            Some(line) => match self.idempotency(&job.request) {
-                Idempotency::NotIdempotent if !ran.is_empty() => {
-                    wrong.push("single shot sent twice")
-                }
-                Idempotency::Keyed { scope, key_ttl } => {
-                    for first in &ran {
-                        let (a, b) = (&self.lines[&first.cache].member, &line.member);
-                        let same = match scope {
-                            DeduplicationScope::All => true,
-                            DeduplicationScope::Zone => a.zone == b.zone,
-                            DeduplicationScope::Cell => a.zone == b.zone && a.cell == b.cell,
-                        };
-                        if !same || now > first.at + key_ttl {
-                            wrong.push("keyed repeat outside its group or window");
-                        }
-                    }
-                }
-                _ => {}
-            },
-        }
         wrong
-            .iter()
-            .for_each(|text| self.fault(format!("{id:?} {text}")));
-        let fate = match roll {
-            0..50 => Outcome::Served,
-            50..70 => Outcome::Miss,
-            70..76 => Outcome::Errored,
-            76..82 => Outcome::Full,
-            82..88 => Outcome::Reset,
-            88..94 => Outcome::ConnectFailed,
-            _ => Outcome::TimedOut,
-        };
-        let limit = (now + timeout).min(expires);
-        let (due, fate) = match fate {
-            Outcome::TimedOut => (limit, fate),
-            _ if now + delay >= limit => (limit, Outcome::TimedOut),
-            _ => (now + delay, fate),
+    }
+
+    /// Violations by the server that an attempt of the request is sent to.
+    fn wrong_target(&self, open: &OpenRequest, cache: CacheId) -> Vec<&'static str> {
+        let Some(target) = self.listed.get(&cache) else {
+            return vec!["sent to a cache that was never listed"];
         };
-        if let Some(job) = self.jobs.get_mut(&id.0) {
-            job.attempts.push(Attempt {
-                at: now,
-                cache,
-                ended: None,
-                due: due.max(now + TICK),
-                fate,
-            });
+        let drain_grace = self.settings.rules.drain_grace;
+        if target
+            .unlisted_at
+            .is_some_and(|at| self.now > at + drain_grace)
+        {
+            return vec!["sent to a cache that drains or is removed"];
+        }
+        let may_have_run = self.may_have_run(open);
+        match self.idempotency(&open.request) {
+            Idempotency::NotIdempotent if !may_have_run.is_empty() => {
+                vec!["sent twice though not idempotent"]
+            }
+            Idempotency::Keyed { scope, key_ttl } => may_have_run
+                .iter()
+                .filter(|first| {
+                    let first_server = &self.listed[&first.cache].endpoint;
+                    !is_in_scope(scope, first_server, &target.endpoint)
+                        || self.now > first.at + key_ttl
+                })
+                .map(|_| "sent again outside the scope or time of its key")
+                .collect(),
+            _ => vec![],
         }
     }
 
-    fn may_refuse(&self, id: RequestId) -> bool {
-        let Some(job) = self.jobs.get(&id.0) else {
+    fn may_reject(&self, id: RequestId) -> bool {
+        let Some(open) = self.requests.get(&id.0) else {
             return false;
         };
-        match self.idempotency(&job.request) {
+        match self.idempotency(&open.request) {
             Idempotency::Idempotent
             | Idempotency::Keyed {
                 scope: DeduplicationScope::All,
                 ..
             } => true,
-            _ => self.may_have_run(job).is_empty(),
+            _ => self.may_have_run(open).is_empty(),
         }
     }
 
-    /// The balancer's own final answer.
-    fn end(&mut self, id: RequestId) {
-        let (now, slack) = (self.now, self.settings.rules.answer_slack);
-        let Some(job) = self.jobs.get_mut(&id.0) else {
-            return self.fault(format!("{id:?} was never given"));
+    /// Counts a final answer of the balancer's own.
+    fn answer(&mut self, id: RequestId) {
+        let now = self.now;
+        let slack = self.settings.rules.answer_slack;
+        let Some(open) = self.requests.get_mut(&id.0) else {
+            return self.violation(format!("{id:?} was never received"));
         };
-        job.answered += 1;
-        let (again, late) = (job.over, now > job.request.expires_at + slack);
-        job.over = true;
-        if again || late {
-            self.fault(format!(
+        open.answered += 1;
+        let repeated = open.finished;
+        let late = now > open.request.expires_at + slack;
+        open.finished = true;
+        if repeated || late {
+            self.violation(format!(
                 "{id:?} answered {}",
-                if again { "twice" } else { "too late" }
+                if repeated { "twice" } else { "too late" }
             ));
         }
     }
 
     fn request(&mut self, id: u32) {
-        let class = self.roll(self.settings.classes.len() as u64) as u8;
+        let class = self.draw(self.settings.classes.len() as u64) as u8;
         let deadline = self.settings.classes[usize::from(class)].deadline;
-        let expires = self.now + deadline * (40 + self.roll(61) as Micros) / 100;
-        let (key, tenant) = (Some(Key(1 + self.roll(40))), TenantId(self.roll(3) as u32));
-        let write = self.roll(8) == 0;
+        let expires_at = self.now + deadline * (40 + self.draw(61) as Micros) / 100;
+        let (key, tenant) = (Some(Key(1 + self.draw(40))), TenantId(self.draw(3) as u32));
+        let write = self.draw(8) == 0;
         let id = RequestId(id);
         let request = Request {
             id,
             class: ClassId(class),
             tenant,
             key,
-            expires_at: expires,
+            expires_at,
             write,
             retry: false,
         };
-        self.jobs.insert(
+        self.requests.insert(
             id.0,
-            Job {
+            OpenRequest {
                 request,
                 attempts: vec![],
-                over: false,
+                finished: false,
                 answered: 0,
             },
         );
         self.event(Event::Request(request));
     }
 
-    fn list_news(&mut self) {
-        let ids: Vec<CacheId> = self.lines.keys().copied().collect();
-        let id = ids[self.roll(ids.len() as u64) as usize];
-        let turn = self.roll(4);
-        let Some(line) = self.lines.get_mut(&id).filter(|_| id != ORIGIN) else {
+    fn list_update(&mut self) {
+        let ids: Vec<CacheId> = self.listed.keys().copied().collect();
+        let id = ids[self.draw(ids.len() as u64) as usize];
+        let choice = self.draw(4);
+        let Some(listed_server) = self.listed.get_mut(&id).filter(|_| id != ORIGIN) else {
             return;
         };
         let state = [
@@ -299,34 +314,35 @@
             EndpointState::Ready,
             EndpointState::Draining,
             EndpointState::Removed,
-        ][turn as usize];
-        line.member.state = state;
-        line.left = if state == EndpointState::Ready {
+        ][choice as usize];
+        listed_server.endpoint.state = state;
+        listed_server.unlisted_at = if state == EndpointState::Ready {
             None
         } else {
-            line.left.or(Some(self.now))
+            listed_server.unlisted_at.or(Some(self.now))
         };
-        if turn == 0 {
-            line.member.incarnation = self.now - SECOND;
+        if choice == 0 {
+            listed_server.endpoint.incarnation = self.now - SECOND;
         }
-        let update = [line.member];
+        let update = [listed_server.endpoint];
         self.event(Event::EndpointList(EndpointListUpdate::Delta(&update)));
     }
 
-    /// One tick: what ends or fires now, and clients that leave.
+    /// One tick: attempts that end, timers that fire, and clients whose deadline has passed.
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
         let mut due: Vec<(u32, usize)> = vec![];
-        for (id, job) in &self.jobs {
+        for (id, open) in &self.requests {
             let ends = |a: &Attempt| a.ended.is_none() && a.due <= now;
             due.extend(
-                (0..job.attempts.len())
-                    .filter(|i| ends(&job.attempts[*i]))
+                (0..open.attempts.len())
+                    .filter(|i| ends(&open.attempts[*i]))
                     .map(|i| (*id, i)),
             );
         }
-        due.into_iter().for_each(|(id, i)| self.settle(id, i));
+        due.into_iter()
+            .for_each(|(id, i)| self.finish_attempt(id, i));
         let fired: Vec<u64> = self
             .timers
             .iter()
@@ -337,15 +353,15 @@
         fired
             .into_iter()
             .for_each(|token| self.event(Event::Timer { token }));
-        let probed: Vec<CacheId> = self
-            .probes
+        let checked: Vec<CacheId> = self
+            .health_checks
             .iter()
             .filter(|(at, _)| *at <= now)
             .map(|(_, c)| *c)
             .collect();
-        self.probes.retain(|(at, _)| *at > now);
-        for cache in probed {
-            let outcome = if self.roll(2) == 0 {
+        self.health_checks.retain(|(at, _)| *at > now);
+        for cache in checked {
+            let outcome = if self.draw(2) == 0 {
                 Outcome::Served
             } else {
                 Outcome::ConnectFailed
@@ -358,59 +374,82 @@
             });
         }
         let slack = self.settings.rules.answer_slack;
-        let lost = |j: &Job| !j.over && now > j.request.expires_at + slack;
-        let lost: Vec<u32> = self
-            .jobs
+        let unanswered = |j: &OpenRequest| !j.finished && now > j.request.expires_at + slack;
+        let unanswered: Vec<u32> = self
+            .requests
             .iter()
-            .filter(|(_, j)| lost(j))
+            .filter(|(_, j)| unanswered(j))
             .map(|(id, _)| *id)
             .collect();
-        for id in lost {
-            self.fault(format!("request {id} got no answer in time"));
-            self.jobs.entry(id).and_modify(|j| j.over = true);
+        for id in unanswered {
+            self.violation(format!("request {id} got no answer in time"));
+            self.requests.entry(id).and_modify(|j| j.finished = true);
         }
     }
 
-    fn settle(&mut self, id: u32, i: usize) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+    fn finish_attempt(&mut self, id: u32, i: usize) {
+        let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
-        let attempt = &mut job.attempts[i];
-        let outcome = attempt.fate;
+        let attempt = &mut open.attempts[i];
+        let outcome = attempt.planned_outcome;
         attempt.ended = Some(outcome);
-        let (cache, elapsed) = (attempt.cache, self.now - attempt.at);
-        if outcome == Outcome::Served && !job.over {
-            (job.over, job.answered) = (true, job.answered + 1);
+        let cache = attempt.cache;
+        let elapsed = self.now - attempt.at;
+        if outcome == Outcome::Served && !open.finished {
+            open.finished = true;
+            open.answered += 1;
         }
-        let (request_finished, cache_status, load) =
-            (job.over, CacheStatus::None, LoadReport::default());
-        let (id, attempt) = (RequestId(id), i as u8);
+        let request_finished = open.finished;
         self.event(Event::AttemptFinished(AttemptResult {
-            id,
-            attempt,
-            cache,
-            outcome,
             request_finished,
             elapsed,
-            cache_status,
-            load,
+            cache_status: CacheStatus::None,
+            ..attempt_result(RequestId(id), i as u8, cache, outcome)
         }));
     }
 }
 
-fn any_settings(aside_mode: bool, ask: bool, group: u8, probes: bool, tries: u8) -> Settings {
+fn is_in_scope(scope: DeduplicationScope, a: &Endpoint, b: &Endpoint) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => a.zone == b.zone,
+        DeduplicationScope::Cell => a.zone == b.zone && a.cell == b.cell,
+    }
+}
+
+/// The outcome that a number below 100 stands for.
+fn drawn_outcome(draw: u64) -> Outcome {
+    match draw {
+        0..50 => Outcome::Served,
+        50..70 => Outcome::Miss,
+        70..76 => Outcome::Errored,
+        76..82 => Outcome::Full,
+        82..88 => Outcome::Reset,
+        88..94 => Outcome::ConnectFailed,
+        _ => Outcome::TimedOut,
+    }
+}
+
+fn any_settings(
+    aside_mode: bool,
+    poll: bool,
+    scope: u8,
+    health_checks: bool,
+    max_attempts: u8,
+) -> Settings {
     let mut settings = if aside_mode {
         cache_aside()
     } else {
         read_through()
     };
-    let group = [
+    let scope = [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
-    ][usize::from(group % 3)];
+    ][usize::from(scope % 3)];
     let keyed = Idempotency::Keyed {
-        scope: group,
+        scope,
         key_ttl: 250 * MS,
     };
     settings.classes = vec![
@@ -419,14 +458,14 @@
         class(Idempotency::NotIdempotent),
     ];
     settings.classes[1].late_weight = 0.5;
-    settings.classes[2].late_weight = if tries > 3 { 0.5 } else { 0.0 };
-    settings.discovery = if ask {
+    settings.classes[2].late_weight = if max_attempts > 3 { 0.5 } else { 0.0 };
+    settings.discovery = if poll {
         DiscoveryMode::Poll
     } else {
         DiscoveryMode::Push
     };
-    settings.limits.may_probe = probes;
-    settings.limits.max_attempts = tries;
+    settings.limits.may_probe = health_checks;
+    settings.limits.max_attempts = max_attempts;
     settings.tenants = (0..3)
         .map(|_| Tenant {
             quota_per_s: 20.0,
@@ -439,28 +478,29 @@
 
 fn play(settings: Settings, caches: u64, seed: u64, slow: bool, per_tick: u64) -> Vec<String> {
     let list = with_origin(ready_list(1..=caches));
-    let mut world = World::new(settings, &list, seed, slow);
+    let mut environment = Environment::new(settings, &list, seed, slow);
     let mut id = 0;
     for _ in 0..300 {
-        for _ in 0..world.roll(per_tick + 1) {
+        for _ in 0..environment.draw(per_tick + 1) {
             id += 1;
-            world.request(id);
+            environment.request(id);
         }
-        if world.roll(12) == 0 {
-            world.list_news();
+        if environment.draw(12) == 0 {
+            environment.list_update();
         }
-        world.tick();
+        environment.tick();
     }
-    (0..300).for_each(|_| world.tick());
-    let open: Vec<u32> = world
-        .jobs
+    (0..300).for_each(|_| environment.tick());
+    let open: Vec<u32> = environment
+        .requests
         .iter()
         .filter(|(_, j)| j.answered != 1)
         .map(|(id, _)| *id)
         .collect();
-    open.into_iter()
-        .for_each(|id| world.fault(format!("request {id} did not get exactly one answer")));
-    world.faults
+    open.into_iter().for_each(|id| {
+        environment.violation(format!("request {id} did not get exactly one answer"))
+    });
+    environment.violations
 }
 
 proptest! {
@@ -468,36 +508,36 @@
         ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_on_random_days(aside_mode: bool, ask: bool, group: u8, probes: bool, slow: bool,
-                                     tries in 1u8..6, seed: u64, per_tick in 1u64..5,
+    fn the_rules_hold_on_random_days(aside_mode: bool, poll: bool, scope: u8, health_checks: bool, slow: bool,
+                                     max_attempts in 1u8..6, seed: u64, per_tick in 1u64..5,
                                      tier in 0usize..3, fleet in 0usize..4) {
-        let mut settings = any_settings(aside_mode, ask, group, probes, tries);
+        let mut settings = any_settings(aside_mode, poll, scope, health_checks, max_attempts);
         settings.balancers = [1, 3, 400][tier];
-        let faults = play(settings, [0, 1, 6, 255][fleet], seed, slow, per_tick);
-        prop_assert!(faults.is_empty(), "{:#?}", &faults[..faults.len().min(8)]);
+        let violations = play(settings, [0, 1, 6, 255][fleet], seed, slow, per_tick);
+        prop_assert!(violations.is_empty(), "{:#?}", &violations[..violations.len().min(8)]);
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut world = World::new(
+        let mut environment = Environment::new(
             any_settings(true, true, 0, true, 4),
             &with_origin(ready_list(1..=6)),
             3,
             true,
         );
         for id in 0..400 {
-            world.request(id);
-            world.tick();
+            environment.request(id);
+            environment.tick();
         }
-        let sent = |j: &Job| {
+        let sent = |j: &OpenRequest| {
             j.attempts
                 .iter()
                 .map(|a| (a.at, a.cache))
                 .collect::<Vec<_>>()
         };
-        world.jobs.values().map(sent).collect::<Vec<_>>()
+        environment.requests.values().map(sent).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
 }
--- a/crates/stairfront-policy/tests/large_fleets.rs
+++ b/crates/stairfront-policy/tests/large_fleets.rs
@@ -1,27 +1,23 @@
-//! What a balancer must not take for granted where it is one of hundreds before a hundred caches: that it sees each cache
-//! often, that hits are told, that connections stand, that tenants are many, that any origin is as strong as any other.
+//! A balancer that is one of hundreds before a hundred caches cannot assume that it sees each cache often, that hits are
+//! reported, that idle connections stay up, that there are many tenants, or that every origin has the same capacity.
 mod common;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{
+    attempt_result, cache_aside, has_rejection, read_through, ready_list, with_origin,
+    TestBalancer, ORIGIN,
+};
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheMode, CacheStatus, Event, Outcome, RequestId, Settings,
+    TailLatency, Tenant, MS, SECOND,
+};
 
-/// The first attempt of a request ends so, long after its aim.
+/// Ends the first attempt of a request, long after its latency objective.
 fn end_late(balancer: &mut TestBalancer, id: RequestId, outcome: Outcome) -> Vec<Action> {
     let cache = balancer.last_cache(id).expect("sent");
-    let (request_finished, cache_status, load) = (
-        outcome == Outcome::Served,
-        CacheStatus::None,
-        LoadReport::default(),
-    );
     balancer.event(Event::AttemptFinished(AttemptResult {
-        id,
-        attempt: 0,
-        cache,
-        outcome,
-        request_finished,
         elapsed: 900 * MS,
-        cache_status,
-        load,
+        cache_status: CacheStatus::None,
+        ..attempt_result(id, 0, cache, outcome)
     }))
 }
 
@@ -40,8 +36,8 @@
     )
 }
 
-/// Danger: a short origin holds up the caches' slots, and where hits are not told only lateness shows it. Keys seen served
-/// go on; of the others, fewer.
+/// An origin short of capacity occupies the caches' workers, and where hits are not reported only late answers show it.
+/// Requests for keys that were seen served go on; of the others fewer are admitted.
 #[test]
 fn late_answers_for_unseen_keys_admit_fewer_of_them() {
     let mut balancer = one_of_many(read_through(), 50);
@@ -67,11 +63,11 @@
     });
     assert!(
         held.count() >= 15,
-        "what caches surely have is still asked for"
+        "requests for keys that caches surely have go on"
     );
 }
 
-/// Danger: each balancer's move is a miss, and hundreds of them keep a short origin short.
+/// A key that is moved to another cache is a miss for each balancer, and hundreds of them keep a short origin short.
 #[test]
 fn no_key_moves_while_the_origin_is_short() {
     let caches_used = |late: bool| {
@@ -98,7 +94,7 @@
     );
 }
 
-/// Danger: growth by a factor never leaves nought, which another process may have handed over.
+/// Growth by a factor never leaves zero, which another process may have handed over.
 #[test]
 fn admission_of_likely_misses_recovers_from_zero() {
     let mut known =
@@ -117,7 +113,7 @@
     );
 }
 
-/// Danger: growing back by steps, an answer each, takes minutes where a cache is asked every quarter of one.
+/// Growth by one step for each answer would take minutes where a cache gets a request every 15 s.
 #[test]
 fn a_good_answer_opens_a_window_below_one() {
     let mut balancer = one_of_many(read_through(), 1);
@@ -132,10 +128,13 @@
     balancer.serve(1);
     balancer.now += 10 * MS;
     let id = balancer.request(1);
-    assert!(balancer.last_cache(id).is_some(), "in use again at once");
+    assert!(
+        balancer.last_cache(id).is_some(),
+        "it is in use again at once"
+    );
 }
 
-/// Danger: of two tenants the lower median is the lesser one's use, and the greater is refused inside its share.
+/// Of two tenants the lower median is the smaller one's use, so the larger one would be rejected inside its quota.
 #[test]
 fn of_two_tenants_the_larger_is_not_shed_inside_its_quota() {
     for (parts, shed) in [([7, 3], false), ([19, 1], true)] {
@@ -148,19 +147,20 @@
             })
             .to_vec();
         let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
-        let (mut came, mut refusals) = ([0.0; 2], [0.0; 2]);
+        let mut received = [0.0; 2];
+        let mut rejected = [0.0; 2];
         for i in 0..2_000_u64 {
             balancer.now += 5 * MS;
-            // What comes of a request must not go with its tenant.
-            let dice = |salt: u64| xxhash_rust::xxh3::xxh3_64_with_seed(&i.to_le_bytes(), salt);
-            let greater = dice(1) % (parts[0] + parts[1]) < parts[0];
-            let bad = dice(2) % 4 == 0;
-            let id = balancer.request_from(u32::from(!greater), 0, dice(3) % 40, false);
-            came[usize::from(greater)] += 1.0;
-            refusals[usize::from(greater)] +=
+            // The outcome of a request must not depend on its tenant.
+            let draw = |salt: u64| xxhash_rust::xxh3::xxh3_64_with_seed(&i.to_le_bytes(), salt);
+            let greater = draw(1) % (parts[0] + parts[1]) < parts[0];
+            let bad = draw(2) % 4 == 0;
+            let id = balancer.request_from(u32::from(!greater), 0, draw(3) % 40, false);
+            received[usize::from(greater)] += 1.0;
+            rejected[usize::from(greater)] +=
                 f64::from(u8::from(balancer.last_cache(id).is_none()));
             if balancer.last_cache(id).is_some() {
-                // A quarter ends badly, and cannot be tried again: that is pressure.
+                // A quarter times out on each attempt, which is pressure.
                 balancer.finish_attempt(
                     id,
                     if bad {
@@ -174,17 +174,17 @@
                 }
             }
         }
-        // Pressure refuses some of both; the shed ones come on top.
-        let [lesser, greater] = [refusals[0] / came[0], refusals[1] / came[1]];
+        // Pressure alone rejects some of both; shedding adds to it.
+        let [lesser, greater] = [rejected[0] / received[0], rejected[1] / received[1]];
         assert_eq!(
             greater > lesser + 0.1,
             shed,
-            "{parts:?}: {lesser:.2} and {greater:.2} refused"
+            "{parts:?}: {lesser:.2} and {greater:.2} rejected"
         );
     }
 }
 
-/// Danger: what an origin behind sixty caches could fetch, but a window for a dozen holds back, is missed again.
+/// A fetch that a window for a dozen caches holds back, though an origin behind sixty has the capacity, is missed again.
 #[test]
 fn the_first_window_of_an_origin_follows_the_size_of_the_fleet() {
     let fetches = |caches| {
@@ -210,7 +210,7 @@
     assert_eq!((fetches(11), fetches(59)), (3, 15));
 }
 
-/// Danger: with seconds between two requests to a cache, each goes out on a connection that may have been dropped unseen.
+/// With seconds between two requests to a cache, each is sent on a connection that may have been dropped unseen.
 #[test]
 fn connections_idle_for_as_long_as_lost_ones_are_closed_before_use() {
     let closes = |actions: &[Action]| {
@@ -229,10 +229,10 @@
         );
         assert!(
             closes(&end_late(&mut balancer, id, Outcome::TimedOut)),
-            "but its connection is not kept"
+            "but its connection is closed"
         );
         balancer.out.clear();
-        // On a new connection, whose answer tells nothing of idle ones; and the loss has not made the cache rest.
+        // A new connection, whose answer says nothing of idle ones; and the loss has not cut the cache's window.
         balancer.now += 400 * MS;
         balancer.serve(1);
     }
@@ -240,15 +240,15 @@
     balancer.serve(1);
     assert!(
         closes(&balancer.out),
-        "two in a row do, and the limit lies below what was lost"
+        "two in a row do, and the limit lies below the idle time of the lost ones"
     );
     balancer.out.clear();
     balancer.now += 100 * MS;
     balancer.serve(1);
-    assert!(!closes(&balancer.out), "one in use just now stands");
+    assert!(!closes(&balancer.out), "one that was just in use is kept");
 }
 
-/// Danger: a request that went on past its aim counts as a miss of the slow end; refused at its aim it does not.
+/// A request that goes on past its latency objective counts against tail latency; one rejected at its objective does not.
 #[test]
 fn where_tail_latency_counts_a_late_request_is_rejected_at_its_objective() {
     for (weight, over) in [(0.0, false), (0.3, true)] {
--- a/crates/stairfront-policy/tests/origin_fetch.rs
+++ b/crates/stairfront-policy/tests/origin_fetch.rs
@@ -1,7 +1,13 @@
 //! Cache-aside mode: shared fetches, and the concurrency limit of the origin.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
+
+use common::{
+    attempt_result, cache_aside, read_through, ready_list, reporting_utilization, servers_sent_to,
+    utilization_report, with_origin, TestBalancer, ORIGIN,
+};
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheStatus, Event, Outcome, RequestId, Settings, MS,
+};
 
 #[test]
 fn readers_of_one_key_share_a_fetch_and_read_what_it_stored() {
@@ -91,18 +97,10 @@
     for _ in 0..20 {
         let id = out(&balancer, &done)[0];
         done.insert(id);
-        let (attempt, cache, outcome, cache_status) =
-            (1, ORIGIN, Outcome::Served, CacheStatus::Fetched);
-        let (request_finished, elapsed, load) = (true, 30 * MS, LoadReport::default());
         balancer.event(Event::AttemptFinished(AttemptResult {
-            id,
-            attempt,
-            cache,
-            outcome,
-            request_finished,
-            elapsed,
-            cache_status,
-            load,
+            elapsed: 30 * MS,
+            cache_status: CacheStatus::Fetched,
+            ..attempt_result(id, 1, ORIGIN, Outcome::Served)
         }));
     }
     let after = out(&balancer, &done).len();
@@ -133,7 +131,7 @@
     balancer.now += 490 * MS;
     let late = balancer.request(500);
     balancer.finish_attempt(late, Outcome::Miss);
-    // The first readers' aim is as good as past; their fetches come back at last.
+    // The first readers' objective is nearly over when their fetches come back.
     balancer.now += 15 * MS;
     out.iter()
         .for_each(|id| drop(balancer.finish_attempt(*id, Outcome::Served)));
@@ -144,35 +142,24 @@
     );
 }
 
-/// Reports of a cache whose cores are a third busy.
-fn idle(mut settings: Settings) -> Settings {
-    settings.report = vec![ReportField::Utilization];
-    settings
-}
-
-/// Misses come faster than a small window fetches, and each fetch takes 0.6 of the aim: how many go out?
-fn fetched(settings: Settings, busy: f32) -> usize {
+/// Number of fetches sent while misses arrive faster than a small window admits them, and each takes 0.6 of the objective.
+fn fetched(settings: Settings, utilization: f32) -> usize {
     let mut balancer = TestBalancer::new(settings, &with_origin(ready_list(1..=6)));
-    let (mut out, mut fetched) = (std::collections::VecDeque::new(), 0);
+    let mut in_flight = std::collections::VecDeque::new();
+    let mut fetched = 0;
     for key in 0..1_500 {
         balancer.now += 10 * MS;
-        while let Some((_, id)) = out.front().copied().filter(|(due, _)| *due <= balancer.now) {
-            out.pop_front();
-            let load = LoadReport {
-                len: 1,
-                values: [busy, 0.0, 0.0, 0.0],
-            };
-            let (attempt, cache, outcome, request_finished) = (1, ORIGIN, Outcome::Served, true);
-            let (elapsed, cache_status) = (300 * MS, CacheStatus::None);
+        while let Some((_, id)) = in_flight
+            .front()
+            .copied()
+            .filter(|(due, _)| *due <= balancer.now)
+        {
+            in_flight.pop_front();
             balancer.event(Event::AttemptFinished(AttemptResult {
-                id,
-                attempt,
-                cache,
-                outcome,
-                request_finished,
-                elapsed,
-                cache_status,
-                load,
+                elapsed: 300 * MS,
+                cache_status: CacheStatus::None,
+                load: utilization_report(utilization),
+                ..attempt_result(id, 1, ORIGIN, Outcome::Served)
             }));
         }
         let id = balancer.request(key);
@@ -182,7 +169,7 @@
                 id, cache: ORIGIN, ..
             } = action
             {
-                out.push_back((balancer.now + 300 * MS, id));
+                in_flight.push_back((balancer.now + 300 * MS, id));
                 fetched += 1;
             }
         }
@@ -192,13 +179,13 @@
 
 #[test]
 fn a_slow_origin_with_idle_cores_is_not_held_to_the_latency_of_a_cache() {
-    let idle_cores = fetched(idle(cache_aside()), 0.2);
+    let idle_cores = fetched(reporting_utilization(cache_aside()), 0.2);
     assert!(
         idle_cores > 500,
         "{idle_cores} fetched with idle cores, its window growing all the time"
     );
     let (busy, unknown) = (
-        fetched(idle(cache_aside()), 1.0),
+        fetched(reporting_utilization(cache_aside()), 1.0),
         fetched(cache_aside(), 0.2),
     );
     assert!(
--- a/crates/stairfront-policy/tests/outlier_detection.rs
+++ b/crates/stairfront-policy/tests/outlier_detection.rs
@@ -1,13 +1,19 @@
 //! Outlier detection: which outcomes eject a server, and which are chance.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
+
+use common::{
+    attempt_result, cache_aside, read_through, ready_list, reporting_utilization, servers_sent_to,
+    utilization_report, with_origin, TestBalancer, ORIGIN,
+};
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, Event, Micros, Outcome, RequestId, MS, SECOND,
+};
 
 #[test]
 fn a_cache_that_refuses_connections_is_avoided_and_used_again_later() {
     let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=6));
     let dead = balancer.serve(42);
-    // Two in a row may be the network's.
+    // Two faults in a row may be the network's.
     for _ in 0..3 {
         let id = balancer.request(42);
         assert_eq!(balancer.last_cache(id), Some(dead));
@@ -74,7 +80,7 @@
 fn a_malformed_answer_ejects_no_server_and_is_retried_there() {
     let mut balancer = TestBalancer::new(cache_aside(), &with_origin(ready_list(1..=6)));
     let cache = balancer.serve(77);
-    // One in ten, for a long time: each is had from the same cache again, which stays in use.
+    // One answer in ten is malformed, for a long time: each is retried at the same cache, which stays in use.
     for round in 0..60 {
         balancer.now += 50 * MS;
         let id = balancer.request(77);
@@ -148,7 +154,7 @@
         balancer.now += 20 * MS;
         balancer.serve(key % 20);
     }
-    let mut refusals = 0;
+    let mut rejected = 0;
     for round in 0..500u64 {
         balancer.now += 20 * MS;
         let id = balancer.request(round % 20);
@@ -157,20 +163,14 @@
         }
         match balancer.final_answers(id) {
             0 => drop(balancer.finish_attempt(id, Outcome::Served)),
-            n => refusals += n,
+            n => rejected += n,
         }
     }
-    assert!(refusals < 5, "{refusals} of 500 refused");
-}
-
-/// Reports of a cache whose cores are a third busy.
-fn idle(mut settings: Settings) -> Settings {
-    settings.report = vec![ReportField::Utilization];
-    settings
+    assert!(rejected < 5, "{rejected} of 500 rejected");
 }
 
-/// Each cache has been asked often for some seconds; tells where key 77 is.
-fn often(balancer: &mut TestBalancer) -> CacheId {
+/// Sends many requests to each cache for some seconds; returns the cache of key 77.
+fn warm_up(balancer: &mut TestBalancer) -> CacheId {
     for key in 0..1_000 {
         balancer.now += 10 * MS;
         balancer.serve(key % 50 + 100);
@@ -178,63 +178,56 @@
     balancer.serve(77)
 }
 
+/// Ends the last attempt of a request at a server that reports idle cores.
 fn answer(
     balancer: &mut TestBalancer,
     id: RequestId,
     outcome: Outcome,
     elapsed: Micros,
 ) -> Vec<Action> {
-    let (attempt, cache) = (
-        balancer.sent[&id.0].len() as u8 - 1,
-        balancer.last_cache(id).unwrap(),
-    );
-    let load = LoadReport {
-        len: 1,
-        values: [0.3, 0.0, 0.0, 0.0],
-    };
-    let (request_finished, cache_status) = (outcome == Outcome::Served, CacheStatus::Hit);
+    let attempt = balancer.sent[&id.0].len() as u8 - 1;
+    let cache = balancer.last_cache(id).unwrap();
     balancer.event(Event::AttemptFinished(AttemptResult {
-        id,
-        attempt,
-        cache,
-        outcome,
-        request_finished,
         elapsed,
-        cache_status,
-        load,
+        load: utilization_report(0.3),
+        ..attempt_result(id, attempt, cache, outcome)
     }))
 }
 
 #[test]
 fn where_answers_get_lost_an_attempt_is_cancelled_half_way_and_retried() {
-    let mut balancer = TestBalancer::new(idle(cache_aside()), &with_origin(ready_list(1..=6)));
-    let cache = often(&mut balancer);
-    let (mut cut, mut served) = (0, 0);
+    let mut balancer = TestBalancer::new(
+        reporting_utilization(cache_aside()),
+        &with_origin(ready_list(1..=6)),
+    );
+    let cache = warm_up(&mut balancer);
+    let mut cancelled = 0;
+    let mut served = 0;
     for round in 0..200 {
         balancer.now += 20 * MS;
         let id = balancer.request(77);
         assert_eq!(
             balancer.last_cache(id),
             Some(cache),
-            "round {round}: it rests, or another was chosen"
+            "round {round}: it was ejected, or another was chosen"
         );
         if round % 3 > 0 {
             answer(&mut balancer, id, Outcome::Served, 40 * MS);
             served += 1;
             continue;
         }
-        // Nothing comes. The first few times nobody knows that it never will.
-        let early = balancer.out.iter().rev().find_map(|action| match action {
+        // No answer comes. The first few times the balancer cannot know that none will.
+        let cancel_timer = balancer.out.iter().rev().find_map(|action| match action {
             Action::Timer { delay, token } if *token > u64::from(u32::MAX) => {
                 Some((*delay, *token))
             }
             _ => None,
         });
-        let Some((delay, token)) = early.filter(|(_, token)| *token as u32 == id.0) else {
+        let Some((delay, token)) = cancel_timer.filter(|(_, token)| *token as u32 == id.0) else {
             answer(&mut balancer, id, Outcome::TimedOut, 990 * MS);
             continue;
         };
-        assert_eq!(delay, 250 * MS, "half of the time to its aim");
+        assert_eq!(delay, 250 * MS, "half of the time to its objective");
         balancer.now += delay;
         assert_eq!(
             balancer.event(Event::Timer { token }),
@@ -246,32 +239,38 @@
         answer(&mut balancer, id, Outcome::Served, 40 * MS);
         // An attempt that has ended is not cancelled.
         assert_eq!(balancer.event(Event::Timer { token }), []);
-        cut += 1;
+        cancelled += 1;
     }
     assert!(
-        cut > 50 && served > 120,
-        "{cut} given up, {served} served at once"
+        cancelled > 50 && served > 120,
+        "{cancelled} cancelled, {served} served at once"
     );
 }
 
 #[test]
 fn a_busy_cache_is_waited_for_and_one_that_never_answers_is_ejected() {
-    let mut balancer = TestBalancer::new(idle(cache_aside()), &with_origin(ready_list(1..=6)));
-    let cache = often(&mut balancer);
-    let mut silent = 0;
+    let mut balancer = TestBalancer::new(
+        reporting_utilization(cache_aside()),
+        &with_origin(ready_list(1..=6)),
+    );
+    let cache = warm_up(&mut balancer);
+    let mut unanswered = 0;
     for _ in 0..40 {
         balancer.now += 20 * MS;
         let id = balancer.request(77);
         while balancer.final_answers(id) == 0 && balancer.last_cache(id) == Some(cache) {
             balancer.finish_attempt(id, Outcome::TimedOut);
-            silent += 1;
+            unanswered += 1;
         }
         if balancer.final_answers(id) == 0 {
             balancer.finish_attempt(id, Outcome::Served);
         }
     }
-    assert!((5..20).contains(&silent), "{silent} of 40 were spent on it");
-    // No report of idle cores: nothing is cut short, since the work would go on there.
+    assert!(
+        (5..20).contains(&unanswered),
+        "{unanswered} of 40 were spent on it"
+    );
+    // Without a report of idle cores nothing is cancelled, since the work would go on at the server.
     let mut balancer = TestBalancer::new(cache_aside(), &with_origin(ready_list(1..=6)));
     for key in 0..30 {
         balancer.now += 20 * MS;
--- a/crates/stairfront-policy/tests/placement.rs
+++ b/crates/stairfront-policy/tests/placement.rs
@@ -1,12 +1,18 @@
-//! The design's ordinary path: two points, fewer own keys, shorter arc, and what makes one request go elsewhere.
+//! Placement by two-choice consistent hashing: two points, fewer keys, shorter arc; and what makes a single request spill.
 mod common;
+
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{
+    attempt_result, endpoint, read_through, ready_list, utilization_report, TestBalancer,
+};
+use stairfront_policy::interface::{
+    AttemptResult, CacheId, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
+    Outcome, ReportField, Settings, SECOND,
+};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The design written down a second time, plainly: the order of the owners and the arcs they own.
+/// A second, plain implementation of the design: the order of the owners and the arcs that they own.
 struct Model {
     ring: Vec<(u64, u64)>,
     keys: BTreeMap<u64, i64>,
@@ -84,8 +90,8 @@
     );
 }
 
-/// Danger: the few keys that each of hundreds of balancers has placed differ by chance; read as load they would
-/// send one key to different caches.
+/// The few keys that each of hundreds of balancers has placed differ by chance; taken as load they would send one key to
+/// different caches.
 #[test]
 fn balancers_that_placed_few_and_different_keys_agree_on_a_new_one() {
     let agreed = (1..=100).filter(|key| {
@@ -266,7 +272,7 @@
     let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=3));
     let first = balancer.serve(1);
     (2..=70_000).for_each(|key| assert!(balancer.serve(key).0 > 0));
-    // Still deterministic and serving; the oldest entries made room.
+    // Still deterministic and serving; the oldest entries were forgotten.
     assert!([1, 2, 3].contains(&first.0) && balancer.serve(70_000).0 <= 3);
 }
 
@@ -312,26 +318,20 @@
     );
 }
 
-/// Danger: each of hundreds of balancers has one request out at a cache that many keys are hot at, and all of them wait there
-/// past their aim. What the cache says of its cores counts for a while; no word of them, or an old one, moves nothing.
+/// Each of hundreds of balancers has one request in flight to a cache with many hot keys, and all of them wait past their
+/// objective. The utilization that the cache reports counts for a while; a missing or an old report changes nothing.
 #[test]
 fn a_cache_that_reports_busy_cores_is_passed_over_for_the_other_owner_for_a_while() {
-    let told = LoadReport {
-        len: 1,
-        values: [0.95, 0.0, 0.0, 0.0],
-    };
+    let busy = utilization_report(0.95);
     for (report, load, moves) in [
-        (vec![ReportField::Utilization], told, true),
+        (vec![ReportField::Utilization], busy, true),
         (
             vec![ReportField::Utilization],
-            LoadReport {
-                len: 1,
-                values: [0.6, 0.0, 0.0, 0.0],
-            },
+            utilization_report(0.6),
             false,
         ),
         (vec![ReportField::Utilization], LoadReport::default(), false),
-        (vec![], told, false),
+        (vec![], busy, false),
     ] {
         let mut moved = 0;
         for key in 1..=40 {
@@ -344,17 +344,9 @@
             );
             let placed = balancer.serve(key);
             let id = balancer.request(key);
-            let (attempt, cache, outcome, request_finished) = (0, placed, Outcome::Served, true);
-            let (elapsed, cache_status) = (20 * MS, CacheStatus::Hit);
             balancer.event(Event::AttemptFinished(AttemptResult {
-                id,
-                attempt,
-                cache,
-                outcome,
-                request_finished,
-                elapsed,
-                cache_status,
                 load,
+                ..attempt_result(id, 0, placed, Outcome::Served)
             }));
             let next = balancer.request(key);
             moved += usize::from(balancer.last_cache(next) != Some(placed));
@@ -362,7 +354,7 @@
             balancer.now += 21 * SECOND;
             assert_eq!(balancer.serve(key), placed, "its place stays: {load:?}");
         }
-        // Some keys have one owner alone.
+        // Some keys have only one owner.
         assert_eq!(moved > 30, moves, "{moved} moved, {load:?}");
         assert!(moves || moved == 0, "{moved} moved, {load:?}");
     }
--- a/crates/stairfront-policy/tests/retries.rs
+++ b/crates/stairfront-policy/tests/retries.rs
@@ -1,7 +1,13 @@
-//! No effect twice, and exactly one answer: what may be sent again or refused after each kind of outcome.
+//! No effect twice, and exactly one answer: when a request may be retried or rejected, by the outcome of its attempt.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
+
+use common::{
+    class, has_failure, has_rejection, read_through, ready_list, servers_sent_to, TestBalancer,
+};
+use stairfront_policy::interface::{
+    Action, CacheId, ClassId, DeduplicationScope, Endpoint, Event, Idempotency, Key, Micros,
+    Outcome, Request, RequestId, TenantId, MS, SECOND,
+};
 
 const FAILURES: [(Outcome, bool); 7] = [
     (Outcome::Errored, false),
@@ -26,7 +32,7 @@
     TestBalancer::new(settings, list)
 }
 
-/// One attempt ends with `outcome` at a cache of zone and cell 1; what is done next?
+/// The actions after an attempt that ended with `outcome`, and the cache that it was sent to.
 fn after(idempotency: Idempotency, outcome: Outcome, wait: Micros) -> (Vec<Action>, CacheId) {
     let mut balancer = balancer(idempotency, &ready_list(1..=6));
     let id = balancer.request_of_class(0, 42, true);
@@ -44,7 +50,7 @@
             1,
             "{outcome:?}: {actions:?}"
         );
-        // A broken connection says nothing of a cache that has just done well; all else is had elsewhere.
+        // A lost connection says nothing of a cache that has just answered; after any other failure another is chosen.
         assert_eq!(
             servers_sent_to(&actions)[0] == first,
             matches!(outcome, Outcome::Reset | Outcome::Cancelled),
@@ -95,12 +101,12 @@
         assert_eq!(
             servers_sent_to(&actions).len(),
             usize::from(never_ran),
-            "past the window: {outcome:?}"
+            "past the time of the key: {outcome:?}"
         );
         let (actions, _) = after(keyed(DeduplicationScope::Zone, 300 * MS), outcome, 400 * MS);
         assert!(
             never_ran || has_failure(&actions),
-            "past the window, no refusal: {outcome:?}"
+            "past the time of the key, no rejection: {outcome:?}"
         );
     }
 }
@@ -115,7 +121,7 @@
     });
     assert!(
         has_failure(&actions) && !has_rejection(&actions),
-        "past the aim with its attempt out: {actions:?}"
+        "past the objective with its attempt in flight: {actions:?}"
     );
 }
 
@@ -212,7 +218,7 @@
     }
     assert!(
         again <= 10 + 200 / 10 + 1,
-        "{again} repeats of 200 requests"
+        "{again} retries of 200 requests"
     );
 }
 
@@ -222,15 +228,14 @@
     settings.classes[0].latency_objective = 300 * MS;
     let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
     (1..50).for_each(|key| assert!(balancer.serve(key).0 > 0));
-    // The usual time left is the whole deadline; this try has 400 ms of it: 600 ms are spent, the aim is past.
-    let (id, expires) = (RequestId(9_999), balancer.now + 400 * MS);
-    let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(3)));
+    // The usual time left is the whole deadline. This request has 400 ms of it, so 600 ms are spent and its objective is past.
+    let id = RequestId(9_999);
     let actions = balancer.event(Event::Request(Request {
         id,
-        class,
-        tenant,
-        key,
-        expires_at: expires,
+        class: ClassId(0),
+        tenant: TenantId(0),
+        key: Some(Key(3)),
+        expires_at: balancer.now + 400 * MS,
         write: false,
         retry: false,
     }));
--- a/crates/stairfront-policy/tests/scale.rs
+++ b/crates/stairfront-policy/tests/scale.rs
@@ -1,8 +1,11 @@
-//! What each balancer allows itself, summed over many of them: cold caches, discovery, resting caches, fairness.
+//! Limits that many balancers keep together: cold caches, discovery, ejected caches, fairness.
 mod common;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{attempt_result, endpoint, read_through, ready_list, TestBalancer};
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, CacheStatus, DiscoveryMode, Endpoint, EndpointListUpdate,
+    EndpointState, Event, Micros, Outcome, Settings, Tenant, MS, SECOND,
+};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 const CACHES: u64 = 10;
@@ -27,11 +30,12 @@
     (0..balancers).map(test_balancer).collect()
 }
 
-/// Sends to the cold cache in each tenth of a second after its start, by all balancers together.
+/// Attempts sent to the cold cache in each tenth of a second after its start, by all balancers together.
 fn cold_sends(balancers: u16, seconds: i64) -> Vec<usize> {
     let mut group = tier(balancers, read_through());
     let step = SECOND / (LOAD * CACHES as i64);
-    let (warm, mut sent) = (20 * SECOND, vec![0; 10 * seconds as usize]);
+    let warm = 20 * SECOND;
+    let mut sent = vec![0; 10 * seconds as usize];
     let started_at = 100 * SECOND + warm;
     for i in 0..(warm + seconds * SECOND) / step {
         let now = 100 * SECOND + i * step;
@@ -58,7 +62,7 @@
     sent
 }
 
-/// Danger: one first request and half a request a second from each of hundreds of balancers push a cold cache over.
+/// One first request and half a request a second from each of hundreds of balancers would overload a cold cache.
 #[test]
 fn many_balancers_together_keep_a_cold_cache_within_its_budget() {
     let rules = read_through().rules;
@@ -78,7 +82,7 @@
         }
         assert!(
             sent.iter().sum::<usize>() > 0,
-            "{balancers} balancers: but it gets some, to warm"
+            "{balancers} balancers: but it gets some, to warm up"
         );
     }
 }
@@ -97,15 +101,18 @@
     (1..=3).any(|seed| owner(hash(key, seed)) == cache.0)
 }
 
-/// Danger: a burst for keys of a cache that came back cold finds a whole token saved up at each of hundreds of
-/// balancers, and all go out at once.
+/// A burst for the keys of a cold cache would find a whole token saved up at each of hundreds of balancers, and all would be
+/// spent at once.
 #[test]
 fn a_burst_from_all_balancers_at_once_does_not_overload_a_cold_cache() {
-    let (balancers, mut settings) = (400, read_through());
+    let balancers = 400;
+    let mut settings = read_through();
     settings.rules.slow_start_window = 60 * SECOND;
-    let (rules, mut group) = (settings.rules.clone(), tier(balancers, settings));
+    let rules = settings.rules.clone();
+    let mut group = tier(balancers, settings);
     let home = group[0].serve(5);
-    let (started_at, age) = (120 * SECOND, rules.slow_start_window / 2);
+    let started_at = 120 * SECOND;
+    let age = rules.slow_start_window / 2;
     let line = [Endpoint {
         incarnation: started_at,
         ..endpoint(home.0, EndpointState::Ready)
@@ -122,14 +129,14 @@
         }
         balancer.now = started_at + age;
     }
-    let asks = |balancer: &mut TestBalancer| {
+    let send_burst = |balancer: &mut TestBalancer| {
         let ids: Vec<_> = (0..10).map(|_| balancer.request(5)).collect();
         ids.iter()
             .filter(|id| balancer.last_cache(**id) == Some(home))
             .count()
     };
-    let sent: usize = group.iter_mut().map(asks).sum();
-    // Each sends half a request a second to ten caches: that much a warm cache has from all of them together.
+    let sent: usize = group.iter_mut().map(send_burst).sum();
+    // Each balancer sends half a request a second to ten caches; a warm cache gets this from all of them together.
     let warm = f64::from(balancers) * 0.5 / CACHES as f64;
     let part = rules.slow_start_floor + (1.0 - rules.slow_start_floor) / 2.0;
     let budget = rules.overload_multiple * part * warm * (rules.overload_window / SECOND) as f64;
@@ -140,8 +147,8 @@
     assert!(sent > 0, "but it gets some");
 }
 
-/// Danger: past the stated time without a call a balancer counts as told what its old list lacks; and calls made
-/// all at once fail.
+/// Past the stated time without a call a balancer counts as notified of what its old list lacks; and calls that are all
+/// made at once fail.
 #[test]
 fn first_polls_of_discovery_are_spread_within_the_time_allowed() {
     let mut settings = read_through();
@@ -159,7 +166,7 @@
                 .out
                 .iter()
                 .find_map(timer)
-                .expect("asks after the start")
+                .expect("it polls after the start")
         };
         tier(balancers, settings.clone())
             .iter()
@@ -185,8 +192,8 @@
     );
 }
 
-/// Danger: where a balancer asks a cache every few seconds, a rest counted in answer times is over before the next
-/// request for it, so that hundreds of balancers go on filling a cache that answers too late.
+/// Where a balancer sends a request to a cache every few seconds, a pause counted in answer times ends before the next
+/// request, so hundreds of balancers would go on loading a cache that answers too late.
 #[test]
 fn a_late_answer_makes_a_balancer_with_rare_requests_avoid_the_cache() {
     let mut settings = read_through();
@@ -200,28 +207,22 @@
     let id = balancer.request(5);
     assert_eq!(balancer.last_cache(id), Some(home));
     balancer.now += 900 * MS;
-    let (attempt, outcome, request_finished, elapsed) = (0, Outcome::TimedOut, true, 900 * MS);
-    let (cache, cache_status, load) = (home, CacheStatus::None, LoadReport::default());
     balancer.event(Event::AttemptFinished(AttemptResult {
-        id,
-        attempt,
-        cache,
-        outcome,
-        request_finished,
-        elapsed,
-        cache_status,
-        load,
+        request_finished: true,
+        elapsed: 900 * MS,
+        cache_status: CacheStatus::None,
+        ..attempt_result(id, 0, home, Outcome::TimedOut)
     }));
     balancer.now += 3 * SECOND;
     assert_ne!(
         balancer.serve(5),
         home,
-        "three answer times later it still rests"
+        "three answer times later it is still avoided"
     );
 }
 
-/// Danger: a balancer with few requests has seen none of most tenants lately; taken as a median of nothing that made
-/// every tenant one beyond its share, so all were shed alike.
+/// A balancer with few requests has seen none of most tenants lately. Taken as a use of zero, the median put every tenant
+/// beyond its share, so all were shed alike.
 #[test]
 fn with_few_requests_only_the_tenant_beyond_its_share_is_shed() {
     let mut settings = read_through();
@@ -235,7 +236,7 @@
         .collect();
     let mut balancer = TestBalancer::new(settings, &ready_list(1..=CACHES));
     let mut shed = [0; 4];
-    // Every answer comes too late, which raises the shed level to the full; one request in two seconds.
+    // Every answer comes too late, which raises the shed level to its maximum, at one request in two seconds.
     for i in 0..400u64 {
         balancer.now += 2 * SECOND;
         let tenant = if i % 8 < 5 { 0 } else { i as usize % 8 - 4 };
--- a/crates/stairfront-policy/tests/settings_changes.rs
+++ b/crates/stairfront-policy/tests/settings_changes.rs
@@ -1,8 +1,12 @@
-//! Other settings while requests are open: what is open keeps what it was taken with.
+//! New settings while requests are open: an open request keeps those that it was admitted with.
 mod common;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{
+    class, has_failure, has_rejection, read_through, ready_list, servers_sent_to, TestBalancer,
+};
+use stairfront_policy::interface::{
+    Action, CacheId, Class, DeduplicationScope, Event, Idempotency, Outcome, Settings, MS, SECOND,
+};
 
 fn with(idempotency: Idempotency, attempts: u8) -> Settings {
     let mut settings = read_through();
@@ -28,7 +32,7 @@
         has_failure(&actions) && servers_sent_to(&actions).is_empty(),
         "{actions:?}"
     );
-    // One that comes after it goes by the new rules, also when they change back under it.
+    // A later request follows the new settings, also when they change back while it is open.
     let later = balancer.request(1);
     retune(&mut balancer, &with(Idempotency::NotIdempotent, 4));
     assert_eq!(
--- a/crates/stairfront-policy/tests/shutdown.rs
+++ b/crates/stairfront-policy/tests/shutdown.rs
@@ -1,9 +1,13 @@
-//! A balancer that has been told to end: everything it has is answered while it lives.
+//! Shutdown: every request is answered before the process ends.
 mod common;
-use common::*;
-use stairfront_policy::interface::*;
 
-/// Danger: a request whose client waits longer than the process lives would end with it, unanswered.
+use common::{class, read_through, ready_list, TestBalancer};
+use stairfront_policy::interface::{
+    Action, Class, ClassId, DeduplicationScope, Event, Idempotency, Key, Micros, Outcome, Request,
+    RequestId, TenantId, MS, SECOND,
+};
+
+/// A request whose client waits beyond the end of the process would end with it, unanswered.
 #[test]
 fn open_and_later_requests_are_answered_before_the_shutdown() {
     let mut settings = read_through();
@@ -13,21 +17,19 @@
         ..class(Idempotency::Idempotent)
     }];
     let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
-    let asked = |balancer: &mut TestBalancer, id: u32| {
-        let (class, tenant, key) = (ClassId(0), TenantId(0), Some(Key(u64::from(id))));
-        let expires = balancer.now + 6 * SECOND;
-        let request = Request {
+    let request = |balancer: &mut TestBalancer, id: u32| {
+        let event = Request {
             id: RequestId(id),
-            class,
-            tenant,
-            key,
-            expires_at: expires,
+            class: ClassId(0),
+            tenant: TenantId(0),
+            key: Some(Key(u64::from(id))),
+            expires_at: balancer.now + 6 * SECOND,
             write: false,
             retry: false,
         };
-        balancer.event(Event::Request(request))
+        balancer.event(Event::Request(event))
     };
-    asked(&mut balancer, 1);
+    request(&mut balancer, 1);
     balancer.now += SECOND;
     let by = balancer.now + 3 * SECOND;
     let mut due: Vec<(Micros, u64)> = Vec::new();
@@ -39,7 +41,7 @@
         })
     };
     due.extend(timers(balancer.event(Event::ShuttingDown { by }), now));
-    let sent = asked(&mut balancer, 2);
+    let sent = request(&mut balancer, 2);
     let least =
         |action: &Action| matches!(action, Action::Send { timeout, .. } if now + timeout < by);
     assert!(
@@ -61,37 +63,40 @@
         assert_eq!(
             balancer.final_answers(RequestId(id)),
             1,
-            "request {id} by the end"
+            "request {id} before the shutdown"
         );
     }
 }
 
-/// Danger: the first byte of a repeat may go out long after it was decided. It carries the end of its window, counted from
-/// the attempt that may have run; one that is bound to no window carries none.
+/// The first byte of a retry may be sent long after its decision. A keyed retry carries the time left of its key, counted from
+/// the attempt that may have run; any other carries none.
 #[test]
 fn a_keyed_retry_carries_the_time_left_of_its_key() {
-    let lapses = |idempotency, outcome| {
+    let send_within_of = |idempotency, outcome| {
         let mut settings = read_through();
         settings.classes = vec![class(idempotency)];
         let mut balancer = TestBalancer::new(settings, &ready_list(1..=6));
         let id = balancer.request_of_class(0, 42, true);
         balancer.now += 100 * MS;
-        let told = |action: &Action| match action {
+        let sent = |action: &Action| match action {
             Action::Send { send_within, .. } => Some(*send_within),
             _ => None,
         };
         balancer
             .finish_attempt(id, outcome)
             .iter()
-            .find_map(told)
-            .expect("it is sent again")
+            .find_map(sent)
+            .expect("it is retried")
     };
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::All,
         key_ttl: 300 * MS,
     };
-    let within = lapses(keyed, Outcome::Errored).expect("it may have run");
+    let within = send_within_of(keyed, Outcome::Errored).expect("it may have run");
     assert!(within <= 200 * MS && within > 150 * MS, "{within}");
-    assert_eq!(lapses(keyed, Outcome::Full), None, "nothing ran");
-    assert_eq!(lapses(Idempotency::Idempotent, Outcome::Errored), None);
+    assert_eq!(send_within_of(keyed, Outcome::Full), None, "nothing ran");
+    assert_eq!(
+        send_within_of(Idempotency::Idempotent, Outcome::Errored),
+        None
+    );
 }
--- a/crates/stairfront-policy/tests/slow_start.rs
+++ b/crates/stairfront-policy/tests/slow_start.rs
@@ -1,11 +1,14 @@
 //! Slow start: how much a cold cache gets from one balancer.
 mod common;
+
 use std::collections::BTreeMap;
 
-use common::*;
-use stairfront_policy::interface::*;
+use common::{endpoint, read_through, ready_list, TestBalancer};
+use stairfront_policy::interface::{
+    CacheId, Endpoint, EndpointListUpdate, EndpointState, Event, Kind, Outcome, MS,
+};
 
-/// Sends to the one cold cache in each of `seconds`, with a steady load on all.
+/// Attempts sent to the one cold cache in each of `seconds`, with a steady load on all caches, and the rate of a warm one.
 fn cold_sends(seconds: i64) -> (Vec<usize>, f64) {
     let mut balancer = TestBalancer::new(read_through(), &ready_list(1..=4));
     let mut per_cache: BTreeMap<u64, usize> = BTreeMap::new();
@@ -48,7 +51,7 @@
 fn a_cold_cache_gets_no_more_than_its_fraction_of_a_warm_caches_load() {
     let (cold, warm) = cold_sends(12);
     for second in 0..9 {
-        // 0.2 of its capacity at first, rising evenly over 10 s; far inside three times that over two seconds.
+        // 0.2 of its capacity at first, rising evenly over 10 s; well within three times that over two seconds.
         let part = 0.2 + 0.8 * (second as f64 + 1.0) / 10.0;
         let two: usize = cold[second..second + 2].iter().sum();
         assert!(
@@ -56,11 +59,11 @@
             "second {second}: {cold:?}, warm {warm}"
         );
     }
-    assert!(cold[0] > 0, "but it gets some, to warm");
+    assert!(cold[0] > 0, "but it gets some, to warm up");
 }
 
-/// Danger: the mean of all machines is a multiple of what the weakest kind can do, and so is what is sent there where most of
-/// it is turned away unseen. All balancers would push a weak cold cache over together.
+/// The mean of all machines is a multiple of the capacity of the weakest kind, and so is what is sent to it where most of that
+/// is rejected unseen. By either, all balancers together would overload a weak cold cache.
 #[test]
 fn the_budget_of_a_weak_cold_cache_follows_what_warm_ones_of_its_kind_complete() {
     let weak = |id: u64| id.is_multiple_of(2);
@@ -73,35 +76,38 @@
         })
         .collect();
     let mut balancer = TestBalancer::new(read_through(), &list);
-    // What the weak ones were sent and took on.
-    let (mut key, mut sent, mut taken) = (0, 0, 0);
-    let mut play = |balancer: &mut TestBalancer, seconds: i64, told: &mut dyn FnMut(u64, bool)| {
-        for _ in 0..100 * seconds {
-            key += 1;
-            let id = balancer.request(key);
-            while let (Some(cache), 0) = (balancer.last_cache(id), balancer.final_answers(id)) {
-                let takes = !weak(cache.0) || u64::is_multiple_of(key, 4);
-                told(cache.0, takes);
-                balancer.finish_attempt(
-                    id,
-                    if takes {
-                        Outcome::Served
-                    } else {
-                        Outcome::Full
-                    },
-                );
-                if takes {
-                    break;
+    // Attempts sent to the weak caches, and those that they completed.
+    let mut key = 0;
+    let mut sent = 0;
+    let mut completed = 0;
+    let mut play =
+        |balancer: &mut TestBalancer, seconds: i64, record: &mut dyn FnMut(u64, bool)| {
+            for _ in 0..100 * seconds {
+                key += 1;
+                let id = balancer.request(key);
+                while let (Some(cache), 0) = (balancer.last_cache(id), balancer.final_answers(id)) {
+                    let accepts = !weak(cache.0) || u64::is_multiple_of(key, 4);
+                    record(cache.0, accepts);
+                    balancer.finish_attempt(
+                        id,
+                        if accepts {
+                            Outcome::Served
+                        } else {
+                            Outcome::Full
+                        },
+                    );
+                    if accepts {
+                        break;
+                    }
                 }
+                balancer.now += 10 * MS;
             }
-            balancer.now += 10 * MS;
-        }
-    };
-    play(&mut balancer, 12, &mut |cache, takes| {
+        };
+    play(&mut balancer, 12, &mut |cache, accepts| {
         sent += u32::from(weak(cache));
-        taken += u32::from(weak(cache) && takes);
+        completed += u32::from(weak(cache) && accepts);
     });
-    assert!(sent > 2 * taken, "{sent} sent, {taken} taken on");
+    assert!(sent > 2 * completed, "{sent} sent, {completed} completed");
     let started_at = balancer.now;
     let restarted = Endpoint {
         incarnation: started_at,
@@ -114,7 +120,7 @@
         cold += u32::from(cache == 4)
     });
     // Over the first five of ten seconds it has 0.4 of its capacity on average.
-    let budget = 5.0 * 0.4 * f64::from(taken) / 3.0 / 12.0;
+    let budget = 5.0 * 0.4 * f64::from(completed) / 3.0 / 12.0;
     assert!(
         cold > 0 && f64::from(cold) < 1.6 * budget,
         "{cold} sent while cold, a budget of {budget:.1}"
--- a/crates/stairfront-policy/tests/stored_forms.rs
+++ b/crates/stairfront-policy/tests/stored_forms.rs
@@ -1,11 +1,18 @@
-//! What the decision module of one process leaves to that of the next, as it was pinned. The two may be of different
-//! builds: names in the program may change, this text may not.
+//! The stored form of a snapshot. The process that writes it and the one that reads it may be of different versions: names
+//! in the program may change, this text may not.
 mod common;
-mod golden;
 
-use common::*;
+use common::{attempt_result, read_through, ready_list, utilization_report, TestBalancer};
 use serde_json::Value;
-use stairfront_policy::interface::*;
+use stairfront_policy::interface::{
+    AttemptResult, CacheId, Endpoint, Event, Micros, Outcome, PolicySnapshot, ReportField,
+    RequestId, Settings, Tenant, MS, SECOND,
+};
+use stairfront_test_support::golden::GoldenFiles;
+
+fn golden_files() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
 
 const TENANTS: [(f64, f64); 2] = [(400.0, 1.0), (100.0, 2.0)];
 
@@ -19,15 +26,15 @@
     }
 }
 
-/// Caches 0 to 3; that at 1 has started lately.
+/// Caches 0 to 3; cache 1 has started lately.
 fn list() -> Vec<Endpoint> {
     let mut list = ready_list(0..4);
     list[1].incarnation = 97 * SECOND;
     list
 }
 
-/// How an attempt ends whose cache tells how busy it is.
-fn settle(
+/// Ends the last attempt of a request at a cache that reports its utilization.
+fn finish_attempt(
     balancer: &mut TestBalancer,
     id: RequestId,
     outcome: Outcome,
@@ -38,31 +45,22 @@
         return;
     };
     let attempt = balancer.sent[&id.0].len() as u8 - 1;
-    let load = LoadReport {
-        len: 1,
-        values: [0.25 + 0.125 * cache.0 as f32, 0.0, 0.0, 0.0],
-    };
-    let cache_status = CacheStatus::Hit;
     balancer.event(Event::AttemptFinished(AttemptResult {
-        id,
-        attempt,
-        cache,
-        outcome,
         request_finished,
         elapsed,
-        cache_status,
-        load,
+        load: utilization_report(0.25 + 0.125 * cache.0 as f32),
+        ..attempt_result(id, attempt, cache, outcome)
     }));
 }
 
-/// A balancer in which each thing that is handed over has happened: caches served, late, silent and lost, one called
-/// back from a cordon, and more asked of it than it had room for.
-fn busy() -> TestBalancer {
+/// A balancer in which everything that is handed over has occurred: answers in time and late ones, unanswered and lost
+/// attempts, a lifted cordon, and more requests than it had capacity for.
+fn busy_balancer() -> TestBalancer {
     let mut balancer = TestBalancer::new(settings(), &list());
     for key in 0..60 {
         balancer.now += 7 * MS;
         let id = balancer.request_from(key as u32 % 2, 0, key % 40, false);
-        settle(
+        finish_attempt(
             &mut balancer,
             id,
             Outcome::Served,
@@ -70,17 +68,17 @@
             true,
         );
     }
-    // More at once than there is room for.
-    let crowd: Vec<RequestId> = (0..160)
+    // More at once than there is capacity for.
+    let burst: Vec<RequestId> = (0..160)
         .map(|key| balancer.request_from(u32::from(key % 4 == 0), 0, 100 + key, false))
         .collect();
     balancer.now += 600 * MS;
-    for (i, id) in crowd.iter().enumerate() {
+    for (i, id) in burst.iter().enumerate() {
         match i % 5 {
-            0 => settle(&mut balancer, *id, Outcome::TimedOut, 600 * MS, true),
-            1 => settle(&mut balancer, *id, Outcome::Errored, 550 * MS, true),
-            2 => settle(&mut balancer, *id, Outcome::Reset, 580 * MS, true),
-            _ => settle(&mut balancer, *id, Outcome::Served, 590 * MS, true),
+            0 => finish_attempt(&mut balancer, *id, Outcome::TimedOut, 600 * MS, true),
+            1 => finish_attempt(&mut balancer, *id, Outcome::Errored, 550 * MS, true),
+            2 => finish_attempt(&mut balancer, *id, Outcome::Reset, 580 * MS, true),
+            _ => finish_attempt(&mut balancer, *id, Outcome::Served, 590 * MS, true),
         }
     }
     for on in [true, false] {
@@ -90,23 +88,23 @@
             on,
         });
     }
-    // Placed, and not served yet.
+    // Placed, but not served yet.
     for key in 300..306 {
         balancer.now += 3 * MS;
         balancer.request_from(0, 0, key, false);
     }
-    // Without a word at each, as the last thing.
+    // Unanswered attempts at each cache, as the last ones.
     for key in 400..424 {
         balancer.now += 40 * MS;
         let id = balancer.request_from(1, 0, key, false);
-        settle(&mut balancer, id, Outcome::TimedOut, 500 * MS, true);
+        finish_attempt(&mut balancer, id, Outcome::TimedOut, 500 * MS, true);
     }
     balancer
 }
 
-/// The fields of an object that no example of it has filled.
-fn unfilled(examples: &[&Value], of: &str) -> Vec<String> {
-    let empty = |value: &Value| match value {
+/// The fields of an object that are empty in every example of it.
+fn empty_fields(examples: &[&Value], of: &str) -> Vec<String> {
+    let is_empty = |value: &Value| match value {
         Value::Null => true,
         Value::Bool(is) => !is,
         Value::Number(number) => number.as_f64() == Some(0.0),
@@ -114,33 +112,32 @@
         _ => false,
     };
     let names = examples[0].as_object().unwrap().keys();
-    let mut lacking = Vec::new();
+    let mut empty = Vec::new();
     for name in names {
         let values: Vec<&Value> = examples.iter().map(|example| &example[name]).collect();
-        if values.iter().all(|value| empty(value)) {
-            lacking.push(format!("{of}.{name}"));
+        if values.iter().all(|value| is_empty(value)) {
+            empty.push(format!("{of}.{name}"));
         } else if values[0].is_object() {
-            lacking.extend(unfilled(&values, &format!("{of}.{name}")));
+            empty.extend(empty_fields(&values, &format!("{of}.{name}")));
         }
     }
-    lacking
+    empty
 }
 
-fn text(known: &PolicySnapshot) -> Vec<u8> {
-    serde_json::to_vec(known).unwrap()
+fn text(snapshot: &PolicySnapshot) -> Vec<u8> {
+    serde_json::to_vec(snapshot).unwrap()
 }
 
-/// A new process with the same list, told of this at the same time.
-fn heir(known: &PolicySnapshot) -> TestBalancer {
+/// A new process with the same list that is given the snapshot at the time of its export.
+fn successor(snapshot: &PolicySnapshot) -> TestBalancer {
     let mut balancer = TestBalancer::seeded(settings(), &list(), 99);
-    balancer.now = known.at;
-    balancer.event(Event::Inherited(known));
+    balancer.now = snapshot.at;
+    balancer.event(Event::Inherited(snapshot));
     balancer
 }
 
-/// Every fraction moved to a whole number of 64ths, none of them to 0: such ones are written in few digits and read
-/// exactly.
-fn evened(value: Value) -> Value {
+/// Rounds every fraction to a whole number of 64ths, none of them to 0: those are written in few digits and read exactly.
+fn rounded(value: Value) -> Value {
     match value {
         Value::Number(number) if number.is_f64() => {
             let number = number.as_f64().unwrap();
@@ -151,41 +148,44 @@
                 even
             })
         }
-        Value::Array(values) => values.into_iter().map(evened).collect(),
+        Value::Array(values) => values.into_iter().map(rounded).collect(),
         Value::Object(fields) => Value::Object(
             fields
                 .into_iter()
-                .map(|(name, value)| (name, evened(value)))
+                .map(|(name, value)| (name, rounded(value)))
                 .collect(),
         ),
         other => other,
     }
 }
 
-/// Equal, but for the last digits of fractions.
-fn near(a: &Value, b: &Value) -> bool {
+/// Whether two values are equal, but for the last digits of fractions.
+fn nearly_equal(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) if a.is_f64() && b.is_f64() => {
             let (a, b) = (a.as_f64().unwrap(), b.as_f64().unwrap());
             (a - b).abs() <= 4.0 * f64::EPSILON * a.abs()
         }
         (Value::Array(a), Value::Array(b)) => {
-            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| near(a, b))
+            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| nearly_equal(a, b))
         }
         (Value::Object(a), Value::Object(b)) => {
-            a.len() == b.len() && a.iter().zip(b).all(|((m, a), (n, b))| m == n && near(a, b))
+            a.len() == b.len()
+                && a.iter()
+                    .zip(b)
+                    .all(|((m, a), (n, b))| m == n && nearly_equal(a, b))
         }
         (a, b) => a == b,
     }
 }
 
-/// Fails where the knowledge lacks an example of something.
-fn assert_filled(known: &PolicySnapshot) {
-    let whole: Value = serde_json::from_slice(&text(known)).unwrap();
+/// Asserts that no field of the snapshot is empty throughout.
+fn assert_filled(snapshot: &PolicySnapshot) {
+    let whole: Value = serde_json::from_slice(&text(snapshot)).unwrap();
     let servers: Vec<&Value> = whole["servers"].as_array().unwrap().iter().collect();
-    let mut lacking = unfilled(&[&whole], "knowledge");
-    lacking.extend(unfilled(&servers, "server"));
-    assert_eq!(lacking, Vec::<String>::new(), "{whole:#}");
+    let mut empty = empty_fields(&[&whole], "snapshot");
+    empty.extend(empty_fields(&servers, "server"));
+    assert_eq!(empty, Vec::<String>::new(), "{whole:#}");
     let held = |is: bool| {
         whole["placements"]
             .as_array()
@@ -196,37 +196,37 @@
     assert!(held(true) && held(false));
 }
 
-/// What a driven decision module tells. Servers stand by their numbers, placements by their time and key, and there is no
-/// map in it, so that the bytes are compared as they are.
+/// Servers are ordered by their numbers, placements by time and key, and there is no map in a snapshot, so the bytes are
+/// compared as they are.
 ///
-/// Read again, fractions of many digits may differ in the last bit, since the JSON reader rounds them so; that alone is
-/// allowed here. The next test allows nothing.
+/// Fractions of many digits may differ in the last bit after reading, since the JSON reader rounds them so. Only that is
+/// allowed here, and nothing in the next test.
 #[test]
 fn a_snapshot_is_written_and_read_as_pinned() {
-    let balancer = busy();
-    let known = balancer.policy.snapshot(balancer.now);
-    assert_filled(&known);
-    let pinned = golden::same("knowledge.json", &text(&known));
+    let balancer = busy_balancer();
+    let snapshot = balancer.policy.snapshot(balancer.now);
+    assert_filled(&snapshot);
+    let pinned = golden_files().assert_bytes("knowledge.json", &text(&snapshot));
     let read: PolicySnapshot = serde_json::from_slice(&pinned).unwrap();
     let value = |text: &[u8]| -> Value { serde_json::from_slice(text).unwrap() };
-    assert!(near(&value(&text(&read)), &value(&text(&known))));
-    // Told at the same time, so that nothing has aged; the heir has nothing from elsewhere.
-    let next = heir(&read).policy.snapshot(read.at);
+    assert!(nearly_equal(&value(&text(&read)), &value(&text(&snapshot))));
+    // At the time of the export nothing has aged, and the successor knows nothing else.
+    let next = successor(&read).policy.snapshot(read.at);
     assert_eq!(next, read);
     assert_eq!(text(&next), text(&read));
 }
 
-/// The same with fractions that are read exactly: what is pinned goes through a process unchanged, byte for byte.
+/// The same with fractions that are read exactly: a pinned snapshot passes through a process unchanged, byte for byte.
 #[test]
 fn a_pinned_snapshot_passes_through_a_new_process_unchanged() {
-    let balancer = busy();
+    let balancer = busy_balancer();
     let driven = serde_json::to_value(balancer.policy.snapshot(balancer.now)).unwrap();
-    let known: PolicySnapshot = serde_json::from_value(evened(driven)).unwrap();
-    assert_filled(&known);
-    let pinned = golden::same("knowledge_even.json", &text(&known));
+    let snapshot: PolicySnapshot = serde_json::from_value(rounded(driven)).unwrap();
+    assert_filled(&snapshot);
+    let pinned = golden_files().assert_bytes("knowledge_even.json", &text(&snapshot));
     let read: PolicySnapshot = serde_json::from_slice(&pinned).unwrap();
-    assert_eq!(read, known);
-    let next = heir(&read).policy.snapshot(read.at);
-    assert_eq!(next, known);
+    assert_eq!(read, snapshot);
+    let next = successor(&read).policy.snapshot(read.at);
+    assert_eq!(next, snapshot);
     assert_eq!(text(&next), pinned);
 }
