--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine.rs
@@ -210,7 +210,7 @@
             Input::Arrived(arrival) => {
                 self.door
                     .borrow_mut()
-                    .message(self.clock.now() - arrival.came);
+                    .record_message_delay(self.clock.now() - arrival.came);
                 self.arrived(arrival);
             }
             Input::ClientGone(id) => self.client_gone(id),
@@ -272,7 +272,9 @@
             duration(host.idle),
             stall,
         );
-        self.door.borrow_mut().retune(&door_settings(&settings, 0));
+        self.door
+            .borrow_mut()
+            .update_settings(&door_settings(&settings, 0));
         self.tell(Event::SettingsChanged {
             settings: &settings,
             tenants,
--- a/crates/stairfront-balancer/src/heartbeat.rs
+++ b/crates/stairfront-balancer/src/heartbeat.rs
@@ -44,12 +44,12 @@
             .iter()
             .map(|tenant| tenant.quota_per_s)
             .collect(),
-        worths: set
+        class_weights: set
             .classes
             .iter()
             .map(|class| class.priority_weight)
             .collect(),
-        most_advice_ms: set.limits.max_retry_after as f64 / MS as f64,
+        max_advice_ms: set.limits.max_retry_after as f64 / MS as f64,
         seed,
     }
 }
@@ -76,8 +76,8 @@
         let late = micros(due.elapsed()) - GRAIN;
         let (part, behind) = {
             let mut door = door.borrow_mut();
-            door.timer(clock.now(), late);
-            (door.part(), door.worst())
+            door.record_timer_delay(clock.now(), late);
+            (door.admitted_fraction(), door.max_delay())
         };
         counters.loop_behind_us.set(behind.max(0) as u64);
         counters.taking_permille.set((part * 1000.0) as u64);
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/take_in.rs
@@ -136,9 +136,11 @@
         class: usize::from(class.0),
         retry,
     };
-    match intake.door.borrow_mut().ask(arrival) {
-        AdmissionDecision::Take => Ok(()),
-        AdmissionDecision::Refuse { after_ms } => Err(Turned::Shed { after_ms }),
+    match intake.door.borrow_mut().admit(arrival) {
+        AdmissionDecision::Admit => Ok(()),
+        AdmissionDecision::Reject { retry_after_ms } => Err(Turned::Shed {
+            after_ms: retry_after_ms,
+        }),
     }
 }
 
--- a/crates/stairfront-overload/examples/cost.rs
+++ b/crates/stairfront-overload/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What the door costs a request: one message told and one question asked, open and while it refuses most.
+//! What the admission costs a request: one message told and one question asked, open and while it refuses most.
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -10,26 +10,29 @@
     let set = AdmissionSettings {
         target: 10_000,
         quotas: vec![1.0; 8],
-        worths: vec![2.0, 1.0],
-        most_advice_ms: 1500.0,
+        class_weights: vec![2.0, 1.0],
+        max_advice_ms: 1500.0,
         seed: 1,
     };
     for (name, growth) in [("open", 0), ("refusing", 20_000)] {
-        let mut door = AdmissionController::new(0, set.clone());
+        let mut admission = AdmissionController::new(0, set.clone());
         for beat in 1..200 {
-            door.timer(beat * 10_000, beat * growth);
+            admission.record_timer_delay(beat * 10_000, beat * growth);
         }
         let start = Instant::now();
         for i in 0..ROUNDS {
-            door.message(black_box(100));
+            admission.record_message_delay(black_box(100));
             let (tenant, class, retry) = (Some((i % 8) as usize), (i % 2) as usize, i % 5 == 0);
-            black_box(door.ask(Arrival {
+            black_box(admission.admit(Arrival {
                 tenant,
                 class,
                 retry,
             }));
         }
         let ns = start.elapsed().as_nanos() as f64 / f64::from(ROUNDS);
-        println!("{name}: {ns:.1} ns a request, taking {:.2}", door.part());
+        println!(
+            "{name}: {ns:.1} ns a request, taking {:.2}",
+            admission.admitted_fraction()
+        );
     }
 }
