--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -11,10 +11,9 @@
     AvailabilityBudget, Balancer, Command, CommandKind, DoneBy, Fleet, Host, LeaderObservation,
     Maintenance, Plan, Stage,
 };
-use stairfront_raft::cluster_manager::ClusterManager;
 use stairfront_raft::{
-    Envelope, HardState, Log, Message, Micros, Payload, Ready, Recovered, Settings, Voter, MS,
-    SECOND,
+    ClusterManager, Envelope, HardState, Log, Micros, OutgoingMessage, Payload, Ready, Recovered,
+    Settings, Voter, MS, SECOND,
 };
 
 const STEP: Micros = 10 * MS;
@@ -38,7 +37,7 @@
 }
 
 type Key = (String, u64);
-type Spoken = Vec<(Voter, Message)>;
+type Spoken = Vec<OutgoingMessage>;
 
 #[derive(Default)]
 struct Place {
@@ -135,7 +134,7 @@
         place.ledger.extend(told);
         (place.machine, place.applied, place.asleep) = (Maintenance::default(), 0, false);
         let recovered = Recovered {
-            hard: place.disk.0.clone(),
+            hard_state: place.disk.0.clone(),
             log: place.disk.1.clone(),
         };
         let me = Voter {
@@ -275,18 +274,21 @@
                 return;
             };
             let (hard, log) = &mut place.disk;
-            *hard = ready.hard.clone().unwrap_or_else(|| hard.clone());
+            *hard = ready.hard_state.clone().unwrap_or_else(|| hard.clone());
             ready
                 .snapshot
                 .iter()
                 .for_each(|snapshot| log.compact(snapshot.clone()));
-            ready.truncate.iter().for_each(|from| log.truncate(*from));
-            for (_, entry) in &ready.append {
-                log.push(entry.clone());
+            ready
+                .truncate_from
+                .iter()
+                .for_each(|from| log.truncate(*from));
+            for appended in &ready.append {
+                log.push(appended.entry.clone());
             }
             out.extend(
                 send.into_iter()
-                    .map(|(to, message)| council.envelope(to, message)),
+                    .map(|sent| council.envelope(sent.to, sent.message)),
             );
             council.persisted(now, ready.number);
         }
@@ -298,9 +300,10 @@
                 place.machine = Maintenance::restore(&snapshot.data).unwrap_or_default();
                 place.applied = snapshot.index;
             }
-            for (index, entry) in std::mem::take(&mut ready.committed) {
+            for committed in std::mem::take(&mut ready.committed) {
+                let (index, entry) = (committed.index, committed.entry);
                 place.applied = index;
-                if let Payload::Order(order) = &entry.payload {
+                if let Payload::Command(order) = &entry.payload {
                     let agreed = self.agreed.entry(index).or_insert_with(|| order.clone());
                     assert!(
                         agreed == order || self.log_lost,
@@ -327,12 +330,16 @@
                 .ledger
                 .retain(|key| key.1 > applied || held.contains(key));
             place.ledger.extend(held);
-            let send = std::mem::take(&mut ready.send);
+            let send = std::mem::take(&mut ready.messages);
             let wait = if slow { 700 } else { 1 + self.dice.below(8) } as Micros * MS;
             place.writing = Some((now + wait, ready, send));
         }
-        for (to, envelope) in out {
-            self.say(at, place_of(&to), Parcel::Raft(Box::new(envelope)));
+        for sent in out {
+            self.say(
+                at,
+                place_of(&sent.to_name),
+                Parcel::Raft(Box::new(sent.envelope)),
+            );
         }
     }
 
@@ -685,7 +692,7 @@
                     .iter()
                     .filter_map(|place| place.council.as_ref());
                 for founding in foundings
-                    .map(ClusterManager::founding)
+                    .map(ClusterManager::cluster_id)
                     .filter(|founding| *founding != 0)
                 {
                     let one = self.founding == 0 || self.founding == founding || self.log_lost;
--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -10,8 +10,10 @@
 
 use serde::Serialize;
 use stairfront_membership_agent::MembershipAgent;
-use stairfront_raft::cluster_manager::{ClusterManager, Envelope, ProposalError};
-use stairfront_raft::{Index, Message, Micros, Payload, Ready, Recovered, Settings, Voter};
+use stairfront_raft::{
+    ClusterManager, Envelope, LogIndex, Micros, OutgoingMessage, Payload, ProposalError, Ready,
+    Recovered, Settings, Voter,
+};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
@@ -21,18 +23,18 @@
 /// Half of a leader's heartbeat.
 const TICK: Duration = Duration::from_millis(50);
 /// Settled entries behind which the log is cut.
-const COMPACT_EVERY: Index = 256;
+const COMPACT_EVERY: LogIndex = 256;
 /// Between two tries to open a store that failed.
 const OPEN_AGAIN: Duration = Duration::from_secs(1);
 
 /// What the settled orders are for. The same orders in the same order make the same machine at each member.
 pub trait StateMachine {
     /// The number of the order, so that its sender is told.
-    fn apply(&mut self, index: Index, term: u64, order: &[u8]) -> Option<u64>;
+    fn apply(&mut self, index: LogIndex, term: u64, order: &[u8]) -> Option<u64>;
     /// All that was applied, for those who were away.
     fn snapshot(&self) -> Vec<u8>;
     /// Begins anew from a snapshot; empty for the very beginning.
-    fn restore(&mut self, index: Index, data: &[u8]);
+    fn restore(&mut self, index: LogIndex, data: &[u8]);
 }
 
 /// To be seen by operators.
@@ -78,7 +80,7 @@
 /// A `Ready` on its way to the disk, and what is said once it is there.
 struct UnderWay {
     number: u64,
-    send: Vec<(Voter, Message)>,
+    send: Vec<OutgoingMessage>,
 }
 
 pub struct RaftNode<M> {
@@ -93,7 +95,7 @@
     machine: RefCell<M>,
     under_way: RefCell<Option<UnderWay>>,
     /// Up to where the machine is, and the last snapshot.
-    applied: Cell<(Index, Index)>,
+    applied: Cell<(LogIndex, LogIndex)>,
     fault: RefCell<Option<String>>,
     changed: Notify,
     /// Something was settled, or the leader changed.
@@ -344,14 +346,14 @@
         self.with(|council, now| council.persisted(now, number));
     }
 
-    fn send(&self, send: Vec<(Voter, Message)>) {
+    fn send(&self, send: Vec<OutgoingMessage>) {
         let council = self.council.borrow();
         let Some(council) = council.as_ref() else {
             return;
         };
-        for (to, message) in send {
-            let (name, envelope) = council.envelope(to, message);
-            self.carry(&name, envelope);
+        for sent in send {
+            let sent = council.envelope(sent.to, sent.message);
+            self.carry(&sent.to_name, sent.envelope);
         }
     }
 
@@ -406,7 +408,7 @@
             .council
             .borrow()
             .as_ref()
-            .map_or(0, ClusterManager::founding);
+            .map_or(0, ClusterManager::cluster_id);
         (founding, self.applied.get().0)
     }
 
@@ -415,19 +417,15 @@
         let words = self.with(|council, _| council.take_messages());
         words
             .into_iter()
-            .for_each(|(to, envelope)| self.carry(&to, envelope));
+            .for_each(|word| self.carry(&word.to_name, word.envelope));
         while self.under_way.borrow().is_none() {
             let Some(mut ready) = self.with(|council, _| council.ready()) else {
                 return;
             };
             self.apply(&mut ready);
             let number = ready.number;
-            let send = std::mem::take(&mut ready.send);
-            let nothing = ready.hard.is_none()
-                && ready.snapshot.is_none()
-                && ready.truncate.is_none()
-                && ready.append.is_empty();
-            match store.filter(|_| !nothing) {
+            let send = std::mem::take(&mut ready.messages);
+            match store.filter(|_| ready.must_persist()) {
                 Some(thread) => {
                     *self.under_way.borrow_mut() = Some(UnderWay { number, send });
                     // The thread takes one at a time and has none; one that has ended says so by `done`.
@@ -450,9 +448,10 @@
             (applied, cut) = (snapshot.index, snapshot.index);
         }
         let mut any = false;
-        for (index, entry) in std::mem::take(&mut ready.committed) {
+        for committed in std::mem::take(&mut ready.committed) {
+            let (index, entry) = (committed.index, committed.entry);
             applied = index;
-            if let Payload::Order(order) = &entry.payload {
+            if let Payload::Command(order) = &entry.payload {
                 let id = self.machine.borrow_mut().apply(index, entry.term, order);
                 if let Some(id) = id {
                     self.with(|council, _| council.committed(id));
@@ -549,7 +548,7 @@
             };
         };
         let node = council.node();
-        let votes = node.voters().contains(council.me());
+        let votes = node.voters().contains(council.local());
         let role = match (node.is_leader(), votes) {
             (true, _) => "leads",
             (_, true) => "follows",
@@ -582,17 +581,17 @@
         let Some(council) = council.as_ref() else {
             return "agreement_role:out\r\n".to_string();
         };
-        let (node, f) = (council.node(), council.figures);
+        let (node, f) = (council.node(), council.counters());
         let figures = [
             ("agreement_leads", u64::from(node.is_leader())),
             ("agreement_term", node.term()),
             ("agreement_settled", self.applied.get().0),
             ("agreement_voters", node.voters().len() as u64),
-            ("agreement_foreign_total", f.foreign),
-            ("agreement_older_life_total", f.older_life),
-            ("agreement_taken_in_total", f.taken_in),
-            ("agreement_taken_out_total", f.taken_out),
-            ("agreement_given_up_total", f.given_up),
+            ("agreement_foreign_total", f.foreign_messages),
+            ("agreement_older_life_total", f.stale_incarnation_messages),
+            ("agreement_taken_in_total", f.voters_added),
+            ("agreement_taken_out_total", f.voters_removed),
+            ("agreement_given_up_total", f.expired_proposals),
             ("agreement_unreadable_total", self.unreadable.get()),
         ];
         for (name, value) in figures {
--- a/crates/stairfront-raft-node/src/store.rs
+++ b/crates/stairfront-raft-node/src/store.rs
@@ -6,12 +6,12 @@
 use redb::{Database, ReadableTable, StorageBackend, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use stairfront_raft::{Entry, HardState, Index, Log, Ready, Recovered, Snapshot, Voter};
+use stairfront_raft::{Entry, HardState, Log, LogIndex, Ready, Recovered, Snapshot, Voter};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// By name: who this is, what must not be forgotten, the snapshot.
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
-const ENTRIES: TableDefinition<Index, &[u8]> = TableDefinition::new("entries");
+const ENTRIES: TableDefinition<LogIndex, &[u8]> = TableDefinition::new("entries");
 const OWNER: &str = "owner";
 const HARD: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
@@ -198,7 +198,7 @@
             .map_err(|problem| self.spoilt(problem.to_string()))?
         {
             let (index, sealed) = found.map_err(|problem| self.spoilt(problem.to_string()))?;
-            let expected = snapshot.index + 1 + log.len() as Index;
+            let expected = snapshot.index + 1 + log.len() as LogIndex;
             if index.value() != expected {
                 return Err(self.spoilt(format!(
                     "entry {expected} is not there, {} is",
@@ -217,7 +217,7 @@
         }
         self.voter = owner.voter;
         Ok(Recovered {
-            hard,
+            hard_state: hard,
             log: Log::new(snapshot, log),
         })
     }
@@ -242,23 +242,23 @@
     /// Keeps all that a `Ready` names. It is on the disk when this returns without a fault; after one, nothing of it
     /// counts, and the store has to be opened anew.
     pub fn save(&self, ready: &Ready) -> Result<(), StoreError> {
+        if !ready.must_persist() {
+            return Ok(());
+        }
         let Ready {
-            hard,
+            hard_state,
             snapshot,
-            truncate,
+            truncate_from,
             append,
             ..
         } = ready;
-        if hard.is_none() && snapshot.is_none() && truncate.is_none() && append.is_empty() {
-            return Ok(());
-        }
         let write = || -> Result<(), Box<dyn std::error::Error>> {
             let transaction = self.db.begin_write()?;
             {
                 let mut head = transaction.open_table(HEAD)?;
                 let mut entries = transaction.open_table(ENTRIES)?;
-                if let Some(hard) = hard {
-                    head.insert(HARD, &*seal(key(HARD), hard))?;
+                if let Some(hard_state) = hard_state {
+                    head.insert(HARD, &*seal(key(HARD), hard_state))?;
                 }
                 if let Some(snapshot) = snapshot {
                     head.insert(SNAPSHOT, &*seal(key(SNAPSHOT), snapshot))?;
@@ -270,11 +270,12 @@
                     };
                     entries.retain(|index, _| same && index > snapshot.index)?;
                 }
-                if let Some(from) = truncate {
+                if let Some(from) = truncate_from {
                     entries.retain(|index, _| index < *from)?;
                 }
-                for (index, entry) in append {
-                    entries.insert(index, &*seal(*index, entry))?;
+                for appended in append {
+                    let index = appended.index;
+                    entries.insert(index, &*seal(index, &appended.entry))?;
                 }
             }
             Ok(transaction.commit()?)
--- a/crates/stairfront-raft-node/tests/store.rs
+++ b/crates/stairfront-raft-node/tests/store.rs
@@ -5,7 +5,7 @@
 
 use redb::StorageBackend;
 use stairfront_emulator::dice::Dice;
-use stairfront_raft::{Entry, HardState, Payload, Ready, Recovered, Snapshot, Voter};
+use stairfront_raft::{Entry, HardState, IndexedEntry, Payload, Ready, Recovered, Snapshot, Voter};
 use stairfront_raft_node::{Store, StoreError};
 
 /// A disk that forgets, when it loses power, what was not synced: some of those writes, or the end of one.
@@ -115,16 +115,16 @@
 fn draw(dice: &mut Dice, known: &Recovered) -> (Ready, Recovered) {
     let mut next = known.clone();
     let (last, mut ready) = (next.log.last_index(), Ready::default());
-    let term = next.hard.term + dice.below(2);
-    next.hard = HardState {
+    let term = next.hard_state.term + dice.below(2);
+    next.hard_state = HardState {
         term,
         vote: dice.happens(0.5).then(|| voter(dice.below(3))),
     };
-    ready.hard = Some(next.hard.clone());
+    ready.hard_state = Some(next.hard_state.clone());
     if last > next.log.snapshot.index && dice.happens(0.2) {
         let from = next.log.snapshot.index + 1 + dice.below(last - next.log.snapshot.index);
         next.log.truncate(from);
-        ready.truncate = Some(from);
+        ready.truncate_from = Some(from);
     } else if last > next.log.snapshot.index && dice.happens(0.2) {
         let index = next.log.snapshot.index + 1 + dice.below(last - next.log.snapshot.index);
         let at = next.log.term(index).unwrap();
@@ -132,27 +132,27 @@
             index,
             term: at,
             voters: vec![voter(1)],
-            founding: 1,
+            cluster_id: 1,
             data: vec![7; 900],
         };
         next.log.compact(snapshot.clone());
         ready.snapshot = Some(snapshot);
     }
     for _ in 0..dice.below(4) {
-        let payload = Payload::Order(
+        let payload = Payload::Command(
             (0..dice.below(2000))
                 .map(|_| dice.below(256) as u8)
                 .collect(),
         );
         let entry = Entry { term, payload };
         let index = next.log.push(entry.clone());
-        ready.append.push((index, entry));
+        ready.append.push(IndexedEntry { index, entry });
     }
     (ready, next)
 }
 
 fn same(a: &Recovered, b: &Recovered) -> bool {
-    a.hard == b.hard && a.log == b.log
+    a.hard_state == b.hard_state && a.log == b.log
 }
 
 #[test]
@@ -214,10 +214,11 @@
     let mut ready = Ready::default();
     for byte in 0..8 {
         let entry = Entry {
-            term: known.hard.term,
-            payload: Payload::Order(vec![200 + byte; 300]),
+            term: known.hard_state.term,
+            payload: Payload::Command(vec![200 + byte; 300]),
         };
-        ready.append.push((known.log.push(entry.clone()), entry));
+        let index = known.log.push(entry.clone());
+        ready.append.push(IndexedEntry { index, entry });
     }
     store.save(&ready).unwrap();
     drop(store);
@@ -226,7 +227,7 @@
     let used: Vec<usize> = (0..whole.len()).filter(|at| whole[*at] != 0).collect();
     // Where each entry stands, in old pages too; and anywhere.
     let places = (known.log.snapshot.index + 1..=known.log.last_index()).filter_map(|index| {
-        let Payload::Order(order) = &known.log.get(index)?.payload else {
+        let Payload::Command(order) = &known.log.get(index)?.payload else {
             return None;
         };
         let part = order.get(..24)?;
--- a/crates/stairfront-raft-node/tests/stored_forms.rs
+++ b/crates/stairfront-raft-node/tests/stored_forms.rs
@@ -5,7 +5,9 @@
 use std::path::Path;
 
 use redb::{Database, ReadableTable, TableDefinition, TableHandle};
-use stairfront_raft::{Entry, HardState, Log, Payload, Ready, Recovered, Snapshot, Voter};
+use stairfront_raft::{
+    Entry, HardState, IndexedEntry, Log, Payload, Ready, Recovered, Snapshot, Voter,
+};
 use stairfront_raft_node::{AgreementSection, Status, Store};
 
 /// The tables by their names on the disk.
@@ -36,7 +38,7 @@
         index: 20,
         term: 31,
         voters: vec![owner(), voter("birch", 1002), voter("cedar", 1003)],
-        founding: 43,
+        cluster_id: 43,
         data: vec![44, 45, 255],
     }
 }
@@ -45,11 +47,11 @@
     vec![
         Entry {
             term: 32,
-            payload: Payload::Nothing,
+            payload: Payload::Noop,
         },
         Entry {
             term: 33,
-            payload: Payload::Order(vec![7, 8, 9, 200]),
+            payload: Payload::Command(vec![7, 8, 9, 200]),
         },
         Entry {
             term: 34,
@@ -57,16 +59,19 @@
         },
         Entry {
             term: 35,
-            payload: Payload::Order(Vec::new()),
+            payload: Payload::Command(Vec::new()),
         },
     ]
 }
 
 fn write_store(path: &Path) {
     let (store, _) = Store::open(path, GROUP, owner()).unwrap();
-    let append = (21..).zip(entries()).collect();
+    let append = (21..)
+        .zip(entries())
+        .map(|(index, entry)| IndexedEntry { index, entry })
+        .collect();
     let ready = Ready {
-        hard: Some(hard()),
+        hard_state: Some(hard()),
         snapshot: Some(snapshot()),
         append,
         ..Ready::default()
@@ -135,8 +140,13 @@
 
     let path = dir.path().join("old.redb");
     write_rows(&path, &old);
-    let (store, Recovered { hard: found, log }) =
-        Store::open(&path, GROUP, voter("ash", 9)).unwrap();
+    let (
+        store,
+        Recovered {
+            hard_state: found,
+            log,
+        },
+    ) = Store::open(&path, GROUP, voter("ash", 9)).unwrap();
     assert_eq!(store.voter(), &owner(), "another life of the owner");
     assert_eq!(found, hard());
     assert_eq!(log, Log::new(snapshot(), entries()));
--- a/crates/stairfront-raft/src/lib.rs
+++ b/crates/stairfront-raft/src/lib.rs
@@ -1,22 +1,34 @@
-//! One order of decisions among a few voters, settled once and the same at all, by Raft. Messages, a time and what has been
-//! made durable go in; what is to be made durable, messages and settled entries come out (`node`). It knows nothing of what
-//! the entries say, opens no file and no socket, and has one source of chance, from a seed.
+//! Consensus among a few voters by Raft: one log of commands, committed in one order and the same at every member.
 //!
-//! It owns a voter's term, vote and log. Nothing is said that is not durable: a `Ready` is stored whole before its messages
-//! go out, and its voter counts itself only then.
+//! The crate is a state machine without I/O. Messages, the time and the numbers of durable [`Ready`] batches go in; what is
+//! to be made durable, messages to send and committed entries come out. [`Node`] is one member's Raft state;
+//! [`ClusterManager`] wraps it with what a running group needs: bootstrap, the choice of voters, and the forwarding of
+//! proposals to the leader.
 //!
-//! Raft: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 (sections named as
-//! "Raft"); Ongaro, "Consensus: Bridging Theory and Practice", dissertation, Stanford 2014 ("Diss."), for pre-vote,
-//! leadership hand-over and one change of voters at a time.
-pub mod cluster_manager;
-mod dice;
-pub mod log;
-pub mod message;
-pub mod node;
-pub mod settings;
+//! It owns a member's term, vote and log, and one source of random numbers, from a seed. It never opens a file or a
+//! socket, never reads a clock, and never interprets the content of a command. No message leaves before the state that it
+//! depends on is durable: a [`Ready`] is stored as a whole before its messages are sent, and a leader counts its own log
+//! towards a majority only after that.
+//!
+//! Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 (cited as
+//! "Raft"); Ongaro, "Consensus: Bridging Theory and Practice", dissertation, Stanford 2014 (cited as "Diss."), for
+//! pre-vote, leadership transfer and membership changes of one server at a time.
+mod cluster_manager;
+mod error;
+mod log;
+mod message;
+mod node;
+mod ready;
+mod settings;
 
-pub use cluster_manager::{ClusterManager, ClusterMessage, Envelope};
-pub use log::{Entry, Index, Log, Payload, Snapshot, Term, Voter};
-pub use message::Message;
-pub use node::{HardState, Node, RaftError, Ready, Recovered};
-pub use settings::{Micros, Settings, MS, SECOND};
+pub use cluster_manager::{
+    ClusterManager, ClusterMessage, Counters, Envelope, OutgoingEnvelope, MAX_PENDING_PROPOSALS,
+    MAX_PROPOSAL_BYTES,
+};
+pub use error::{ProposalError, RaftError};
+pub use log::{Entry, IndexedEntry, Log, LogIndex, Payload, Snapshot, Term, Voter, VoterSet};
+pub use message::{AppendEntries, Message, MessageBody};
+pub use node::{Node, MAX_UNCOMMITTED_ENTRIES};
+pub use ready::{HardState, OutgoingMessage, Ready, Recovered};
+pub use settings::Settings;
+pub use stairfront_common::time::{Micros, MS, SECOND};
--- a/crates/stairfront-raft/src/settings.rs
+++ b/crates/stairfront-raft/src/settings.rs
@@ -1,31 +1,33 @@
-//! What a voter is told at its start.
-use crate::log::Voter;
+//! The settings of a member.
+use stairfront_common::time::{Micros, MS, SECOND};
 
-/// Microseconds of a clock that only goes forward.
-pub type Micros = i64;
-pub const MS: Micros = 1000;
-pub const SECOND: Micros = 1_000_000;
+use crate::log::Voter;
 
+/// The settings of a [`Node`](crate::Node).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    pub me: Voter,
-    /// Between two words of a leader without news.
-    pub heartbeat: Micros,
-    /// Without a word of a leader for so long, and up to as much again by chance, a voter looks for another. Ten
-    /// heartbeats: single losses elect nobody.
-    pub election: Micros,
-    /// Most entries' bytes in one message.
-    pub batch_bytes: usize,
+    /// The identity of this member.
+    pub local: Voter,
+    /// Time between two heartbeats of a leader.
+    pub heartbeat_interval: Micros,
+    /// Time without contact to a leader after which a voter starts an election; a random part of up to as much again is
+    /// added. Ten heartbeats, so that single losses start no election.
+    pub election_timeout: Micros,
+    /// Bytes of entries in one message, at most; one entry is always sent, whatever its size.
+    pub max_batch_bytes: usize,
+    /// Seed of the random part of the election timeout.
     pub seed: u64,
 }
 
 impl Settings {
-    pub fn new(me: Voter, seed: u64) -> Self {
+    /// The default timing for this member.
+    #[must_use]
+    pub fn new(local: Voter, seed: u64) -> Self {
         Settings {
-            me,
-            heartbeat: 100 * MS,
-            election: SECOND,
-            batch_bytes: 16 * 1024,
+            local,
+            heartbeat_interval: 100 * MS,
+            election_timeout: SECOND,
+            max_batch_bytes: 16 * 1024,
             seed,
         }
     }
--- a/crates/stairfront-raft/tests/exchanged_forms.rs
+++ b/crates/stairfront-raft/tests/exchanged_forms.rs
@@ -1,15 +1,18 @@
-//! What voters say to each other and what they store, as golden files: a change of names must not change a byte.
-mod golden;
-
-use stairfront_raft::message::Body;
+//! The messages between voters and what they store, as golden files: a change of names must not change a byte.
 use stairfront_raft::{
-    ClusterMessage, Entry, Envelope, HardState, Message, Payload, Snapshot, Voter,
+    AppendEntries, ClusterMessage, Entry, Envelope, HardState, Message, MessageBody, Payload,
+    Snapshot, Voter,
 };
+use stairfront_test_support::golden::GoldenFiles;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
 
-fn voter(name: &str, life: u64) -> Voter {
+fn voter(name: &str, incarnation: u64) -> Voter {
     Voter {
         name: name.to_string(),
-        incarnation: life,
+        incarnation,
     }
 }
 
@@ -17,11 +20,11 @@
     vec![
         Entry {
             term: 31,
-            payload: Payload::Nothing,
+            payload: Payload::Noop,
         },
         Entry {
             term: 32,
-            payload: Payload::Order(vec![7, 8, 9, 200]),
+            payload: Payload::Command(vec![7, 8, 9, 200]),
         },
         Entry {
             term: 33,
@@ -35,106 +38,119 @@
         index: 41,
         term: 42,
         voters: vec![voter("cedar", 1003), voter("doum", 1004)],
-        founding: 43,
+        cluster_id: 43,
         data: vec![44, 45, 255],
     }
 }
 
-fn messages() -> Vec<(&'static str, Message)> {
-    let bodies = vec![
+/// A body of each kind, with its label in the golden files.
+fn bodies() -> Vec<(&'static str, MessageBody)> {
+    let mut bodies = election_bodies();
+    bodies.extend(replication_bodies());
+    bodies
+}
+
+fn election_bodies() -> Vec<(&'static str, MessageBody)> {
+    vec![
         (
             "question before a vote",
-            Body::PreVote {
-                last_index: 11,
-                last_term: 12,
+            MessageBody::RequestPreVote {
+                last_log_index: 11,
+                last_log_term: 12,
             },
         ),
-        ("answer to it, yes", Body::PreVoteAnswer { granted: true }),
-        ("answer to it, no", Body::PreVoteAnswer { granted: false }),
+        (
+            "answer to it, yes",
+            MessageBody::PreVoteResponse { granted: true },
+        ),
+        (
+            "answer to it, no",
+            MessageBody::PreVoteResponse { granted: false },
+        ),
         (
             "request for a vote",
-            Body::Vote {
-                last_index: 13,
-                last_term: 14,
-                handed: true,
+            MessageBody::RequestVote {
+                last_log_index: 13,
+                last_log_term: 14,
+                leadership_transfer: true,
             },
         ),
         (
             "request for a vote, not handed over",
-            Body::Vote {
-                last_index: 15,
-                last_term: 16,
-                handed: false,
+            MessageBody::RequestVote {
+                last_log_index: 15,
+                last_log_term: 16,
+                leadership_transfer: false,
             },
         ),
-        ("vote, yes", Body::VoteAnswer { granted: true }),
-        ("vote, no", Body::VoteAnswer { granted: false }),
+        ("vote, yes", MessageBody::VoteResponse { granted: true }),
+        ("vote, no", MessageBody::VoteResponse { granted: false }),
+    ]
+}
+
+fn replication_bodies() -> Vec<(&'static str, MessageBody)> {
+    vec![
         (
             "entries",
-            Body::Append {
-                prev_index: 17,
-                prev_term: 18,
+            MessageBody::AppendEntries(AppendEntries {
+                prev_log_index: 17,
+                prev_log_term: 18,
                 entries: entries(),
-                commit: 19,
-            },
+                leader_commit: 19,
+            }),
         ),
         (
             "heartbeat",
-            Body::Append {
-                prev_index: 20,
-                prev_term: 21,
+            MessageBody::AppendEntries(AppendEntries {
+                prev_log_index: 20,
+                prev_log_term: 21,
                 entries: Vec::new(),
-                commit: 22,
-            },
+                leader_commit: 22,
+            }),
         ),
         (
             "answer to entries, the same",
-            Body::AppendAnswer {
-                matched: Some(23),
-                hint: 24,
+            MessageBody::AppendResponse {
+                match_index: Some(23),
+                next_index_hint: 24,
             },
         ),
         (
             "answer to entries, not the same",
-            Body::AppendAnswer {
-                matched: None,
-                hint: 25,
+            MessageBody::AppendResponse {
+                match_index: None,
+                next_index_hint: 25,
             },
         ),
         (
             "snapshot",
-            Body::Install {
+            MessageBody::InstallSnapshot {
                 snapshot: snapshot(),
             },
         ),
-        ("stand for election", Body::Campaign),
-    ];
-    let messages = bodies.into_iter().enumerate();
-    messages
-        .map(|(at, (label, body))| {
-            (
-                label,
-                Message {
-                    term: 300 + at as u64,
-                    body,
-                },
-            )
-        })
+        ("stand for election", MessageBody::TimeoutNow),
+    ]
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    (300..)
+        .zip(bodies())
+        .map(|(term, (label, body))| (label, Message { term, body }))
         .collect()
 }
 
 #[test]
 fn messages_between_voters() {
-    golden::postcard("messages.hex", &messages());
+    golden().assert_postcard("messages.hex", &messages());
 }
 
 #[test]
 fn envelopes() {
-    let envelope = |to: Option<Voter>, word| Envelope {
+    let envelope = |to: Option<Voter>, message| Envelope {
         from: voter("elm", 1005),
         to,
-        founding: 51,
-        message: word,
+        cluster_id: 51,
+        message,
     };
     let to = || Some(voter("fir", 1006));
     let mut cases = vec![
@@ -150,7 +166,7 @@
             "order",
             envelope(
                 to(),
-                ClusterMessage::Order {
+                ClusterMessage::Proposal {
                     id: 52,
                     bytes: vec![53, 54, 128],
                 },
@@ -162,7 +178,7 @@
             .into_iter()
             .map(|(label, message)| (label, envelope(to(), ClusterMessage::Raft(message)))),
     );
-    golden::postcard("envelopes.hex", &cases);
+    golden().assert_postcard("envelopes.hex", &cases);
 }
 
 #[test]
@@ -183,19 +199,19 @@
             },
         ),
     ];
-    golden::postcard("term_and_vote.hex", &cases);
+    golden().assert_postcard("term_and_vote.hex", &cases);
 }
 
 #[test]
 fn entries_of_the_log() {
     let labels = ["nothing", "order", "voters"];
     let cases: Vec<(&str, Entry)> = labels.into_iter().zip(entries()).collect();
-    golden::postcard("entries.hex", &cases);
+    golden().assert_postcard("entries.hex", &cases);
 }
 
 #[test]
 fn snapshots() {
-    golden::postcard(
+    golden().assert_postcard(
         "snapshots.hex",
         &[("full", snapshot()), ("empty", Snapshot::default())],
     );
--- a/crates/stairfront-raft/tests/rules.rs
+++ b/crates/stairfront-raft/tests/rules.rs
@@ -1,175 +1,159 @@
 //! Single rules, each by the shortest exchange that would break it; drawn schedules meet some of them once in thousands.
-use stairfront_raft::message::Body;
 use stairfront_raft::{
-    Entry, HardState, Index, Log, Message, Node, Payload, RaftError, Recovered, Settings, Snapshot,
-    Voter, SECOND,
+    AppendEntries, Entry, HardState, Log, LogIndex, Message, MessageBody, Micros, Node, Payload,
+    RaftError, Recovered, Settings, Snapshot, Term, Voter, MS, SECOND,
 };
 
-fn voter(at: u64) -> Voter {
+/// When the node under test was elected.
+const ELECTED: Micros = 3 * SECOND;
+
+fn voter(number: u64) -> Voter {
     Voter {
-        name: format!("v{at}"),
-        incarnation: at,
+        name: format!("v{number}"),
+        incarnation: number,
     }
 }
 
-fn order(term: u64) -> Entry {
+fn command(term: Term) -> Entry {
     Entry {
         term,
-        payload: Payload::Order(vec![term as u8]),
+        payload: Payload::Command(vec![term as u8]),
     }
 }
 
-/// Voter 0 of three, in this term, with these entries behind the founding.
-fn node(term: u64, entries: &[Entry]) -> Node {
-    let voters = (0..3).map(voter).collect();
+/// Voter 0 of three, in this term, with these entries behind the first snapshot.
+fn node(term: Term, entries: &[Entry]) -> Node {
     let snapshot = Snapshot {
         index: 1,
         term: 1,
-        voters,
-        founding: 1,
+        voters: (0..3).map(voter).collect(),
+        cluster_id: 1,
         data: Vec::new(),
     };
     let recovered = Recovered {
-        hard: HardState { term, vote: None },
+        hard_state: HardState { term, vote: None },
         log: Log::new(snapshot, entries.to_vec()),
     };
     Node::new(0, Settings::new(voter(0), 1), recovered)
 }
 
-/// Stores and sends all that there is: the last number.
-fn store(node: &mut Node, now: i64) -> u64 {
-    let mut last = 0;
+/// Makes all durable that there is.
+fn persist_all(node: &mut Node, now: Micros) {
     while let Some(ready) = node.ready() {
-        last = ready.number;
-        node.persisted(now, last);
+        node.persisted(now, ready.number);
     }
-    last
 }
 
-/// Has it elected by one other.
+/// Has the node elected by one other voter.
 fn elect(node: &mut Node) {
-    let now = 3 * SECOND;
-    node.tick(now);
-    store(node, now);
+    node.tick(ELECTED);
+    persist_all(node, ELECTED);
     let term = node.term() + 1;
-    node.handle_message(
-        now,
-        &voter(1),
-        Message {
-            term,
-            body: Body::PreVoteAnswer { granted: true },
-        },
-    );
-    store(node, now);
+    let body = MessageBody::PreVoteResponse { granted: true };
+    node.handle_message(ELECTED, &voter(1), Message { term, body });
+    persist_all(node, ELECTED);
     assert_eq!(node.term(), term);
-    node.handle_message(
-        now,
-        &voter(1),
-        Message {
-            term,
-            body: Body::VoteAnswer { granted: true },
-        },
-    );
+    let body = MessageBody::VoteResponse { granted: true };
+    node.handle_message(ELECTED, &voter(1), Message { term, body });
     assert!(node.is_leader());
-    store(node, now);
+    persist_all(node, ELECTED);
 }
 
-fn has(node: &mut Node, who: u64, index: Index) {
-    let body = Body::AppendAnswer {
-        matched: Some(index),
-        hint: 0,
-    };
-    node.handle_message(
-        3 * SECOND,
-        &voter(who),
-        Message {
-            term: node.term(),
-            body,
+/// A follower answers that it has the log up to an index.
+fn respond(node: &mut Node, follower: u64, index: LogIndex) {
+    let message = Message {
+        term: node.term(),
+        body: MessageBody::AppendResponse {
+            match_index: Some(index),
+            next_index_hint: 0,
         },
-    );
+    };
+    node.handle_message(ELECTED, &voter(follower), message);
 }
 
-/// Danger (Raft figure 8): an entry of an older term that a majority has can still be replaced by another leader's.
+/// An entry of an older term that a majority has can still be replaced by another leader's (Raft figure 8).
 #[test]
-fn an_older_terms_entry_is_settled_with_one_of_its_own_alone() {
-    let mut node = node(2, &[order(2)]);
+fn an_entry_of_an_older_term_is_committed_only_with_one_of_the_current_term() {
+    let mut node = node(2, &[command(2)]);
     elect(&mut node);
-    has(&mut node, 1, 2);
-    assert_eq!(node.commit(), 1);
-    has(&mut node, 1, 3);
-    assert_eq!(node.commit(), 3);
+    respond(&mut node, 1, 2);
+    assert_eq!(node.commit_index(), 1);
+    respond(&mut node, 1, 3);
+    assert_eq!(node.commit_index(), 3);
 }
 
-/// Danger: behind what a leader has sent may stand entries of another history, which it has not seen.
+/// Behind the entries that a leader has sent may be entries of another history, which it has not seen.
 #[test]
-fn what_stands_behind_a_leaders_word_is_not_settled_by_it() {
-    let mut node = node(2, &[order(2), order(2)]);
-    let body = Body::Append {
-        prev_index: 1,
-        prev_term: 1,
+fn entries_behind_those_that_the_leader_sent_are_not_committed() {
+    let mut node = node(2, &[command(2), command(2)]);
+    let body = MessageBody::AppendEntries(AppendEntries {
+        prev_log_index: 1,
+        prev_log_term: 1,
         entries: Vec::new(),
-        commit: 3,
-    };
+        leader_commit: 3,
+    });
     node.handle_message(0, &voter(1), Message { term: 3, body });
-    assert_eq!(node.commit(), 1);
+    assert_eq!(node.commit_index(), 1);
 }
 
-/// Danger: counted before it is on the own disk, a crash of this one and another's loss undo what was settled.
+/// If a leader counted an entry before it is on its own disk, its crash and another's loss would undo what was committed.
 #[test]
-fn a_leader_counts_itself_once_it_has_stored() {
+fn a_leader_counts_itself_only_for_what_it_has_persisted() {
     let mut node = node(2, &[]);
     elect(&mut node);
-    has(&mut node, 1, 2);
-    let first = node.propose(3 * SECOND, vec![1]).unwrap();
+    respond(&mut node, 1, 2);
+    let first = node.propose(ELECTED, vec![1]).unwrap();
     let ready = node.ready().unwrap();
-    let second = node.propose(3 * SECOND, vec![2]).unwrap();
-    has(&mut node, 1, second);
-    // The first is stored, the second is not.
-    node.persisted(3 * SECOND, ready.number);
-    assert_eq!(node.commit(), first);
-    store(&mut node, 3 * SECOND);
-    assert_eq!(node.commit(), second);
+    let second = node.propose(ELECTED, vec![2]).unwrap();
+    respond(&mut node, 1, second);
+    // The first is durable, the second is not.
+    node.persisted(ELECTED, ready.number);
+    assert_eq!(node.commit_index(), first);
+    persist_all(&mut node, ELECTED);
+    assert_eq!(node.commit_index(), second);
 }
 
-/// Danger: of four voters two are no majority.
+/// Two of four voters are no majority, and the changes of two leaders must not overlap.
 #[test]
-fn half_is_no_majority_and_one_change_at_a_time() {
+fn half_is_no_majority_and_one_change_of_voters_at_a_time() {
     let mut node = node(2, &[]);
     elect(&mut node);
     let four: Vec<Voter> = (0..4).map(voter).collect();
     node.set_learners([voter(3)].into_iter());
-    // Before an entry of its own term is settled, two leaders' changes could overlap.
-    assert!(node.change(3 * SECOND, vec![voter(0), voter(1)]).is_err());
-    has(&mut node, 1, 2);
-    store(&mut node, 3 * SECOND);
-    node.tick(3 * SECOND + 200_000);
+    // Before an entry of its own term is committed, two leaders' changes could overlap.
+    assert!(node
+        .change_voters(ELECTED, vec![voter(0), voter(1)])
+        .is_err());
+    respond(&mut node, 1, 2);
+    persist_all(&mut node, ELECTED);
+    node.tick(ELECTED + 200 * MS);
     assert!(matches!(
-        node.change(3 * SECOND, four.clone()),
-        Err(RaftError::Behind)
+        node.change_voters(ELECTED, four.clone()),
+        Err(RaftError::LearnerBehind)
     ));
-    has(&mut node, 3, 2);
-    let at = node.change(3 * SECOND, four).unwrap();
+    respond(&mut node, 3, 2);
+    let change = node.change_voters(ELECTED, four).unwrap();
     assert!(matches!(
-        node.change(3 * SECOND, vec![voter(0), voter(1), voter(2)]),
-        Err(RaftError::Changing)
+        node.change_voters(ELECTED, vec![voter(0), voter(1), voter(2)]),
+        Err(RaftError::ChangeInProgress)
     ));
-    store(&mut node, 3 * SECOND);
-    has(&mut node, 1, at);
-    assert!(node.commit() < at, "two of four");
-    has(&mut node, 2, at);
-    assert_eq!(node.commit(), at);
+    persist_all(&mut node, ELECTED);
+    respond(&mut node, 1, change);
+    assert!(node.commit_index() < change, "two of four");
+    respond(&mut node, 2, change);
+    assert_eq!(node.commit_index(), change);
 }
 
-/// Danger: a leader that hears nobody would take orders that are never settled; one that was cut off and comes back would
-/// end a leader that others hear.
+/// A leader without contact would accept proposals that are never committed; one that was cut off and comes back with a
+/// higher term would end a leader that the others follow.
 #[test]
-fn one_that_hears_no_majority_leads_no_more_and_raises_no_term_while_it_is_cut_off() {
+fn a_leader_without_a_majority_steps_down_and_does_not_raise_its_term() {
     let mut node = node(2, &[]);
     elect(&mut node);
     let term = node.term();
     for step in 1..200 {
-        node.tick(3 * SECOND + step * 100_000);
-        store(&mut node, 3 * SECOND);
+        node.tick(ELECTED + step * 100 * MS);
+        persist_all(&mut node, ELECTED);
     }
     assert!(!node.is_leader());
     assert_eq!(node.term(), term);
