--- a/crates/stairfront-simulator-adapter/tests/codec.rs
+++ b/crates/stairfront-simulator-adapter/tests/codec.rs
@@ -1,8 +1,14 @@
-//! The wire, byte by byte: the protocol page's examples, every record at its offsets, and broken input.
+//! The adapter protocol, byte by byte: the protocol page's examples, every record at its offsets, and malformed input.
 use proptest::prelude::*;
-use stairfront_policy::interface::*;
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, CacheStatus, Cell, ClassId, Endpoint, EndpointState, Key, Kind,
+    LoadReport, LogRecord, Micros, Outcome, Request, RequestId, TenantId, Zone, MS,
+};
+use stairfront_simulator_adapter::error::FrameError;
+use stairfront_simulator_adapter::event::{InstanceEvent, ListScope, WireEvent};
+use stairfront_simulator_adapter::frame::{read_frame, Batch, BATCH_HEADER_SIZE, EVENT_SIZE};
 use stairfront_simulator_adapter::host::Host;
-use stairfront_simulator_adapter::wire::{self, Batch, FrameError, Reply, Scope, WireEvent};
+use stairfront_simulator_adapter::reply::Reply;
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -20,7 +26,7 @@
 }
 
 fn frame(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
-    let size = wire::BATCH_HEADER + records.len() * wire::EVENT_SIZE + tail.len();
+    let size = BATCH_HEADER_SIZE + records.len() * EVENT_SIZE + tail.len();
     let mut out = hex("00000000206ec040");
     out.extend((size as u32).to_le_bytes());
     out.extend((records.len() as u32).to_le_bytes());
@@ -30,7 +36,7 @@
 }
 
 fn event(text: &str) -> Vec<u8> {
-    padded(text, wire::EVENT_SIZE)
+    padded(text, EVENT_SIZE)
 }
 
 fn cache(text: &str) -> CacheId {
@@ -39,10 +45,14 @@
     CacheId(u64::from_le_bytes(raw.try_into().unwrap()))
 }
 
+fn instance_event(instance: u16, event: InstanceEvent<'_>) -> WireEvent<'_> {
+    WireEvent::Instance { instance, event }
+}
+
 const CLOCK: Micros = 8_412_250;
 
 #[test]
-fn the_pages_empty_batch_and_its_reply() {
+fn the_empty_batch_of_the_protocol_page_and_its_reply() {
     let bytes = hex("00000000206ec040 10000000 00000000");
     let batch = Batch::parse(&bytes).unwrap();
     assert_eq!((batch.now, batch.events().count()), (CLOCK, 0));
@@ -52,7 +62,7 @@
 }
 
 #[test]
-fn the_pages_batch_of_three_events() {
+fn the_batch_of_three_events_of_the_protocol_page() {
     let bytes = frame(
         &[
             event(
@@ -77,29 +87,25 @@
     };
     assert_eq!(
         events[0],
-        WireEvent::WorkItem {
-            instance: 3,
-            request
-        }
+        instance_event(3, InstanceEvent::Request(request))
     );
     assert_eq!(
         events[1],
-        WireEvent::Fired {
-            instance: 3,
-            nonce: 77
-        }
+        instance_event(3, InstanceEvent::Timer { token: 77 })
     );
     assert_eq!(
         events[2],
-        WireEvent::Withdrawn {
-            instance: 5,
-            id: RequestId(0x0e6f2b19)
-        }
+        instance_event(
+            5,
+            InstanceEvent::ClientDisconnected {
+                id: RequestId(0x0e6f2b19)
+            }
+        )
     );
 }
 
 #[test]
-fn the_pages_reply_of_three_actions() {
+fn the_reply_of_three_actions_of_the_protocol_page() {
     let mut reply = Reply::default();
     let id = RequestId(0x5d3a91c4);
     reply.push(
@@ -118,24 +124,26 @@
             token: 77,
         },
     );
+    // The page's example has a log text that no log record of today has.
     reply.push(
         9,
         &Action::Log(LogRecord::OverShareShedding { active: true }),
     );
-    let mut want = hex("03000000 72000000");
-    want.extend(padded(
+    let mut expected = hex("03000000 72000000");
+    expected.extend(padded(
         "01 0300 c4913a5d 0a124a07 2b23 0000000000005440",
         24,
     ));
-    want.extend(padded("05 0500 0000000000407f40 4d00000000000000", 24));
-    want.extend(padded("09 0900 00000000 22000000", 24));
-    want.extend(b"shedding over-share traffic starts");
-    assert_eq!(reply.finish(), want);
+    expected.extend(padded("05 0500 0000000000407f40 4d00000000000000", 24));
+    expected.extend(padded("09 0900 00000000 22000000", 24));
+    expected.extend(b"shedding over-share traffic starts");
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn every_action_stands_at_its_offsets() {
-    let (id, host) = (RequestId(0x0e6f2b19), cache("0a9011f2 5423"));
+fn every_action_is_encoded_at_its_offsets() {
+    let id = RequestId(0x0e6f2b19);
+    let host = cache("0a9011f2 5423");
     let cases = [
         (
             Action::Reject {
@@ -172,11 +180,11 @@
         (Action::WatchList(false), "0b 0300 00"),
         (Action::PollList, "0c 0300"),
     ];
-    for (action, want) in cases {
+    for (action, expected) in cases {
         let mut reply = Reply::default();
         reply.push(3, &action);
         let bytes = reply.finish();
-        assert_eq!(bytes[8..32], padded(want, 24)[..], "{action:?}");
+        assert_eq!(bytes[8..32], padded(expected, 24)[..], "{action:?}");
         assert!(bytes[32..].is_empty() || bytes[32..] == *b"hi 7");
     }
     let mut reply = Reply::default();
@@ -187,92 +195,89 @@
     );
 }
 
+/// The load report in the records of events below.
+const LOAD: LoadReport = LoadReport {
+    len: 3,
+    values: [140.0, 0.62, 1.25, 0.0],
+};
+
 #[test]
-fn every_event_stands_at_its_offsets() {
-    let bytes = frame(
-        &[
-            event(
-                "03 0300 c4913a5d 0000000000803240 01 00 00 00 0a124a07 2b23 03 00000c43 52b81e3f 0000a03f",
-            ),
-            event("08 0300 c4913a5d 01 0a124a07 2b23 0000000000802240"),
-            event("09 0300 0a9011f2 5423 fc 666666666666f63f 03 00000c43 52b81e3f 0000a03f"),
-            event("0a 0300"),
-            event("0b 0300 02000000 00000000 04000000"),
-            event("06 0300 0400 29000000 03"),
-        ],
-        b"hi 7",
-    );
-    let batch = Batch::parse(&bytes).unwrap();
-    let events: Vec<_> = batch.events().map(Result::unwrap).collect();
-    let load = LoadReport {
-        len: 3,
-        values: [140.0, 0.62, 1.25, 0.0],
-    };
-    let (id, host) = (RequestId(0x5d3a91c4), cache("0a124a072b23"));
-    let settled = AttemptResult {
-        id,
-        attempt: 0,
-        cache: host,
-        outcome: Outcome::Served,
-        request_finished: true,
-        elapsed: 18_500,
-        cache_status: CacheStatus::None,
-        load,
-    };
-    let probed = cache("0a9011f25423");
-    let outcome = Outcome::ConnectFailed;
-    assert_eq!(
-        events[0],
-        WireEvent::Settled {
-            instance: 3,
-            settled
-        }
-    );
-    assert_eq!(
-        events[1],
-        WireEvent::HeadReceived {
-            instance: 3,
-            id,
-            attempt: 1,
-            cache: host,
-            elapsed: 9_250
-        }
-    );
-    assert_eq!(
-        events[2],
-        WireEvent::HealthResult {
-            instance: 3,
-            cache: probed,
-            outcome,
-            elapsed: 1_400,
-            load
-        }
-    );
-    assert_eq!(events[3], WireEvent::Killed { instance: 3 });
-    assert_eq!(
-        events[4],
-        WireEvent::NeighbourSays {
-            instance: 3,
-            author: 2,
-            content: b"hi 7"
-        }
-    );
-    let failed = WireEvent::RosterChange {
-        instance: 3,
-        sheet: 4,
-        version: 41,
-        scope: Scope::Failed,
-    };
-    assert_eq!(events[5], failed);
+fn every_event_is_decoded_at_its_offsets() {
+    let id = RequestId(0x5d3a91c4);
+    let host = cache("0a124a072b23");
+    let cases = [
+        (
+            "03 0300 c4913a5d 0000000000803240 01 00 00 00 0a124a07 2b23 03 00000c43 52b81e3f 0000a03f",
+            InstanceEvent::AttemptFinished(AttemptResult {
+                id,
+                attempt: 0,
+                cache: host,
+                outcome: Outcome::Served,
+                request_finished: true,
+                elapsed: 18_500,
+                cache_status: CacheStatus::None,
+                load: LOAD,
+            }),
+        ),
+        (
+            "08 0300 c4913a5d 01 0a124a07 2b23 0000000000802240",
+            InstanceEvent::ResponseStarted {
+                id,
+                attempt: 1,
+                cache: host,
+                elapsed: 9_250,
+            },
+        ),
+        (
+            "09 0300 0a9011f2 5423 fc 666666666666f63f 03 00000c43 52b81e3f 0000a03f",
+            InstanceEvent::HealthChecked {
+                cache: cache("0a9011f25423"),
+                outcome: Outcome::ConnectFailed,
+                elapsed: 1_400,
+                load: LOAD,
+            },
+        ),
+        ("0a 0300", InstanceEvent::Kill),
+        (
+            "0b 0300 02000000 00000000 04000000",
+            InstanceEvent::PeerMessage {
+                from: 2,
+                body: b"hi 7",
+            },
+        ),
+        (
+            "06 0300 0400 29000000 03",
+            InstanceEvent::EndpointList {
+                sheet: 4,
+                version: 41,
+                scope: ListScope::Failed,
+            },
+        ),
+    ];
+    let records = cases.each_ref().map(|(record, _)| event(record));
+    let bytes = frame(&records, b"hi 7");
+    let decoded: Vec<_> = Batch::parse(&bytes)
+        .unwrap()
+        .events()
+        .map(Result::unwrap)
+        .collect();
+    let expected = cases.map(|(_, event)| instance_event(3, event));
+    assert_eq!(decoded, expected);
 }
 
 #[test]
-fn list_lines_stand_at_their_offsets() {
-    let lines = hex(
+fn list_entries_are_decoded_at_their_offsets() {
+    let entries = hex(
         "0000803f 0a124a07 2b23 0000000000000000 00 01 0000 0000 0000c03f 0a9011f2 5423 0000000000d4b740 01 02 0300 0200",
     );
-    let mut out = vec![];
-    wire::members(&lines, 0, &mut out).unwrap();
+    let bytes = frame(&[event("01 0900 00000000 02000000")], &entries);
+    let batch = Batch::parse(&bytes).unwrap();
+    let WireEvent::Sheet(sheet) = batch.events().next().unwrap().unwrap() else {
+        panic!("not a sheet");
+    };
+    assert_eq!(sheet.number, 9);
+    let mut endpoints = vec![];
+    sheet.decode_into(&mut endpoints).unwrap();
     let first = Endpoint {
         id: cache("0a124a072b23"),
         state: EndpointState::Ready,
@@ -291,20 +296,20 @@
         kind: Kind(2),
         size: 1.5,
     };
-    assert_eq!(out, [first, second]);
+    assert_eq!(endpoints, [first, second]);
 }
 
 const SETTINGS: &str = r#"{"replicas_of_me": 2, "tick": 5.0, "unknown": [1], "registry_mode": "push",
  "profiles": [{"aim": 300.0, "deadline": 1000.0, "semantics": "free", "new_key": 1}],
  "caps": {"most_tries": 3}, "rules": {"answer_slack": 20.0}}"#;
 
-fn boot(instance: u16) -> Vec<u8> {
+fn start(instance: u16) -> Vec<u8> {
     let mut record = vec![7];
     record.extend(instance.to_le_bytes());
     record.extend(9u64.to_le_bytes());
     record.extend(0u32.to_le_bytes());
     record.extend((SETTINGS.len() as u32).to_le_bytes());
-    record.resize(wire::EVENT_SIZE, 0);
+    record.resize(EVENT_SIZE, 0);
     record
 }
 
@@ -312,18 +317,18 @@
     let mut record = vec![1, 0, 0];
     record.extend((offset as u32).to_le_bytes());
     record.extend(1u32.to_le_bytes());
-    record.resize(wire::EVENT_SIZE, 0);
+    record.resize(EVENT_SIZE, 0);
     record
 }
 
-fn work(id: u8) -> Vec<u8> {
+fn request_event(id: u8) -> Vec<u8> {
     event(&format!(
         "02 0300 {id:02x}000000 00 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 00000000 01"
     ))
 }
 
-/// The hosts that a batch's reply sends to.
-fn relayed(reply: &mut Reply) -> Vec<CacheId> {
+/// The servers that attempts of a reply are sent to.
+fn sent_to(reply: &mut Reply) -> Vec<CacheId> {
     let bytes = reply.finish();
     let count = u32::from_le_bytes(bytes[..4].try_into().unwrap()) as usize;
     let records = bytes[8..8 + 24 * count].chunks(24);
@@ -342,39 +347,40 @@
 
 #[test]
 fn sheets_are_resolved_in_event_order_and_reused_within_a_batch() {
-    let lines = [
+    let entries = [
         hex("0000803f 01010101 2b23 0000000000000000 00 01 0000 0000"),
         hex("0000803f 02020202 2b23 0000000000000000 00 01 0000 0000"),
     ];
     let mut tail = SETTINGS.as_bytes().to_vec();
-    lines.iter().for_each(|l| tail.extend(l));
+    entries.iter().for_each(|entry| tail.extend(entry));
     let at = SETTINGS.len();
-    let news = event("06 0300 0000 01000000 01");
+    let list_update = event("06 0300 0000 01000000 01");
     let records = [
-        boot(3),
+        start(3),
         sheet(at),
-        news.clone(),
-        work(1),
+        list_update.clone(),
+        request_event(1),
         sheet(at + 24),
-        news,
-        work(2),
+        list_update,
+        request_event(2),
         event("0a 0300"),
-        boot(3),
+        start(3),
     ];
     let mut reply = Reply::default();
     let mut host = Host::default();
     host.handle(&frame(&records, &tail), &mut reply).unwrap();
     assert_eq!(
-        relayed(&mut reply),
+        sent_to(&mut reply),
         [cache("01010101 2b23"), cache("02020202 2b23")]
     );
-    // Killed and started anew in the same batch: it knows no host.
+    // Killed and started again in the same batch: it knows no server.
     reply.clear();
-    host.handle(&frame(&[work(3)], &[]), &mut reply).unwrap();
-    assert_eq!(relayed(&mut reply), []);
+    host.handle(&frame(&[request_event(3)], &[]), &mut reply)
+        .unwrap();
+    assert_eq!(sent_to(&mut reply), []);
     assert!(
         reply.finish()[8..].chunks(24).any(|record| record[0] == 2),
-        "refused"
+        "rejected"
     );
 }
 
@@ -387,7 +393,7 @@
 }
 
 #[test]
-fn broken_input_is_named_by_record_and_field() {
+fn malformed_input_is_reported_by_record_and_field() {
     assert_eq!(
         error(&[event("63 0300")], &[]),
         "record 0, code: unknown event 99"
@@ -423,23 +429,23 @@
 }
 
 #[test]
-fn a_frame_cut_short_is_an_error_and_an_end_between_frames_is_not() {
-    let whole = frame(&[event("0a 0300")], &[]);
+fn a_truncated_frame_is_an_error_and_an_end_between_frames_is_not() {
+    let complete = frame(&[event("0a 0300")], &[]);
     let mut buffer = vec![];
-    assert!(!wire::read_frame(&mut &[][..], &mut buffer).unwrap());
-    for cut in 1..whole.len() {
-        let got = wire::read_frame(&mut &whole[..cut], &mut buffer);
+    assert!(!read_frame(&mut &[][..], &mut buffer).unwrap());
+    for cut in 1..complete.len() {
+        let result = read_frame(&mut &complete[..cut], &mut buffer);
         assert!(
-            matches!(got, Err(FrameError::Truncated { .. })),
+            matches!(result, Err(FrameError::Truncated { .. })),
             "cut at {cut}"
         );
     }
-    let mut two = whole.clone();
-    two.extend(&whole);
+    let mut two = complete.clone();
+    two.extend(&complete);
     let mut input = &two[..];
-    assert!(wire::read_frame(&mut input, &mut buffer).unwrap() && buffer == whole);
-    assert!(wire::read_frame(&mut input, &mut buffer).unwrap() && buffer == whole);
-    assert!(!wire::read_frame(&mut input, &mut buffer).unwrap());
+    assert!(read_frame(&mut input, &mut buffer).unwrap() && buffer == complete);
+    assert!(read_frame(&mut input, &mut buffer).unwrap() && buffer == complete);
+    assert!(!read_frame(&mut input, &mut buffer).unwrap());
 }
 
 proptest! {
@@ -460,6 +466,6 @@
         record[1..3].copy_from_slice(&3u16.to_le_bytes());
         let mut text = SETTINGS.as_bytes().to_vec();
         text.extend(tail);
-        let _ = Host::default().handle(&frame(&[boot(3), record], &text), &mut Reply::default());
+        let _ = Host::default().handle(&frame(&[start(3), record], &text), &mut Reply::default());
     }
 }
