--- a/crates/stairfront-handover/src/lib.rs
+++ b/crates/stairfront-handover/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the old and the new process of one balancer say to each other during an upgrade: one message to a packet of a
+//! The packets that the old and the new process of one balancer exchange during an upgrade: one message to a packet of a
 //! local socket, some with a descriptor beside them.
 //!
-//! It knows the packets' form and what a knowledge sent in parts may take. It opens no socket, and does not know what
-//! the knowledge says.
+//! The crate knows the form of the packets and the bounds of a state sent in parts. It opens no socket, and does not know
+//! what the state holds.
 mod message;
-mod parts;
+mod state_transfer;
 
 pub use message::{Message, PacketError, MAX_PACKET_BYTES, MAX_PART_BYTES};
-pub use parts::{PartsError, StateAssembler, MAX_STATE_BYTES};
+pub use state_transfer::{split_state, StateAssembler, StateTooLarge, MAX_STATE_BYTES};
--- a/crates/stairfront-handover/src/message.rs
+++ b/crates/stairfront-handover/src/message.rs
@@ -1,172 +1,203 @@
-//! One message to a packet: a byte that says which, then its fields as JSON, or bytes as they are.
+//! The messages and their packets: a byte for the kind, then the fields as JSON, or bytes as they are.
 use serde::{Deserialize, Serialize};
+use serde_json::json;
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 
-/// Raised when old and new would misunderstand each other; the new one then starts as if there were no old one.
+/// Version of the packets. It is raised when two versions would misunderstand each other; the new process then starts as
+/// if there were no old one.
 const VERSION: u32 = 1;
-/// Largest part of a knowledge, or of what a connection had brought unread.
+/// Largest part of a state, and most bytes that a connection may have read ahead, in one packet.
 pub const MAX_PART_BYTES: usize = 32 * 1024;
-/// No packet is larger; well below what a local socket takes in one piece.
+/// Largest packet, well below what a local socket takes in one piece.
 pub const MAX_PACKET_BYTES: usize = MAX_PART_BYTES + 64;
 
+/// A message between the two processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// The new process asks the old one of the same name for what it has.
+    /// The new process asks the old one to hand over.
     Hello {
+        /// Name of the balancer, the same at both.
         name: String,
     },
-    /// The old one agrees; the listener for clients comes beside it. What it keeps for itself until its end: places of
-    /// clients and connections to servers.
+    /// The old process agrees; the listener for clients comes beside the packet. It tells what it keeps until its end.
     Welcome {
+        /// Places of client connections that it keeps.
         clients: usize,
+        /// Connections to servers that it keeps.
         servers: usize,
     },
-    /// A part of what the decision module knows, in order.
-    Knowledge {
+    /// A part of the state that is handed over, in order.
+    StatePart {
+        /// Its bytes.
         part: Vec<u8>,
+        /// Whether it is the last one.
         last: bool,
     },
-    /// A client's connection comes beside it; no request on it is open. `unread` had been read from it already, and
-    /// `used` says whether it has ever brought a command.
+    /// A client's connection comes beside the packet; no request on it is in progress.
     Connection {
+        /// Whether the connection has ever carried a command.
         used: bool,
+        /// Bytes that were read from it and not handled.
         unread: Vec<u8>,
     },
-    /// What operators have asked of one process; the other one carries it out too and says what became of it.
+    /// An order of an operator to one process, which the other one carries out too.
     Order {
+        /// Number of the order, for its result.
         number: u32,
+        /// The order.
         order: OperatorOrder,
-        word: OrderSource,
+        /// Who vouches for the name in it.
+        source: OrderSource,
     },
-    Done {
+    /// The outcome of an order at the other process.
+    OrderResult {
+        /// Number of the order.
         number: u32,
-        done: OrderOutcome,
+        /// Its outcome.
+        outcome: OrderOutcome,
     },
 }
 
+/// Why a packet cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketError {
+    /// It has no bytes.
     #[error("an empty packet")]
     Empty,
+    /// Its kind is not known.
     #[error("unknown message {0}")]
-    Unknown(u8),
+    UnknownKind(u8),
+    /// The other process uses another version of the packets.
     #[error("version {0}, not {VERSION}")]
     Version(u32),
-    #[error("{0}")]
+    /// Its fields cannot be read.
+    #[error("fields not readable: {0}")]
     Fields(#[from] serde_json::Error),
 }
 
-const HELLO: u8 = b'H';
-const WELCOME: u8 = b'W';
-const KNOWLEDGE: u8 = b'K';
-const LAST_KNOWLEDGE: u8 = b'L';
-const NEW_CONNECTION: u8 = b'N';
-const USED_CONNECTION: u8 = b'U';
-const ORDER: u8 = b'O';
-const DONE: u8 = b'D';
+/// The first byte of each packet.
+mod kind {
+    pub(super) const HELLO: u8 = b'H';
+    pub(super) const WELCOME: u8 = b'W';
+    pub(super) const STATE_PART: u8 = b'K';
+    pub(super) const LAST_STATE_PART: u8 = b'L';
+    pub(super) const NEW_CONNECTION: u8 = b'N';
+    pub(super) const USED_CONNECTION: u8 = b'U';
+    pub(super) const ORDER: u8 = b'O';
+    pub(super) const ORDER_RESULT: u8 = b'D';
+}
 
 #[derive(Serialize, Deserialize)]
-struct Hello {
-    version: u32,
+struct HelloFields {
     name: String,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Welcome {
-    version: u32,
+struct WelcomeFields {
     clients: usize,
     servers: usize,
 }
 
-/// Looked at before anything else, since another version's fields mean something else.
+/// The field that is read before any other, since another version's fields mean something else.
 #[derive(Deserialize)]
-struct Versioned {
+struct VersionField {
     version: u32,
 }
 
-fn known_version(text: &[u8]) -> Result<(), PacketError> {
-    let Versioned { version } = serde_json::from_slice(text)?;
-    (version == VERSION)
-        .then_some(())
-        .ok_or(PacketError::Version(version))
-}
-
 impl Message {
+    /// The packet of this message.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let json = |kind, fields: serde_json::Value| (kind, fields.to_string().into_bytes());
-        let (kind, body) = match self {
-            Message::Hello { name } => json(
-                HELLO,
-                serde_json::json!({ "version": VERSION, "name": name }),
-            ),
-            Message::Welcome { clients, servers } => {
-                let fields = serde_json::json!({ "version": VERSION, "clients": clients, "servers": servers });
-                json(WELCOME, fields)
+        match self {
+            Message::Hello { name } => {
+                json_packet(kind::HELLO, &json!({ "version": VERSION, "name": name }))
             }
-            Message::Knowledge { part, last: false } => (KNOWLEDGE, part.clone()),
-            Message::Knowledge { part, last: true } => (LAST_KNOWLEDGE, part.clone()),
+            Message::Welcome { clients, servers } => json_packet(
+                kind::WELCOME,
+                &json!({ "version": VERSION, "clients": clients, "servers": servers }),
+            ),
+            Message::StatePart { part, last: false } => packet(kind::STATE_PART, part),
+            Message::StatePart { part, last: true } => packet(kind::LAST_STATE_PART, part),
             Message::Connection {
                 used: false,
                 unread,
-            } => (NEW_CONNECTION, unread.clone()),
-            Message::Connection { used: true, unread } => (USED_CONNECTION, unread.clone()),
+            } => packet(kind::NEW_CONNECTION, unread),
+            Message::Connection { used: true, unread } => packet(kind::USED_CONNECTION, unread),
             Message::Order {
                 number,
                 order,
-                word,
-            } => json(ORDER, serde_json::json!([number, order, word])),
-            Message::Done { number, done } => json(DONE, serde_json::json!([number, done])),
-        };
-        let mut packet = Vec::with_capacity(body.len() + 1);
-        packet.push(kind);
-        packet.extend_from_slice(&body);
-        packet
+                source,
+            } => json_packet(kind::ORDER, &json!([number, order, source])),
+            Message::OrderResult { number, outcome } => {
+                json_packet(kind::ORDER_RESULT, &json!([number, outcome]))
+            }
+        }
     }
 
+    /// The message of a packet.
+    ///
+    /// # Errors
+    ///
+    /// If the packet is empty, of an unknown kind or another version, or its fields cannot be read.
     pub fn decode(packet: &[u8]) -> Result<Message, PacketError> {
         let (kind, body) = packet.split_first().ok_or(PacketError::Empty)?;
         Ok(match *kind {
-            HELLO => {
-                known_version(body)?;
-                let Hello { name, .. } = serde_json::from_slice(body)?;
+            kind::HELLO => {
+                let HelloFields { name } = read_versioned(body)?;
                 Message::Hello { name }
             }
-            WELCOME => {
-                known_version(body)?;
-                let Welcome {
-                    clients, servers, ..
-                } = serde_json::from_slice(body)?;
+            kind::WELCOME => {
+                let WelcomeFields { clients, servers } = read_versioned(body)?;
                 Message::Welcome { clients, servers }
             }
-            KNOWLEDGE => Message::Knowledge {
+            kind::STATE_PART => Message::StatePart {
                 part: body.to_vec(),
                 last: false,
             },
-            LAST_KNOWLEDGE => Message::Knowledge {
+            kind::LAST_STATE_PART => Message::StatePart {
                 part: body.to_vec(),
                 last: true,
             },
-            NEW_CONNECTION => Message::Connection {
+            kind::NEW_CONNECTION => Message::Connection {
                 used: false,
                 unread: body.to_vec(),
             },
-            USED_CONNECTION => Message::Connection {
+            kind::USED_CONNECTION => Message::Connection {
                 used: true,
                 unread: body.to_vec(),
             },
-            ORDER => {
-                let (number, order, word) = serde_json::from_slice(body)?;
+            kind::ORDER => {
+                let (number, order, source) = serde_json::from_slice(body)?;
                 Message::Order {
                     number,
                     order,
-                    word,
+                    source,
                 }
             }
-            DONE => {
-                let (number, done) = serde_json::from_slice(body)?;
-                Message::Done { number, done }
+            kind::ORDER_RESULT => {
+                let (number, outcome) = serde_json::from_slice(body)?;
+                Message::OrderResult { number, outcome }
             }
-            other => return Err(PacketError::Unknown(other)),
+            other => return Err(PacketError::UnknownKind(other)),
         })
     }
 }
+
+fn packet(kind: u8, body: &[u8]) -> Vec<u8> {
+    let mut packet = Vec::with_capacity(body.len() + 1);
+    packet.push(kind);
+    packet.extend_from_slice(body);
+    packet
+}
+
+fn json_packet(kind: u8, fields: &serde_json::Value) -> Vec<u8> {
+    packet(kind, fields.to_string().as_bytes())
+}
+
+fn read_versioned<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, PacketError> {
+    let VersionField { version } = serde_json::from_slice(body)?;
+    if version != VERSION {
+        return Err(PacketError::Version(version));
+    }
+    Ok(serde_json::from_slice(body)?)
+}
--- a/crates/stairfront-handover/tests/exchanged_forms.rs
+++ b/crates/stairfront-handover/tests/exchanged_forms.rs
@@ -1,27 +1,33 @@
 //! The packets that two processes of one balancer exchange during an upgrade, as they were pinned. The two may be of
 //! different builds: names in the program may change, these bytes may not without a new version.
-mod golden;
-
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_handover::{
-    Message, StateAssembler, MAX_PACKET_BYTES, MAX_PART_BYTES, MAX_STATE_BYTES,
+    split_state, Message, StateAssembler, MAX_PACKET_BYTES, MAX_PART_BYTES, MAX_STATE_BYTES,
 };
+use stairfront_test_support::golden::GoldenFiles;
+
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
 
-fn order(number: u32, order: OperatorOrder, word: OrderSource) -> Message {
+fn order(number: u32, order: OperatorOrder, source: OrderSource) -> Message {
     Message::Order {
         number,
         order,
-        word,
+        source,
     }
 }
 
-fn done(number: u32, done: OrderOutcome) -> Message {
-    Message::Done { number, done }
+fn result(number: u32, outcome: OrderOutcome) -> Message {
+    Message::OrderResult { number, outcome }
 }
 
-/// Every variant of `Message`, and in them every variant of `Order`, `Word` and `Done`.
+/// Every variant of `Message`, and in them every variant of an order, its source and its outcome.
 fn messages() -> Vec<(&'static str, Message)> {
-    let host = |name: &str| name.to_string();
+    [state_messages(), order_messages()].concat()
+}
+
+fn state_messages() -> Vec<(&'static str, Message)> {
     vec![
         (
             "hello",
@@ -38,21 +44,21 @@
         ),
         (
             "knowledge",
-            Message::Knowledge {
+            Message::StatePart {
                 part: b"{\"at\":\xff\x00".to_vec(),
                 last: false,
             },
         ),
         (
             "knowledge-last",
-            Message::Knowledge {
+            Message::StatePart {
                 part: b"17}".to_vec(),
                 last: true,
             },
         ),
         (
             "knowledge-last-empty",
-            Message::Knowledge {
+            Message::StatePart {
                 part: Vec::new(),
                 last: true,
             },
@@ -71,52 +77,63 @@
                 unread: b"\x01\xfe\r\n".to_vec(),
             },
         ),
+    ]
+}
+
+/// Every order and every outcome of one.
+fn order_messages() -> Vec<(&'static str, Message)> {
+    let host = |name: &str| name.to_string();
+    vec![
         (
             "order-cordon",
-            order(
-                1,
-                OperatorOrder::Cordon(host("s-1")),
-                OrderSource::Operators,
-            ),
+            order(1, OperatorOrder::Cordon(host("s-1")), OrderSource::Operator),
         ),
         (
             "order-uncordon",
-            order(
-                2,
-                OperatorOrder::Uncordon(host("s-2")),
-                OrderSource::Vouched,
-            ),
+            order(2, OperatorOrder::Uncordon(host("s-2")), OrderSource::Peer),
         ),
         (
             "order-hold",
-            order(3, OperatorOrder::Hold(host("s-3")), OrderSource::Operators),
+            order(
+                3,
+                OperatorOrder::GroupCordon(host("s-3")),
+                OrderSource::Operator,
+            ),
         ),
         (
             "order-release",
-            order(4, OperatorOrder::Release(host("s-4")), OrderSource::Vouched),
+            order(
+                4,
+                OperatorOrder::GroupUncordon(host("s-4")),
+                OrderSource::Peer,
+            ),
         ),
         (
             "order-known",
-            order(5, OperatorOrder::Known(host("s-5")), OrderSource::Operators),
+            order(
+                5,
+                OperatorOrder::IsKnown(host("s-5")),
+                OrderSource::Operator,
+            ),
         ),
         (
             "order-use",
             order(
                 u32::MAX,
-                OperatorOrder::Use(host("s-6")),
-                OrderSource::Vouched,
+                OperatorOrder::GetUsage(host("s-6")),
+                OrderSource::Peer,
             ),
         ),
-        ("done-yes", done(7, OrderOutcome::Yes)),
-        ("done-unknown", done(8, OrderOutcome::Unknown)),
-        ("done-not-recorded", done(9, OrderOutcome::NotRecorded)),
-        ("done-held", done(10, OrderOutcome::Held)),
+        ("done-yes", result(7, OrderOutcome::Done)),
+        ("done-unknown", result(8, OrderOutcome::UnknownHost)),
+        ("done-not-recorded", result(9, OrderOutcome::NotRecorded)),
+        ("done-held", result(10, OrderOutcome::HeldByGroup)),
         (
             "done-use",
-            done(
+            result(
                 11,
-                OrderOutcome::Use {
-                    open: 12,
+                OrderOutcome::Usage {
+                    in_flight: 12,
                     sent: u64::MAX,
                 },
             ),
@@ -143,27 +160,34 @@
             clients: _,
             servers: _,
         }
-        | Message::Knowledge { part: _, last: _ }
+        | Message::StatePart { part: _, last: _ }
         | Message::Connection { used: _, unread: _ } => {}
         Message::Order {
             number: _,
             order,
-            word,
+            source,
         } => {
             match order {
-                OperatorOrder::Cordon(_) | OperatorOrder::Uncordon(_) | OperatorOrder::Hold(_) => {}
-                OperatorOrder::Release(_) | OperatorOrder::Known(_) | OperatorOrder::Use(_) => {}
+                OperatorOrder::Cordon(_)
+                | OperatorOrder::Uncordon(_)
+                | OperatorOrder::GroupCordon(_) => {}
+                OperatorOrder::GroupUncordon(_)
+                | OperatorOrder::IsKnown(_)
+                | OperatorOrder::GetUsage(_) => {}
             }
-            match word {
-                OrderSource::Operators | OrderSource::Vouched => {}
+            match source {
+                OrderSource::Operator | OrderSource::Peer => {}
             }
         }
-        Message::Done { number: _, done } => match done {
-            OrderOutcome::Yes
-            | OrderOutcome::Unknown
+        Message::OrderResult { number: _, outcome } => match outcome {
+            OrderOutcome::Done
+            | OrderOutcome::UnknownHost
             | OrderOutcome::NotRecorded
-            | OrderOutcome::Held
-            | OrderOutcome::Use { open: _, sent: _ } => {}
+            | OrderOutcome::HeldByGroup
+            | OrderOutcome::Usage {
+                in_flight: _,
+                sent: _,
+            } => {}
         },
     }
 }
@@ -177,23 +201,23 @@
         .iter()
         .map(|(name, message)| format!("{name} {}\n", hex(&message.encode())))
         .collect();
-    let pinned = String::from_utf8(golden::same("messages.hex", now.as_bytes())).unwrap();
+    let pinned = String::from_utf8(golden().assert_bytes("messages.hex", now.as_bytes())).unwrap();
     let read: Vec<(&str, Message)> = pinned
         .lines()
         .map(|line| {
             let (name, packet) = line.split_once(' ').unwrap();
             (
                 name,
-                Message::decode(&bytes(packet)).unwrap_or_else(|fault| panic!("{name}: {fault}")),
+                Message::decode(&bytes(packet)).unwrap_or_else(|error| panic!("{name}: {error}")),
             )
         })
         .collect();
     assert_eq!(read, messages);
 }
 
-/// How a knowledge is cut into packets: the length of each, its first bytes and its last ones; and the bounds.
+/// How a state is cut into packets: the length of each, its first bytes and its last ones; and the bounds.
 #[test]
-fn a_knowledge_is_cut_into_packets_as_pinned() {
+fn a_state_is_split_into_packets_as_pinned() {
     let bounds =
         format!("part {MAX_PART_BYTES} packet {MAX_PACKET_BYTES} knowledge {MAX_STATE_BYTES}\n");
     let lengths = [
@@ -204,10 +228,10 @@
         2 * MAX_PART_BYTES + 1,
         MAX_STATE_BYTES + 1,
     ];
-    let knowledge = |length: usize| -> Vec<u8> { (0..length).map(|i| (i % 251) as u8).collect() };
+    let state = |length: usize| -> Vec<u8> { (0..length).map(|i| (i % 251) as u8).collect() };
     let line = |length: &usize| {
-        let whole = knowledge(*length);
-        let packets = StateAssembler::of(&whole).map(|message| {
+        let whole = state(*length);
+        let packets = split_state(&whole).map(|message| {
             let packet = message.encode();
             let (first, last) = (
                 &packet[..packet.len().min(4)],
@@ -220,16 +244,16 @@
     let now: String = std::iter::once(bounds)
         .chain(lengths.iter().map(line))
         .collect();
-    golden::same("parts.hex", now.as_bytes());
+    golden().assert_bytes("parts.hex", now.as_bytes());
     // Packets cut so are put together again.
     for length in &lengths[..lengths.len() - 1] {
-        let (mut parts, mut whole) = (StateAssembler::default(), None);
-        for packet in StateAssembler::of(&knowledge(*length)).map(|message| message.encode()) {
-            let Ok(Message::Knowledge { part, last }) = Message::decode(&packet) else {
+        let (mut assembler, mut whole) = (StateAssembler::default(), None);
+        for packet in split_state(&state(*length)).map(|message| message.encode()) {
+            let Ok(Message::StatePart { part, last }) = Message::decode(&packet) else {
                 panic!("{length}")
             };
-            whole = parts.take(&part, last).unwrap();
+            whole = assembler.add(&part, last).unwrap();
         }
-        assert_eq!(whole, Some(knowledge(*length)));
+        assert_eq!(whole, Some(state(*length)));
     }
 }
--- a/crates/stairfront-handover/tests/messages.rs
+++ b/crates/stairfront-handover/tests/messages.rs
@@ -1,7 +1,8 @@
 //! Packets between two processes that may not be of one version.
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_handover::{
-    Message, PacketError, StateAssembler, MAX_PACKET_BYTES, MAX_PART_BYTES, MAX_STATE_BYTES,
+    split_state, Message, PacketError, StateAssembler, MAX_PACKET_BYTES, MAX_PART_BYTES,
+    MAX_STATE_BYTES,
 };
 
 #[test]
@@ -14,11 +15,11 @@
             clients: 7,
             servers: 80,
         },
-        Message::Knowledge {
+        Message::StatePart {
             part: vec![0, 255, b'{'],
             last: false,
         },
-        Message::Knowledge {
+        Message::StatePart {
             part: vec![],
             last: true,
         },
@@ -33,16 +34,16 @@
         Message::Order {
             number: 9,
             order: OperatorOrder::Cordon("s-1".into()),
-            word: OrderSource::Vouched,
+            source: OrderSource::Peer,
         },
         Message::Order {
             number: u32::MAX,
             order: OperatorOrder::Uncordon("s \"2\"".into()),
-            word: OrderSource::Operators,
+            source: OrderSource::Operator,
         },
-        Message::Done {
+        Message::OrderResult {
             number: 9,
-            done: OrderOutcome::Unknown,
+            outcome: OrderOutcome::UnknownHost,
         },
     ];
     for message in messages {
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn another_version_and_rubbish_are_told_apart_from_messages() {
+fn another_version_and_malformed_packets_are_errors() {
     let later = br#"H{"version":2,"name":"n3","more":[1]}"#;
     assert!(matches!(
         Message::decode(later),
@@ -73,23 +74,23 @@
 }
 
 #[test]
-fn a_knowledge_comes_whole_or_not_and_never_over_its_bound() {
+fn a_state_is_complete_or_rejected_and_never_over_its_bound() {
     for length in [0, 1, MAX_PART_BYTES, MAX_PART_BYTES + 1, 3 * MAX_PART_BYTES] {
-        let knowledge: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
-        let (mut parts, mut whole) = (StateAssembler::default(), None);
-        for message in StateAssembler::of(&knowledge) {
+        let state: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
+        let (mut assembler, mut whole) = (StateAssembler::default(), None);
+        for message in split_state(&state) {
             assert_eq!(whole, None, "nothing comes behind the last part");
-            let Message::Knowledge { part, last } = message else {
+            let Message::StatePart { part, last } = message else {
                 panic!("{message:?}")
             };
-            whole = parts.take(&part, last).unwrap();
+            whole = assembler.add(&part, last).unwrap();
         }
-        assert_eq!(whole, Some(knowledge));
+        assert_eq!(whole, Some(state));
     }
-    let mut parts = StateAssembler::default();
+    let mut assembler = StateAssembler::default();
     let full = vec![0; MAX_PART_BYTES];
     let refused = (0..=MAX_STATE_BYTES / MAX_PART_BYTES)
-        .map(|_| parts.take(&full, false))
+        .map(|_| assembler.add(&full, false))
         .filter(Result::is_err);
     assert_eq!(refused.count(), 1);
 }
