--- a/crates/stairfront-maintenance/src/lib.rs
+++ b/crates/stairfront-maintenance/src/lib.rs
@@ -1,18 +1,27 @@
-//! Plans that take machines out for work. Agreed commands go in, one after the other, the same at each member; what is out,
-//! and what may come next, follows from them (`state`, `order`). What the one who leads sees of the world becomes commands
-//! here too (`lead`). It opens no socket and reads no clock.
+//! Plans of maintenance that take machines out of service in an agreed order.
 //!
-//! It owns the plans, their history and the facts that they rest on. Who holds a host out at the engines is the
-//! membership's ledger, which follows `Maintenance::held`.
+//! Agreed commands ([`Command`]) are applied one after the other, in the same order at each member; which machines are out
+//! and which may come next follows from them ([`Maintenance`]). What the leader observes of the fleet becomes commands here
+//! too ([`LeaderObservation`]). The crate opens no socket and reads no clock.
+//!
+//! It owns the plans, their history and the facts that they rest on. The cordons that keep a host out of service belong to
+//! the group's cordon set, which follows [`Maintenance::cordoned_hosts`].
+mod command;
+mod execute;
 mod fleet;
-mod lead;
-mod order;
+mod leader;
+mod machine_record;
+mod maintenance;
 mod plan;
-mod state;
+mod queue;
+mod stage;
+mod step;
+mod view;
 
+pub use command::{Command, CommandError, CommandKind, Outcome};
 pub use fleet::{Balancer, Fleet, Host};
-pub use lead::{BlockedMachine, LeaderObservation};
-pub use plan::{AvailabilityBudget, DoneBy, Machine, Plan, PlanError};
-pub use state::{
-    Command, CommandError, CommandKind, Held, Maintenance, Outcome, PlanView, Stage, View,
-};
+pub use leader::{BlockedMachine, LeaderObservation, MachineKey, NextCommands};
+pub use maintenance::{CordonedHost, Maintenance};
+pub use plan::{AvailabilityBudget, CompletedBy, Machine, Plan, PlanError};
+pub use stage::Stage;
+pub use view::{HistoryEntry, MachineView, PlanView, View};
--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -8,8 +8,8 @@
 
 use stairfront_emulator::dice::Dice;
 use stairfront_maintenance::{
-    AvailabilityBudget, Balancer, Command, CommandKind, DoneBy, Fleet, Host, LeaderObservation,
-    Maintenance, Plan, Stage,
+    AvailabilityBudget, Balancer, Command, CommandKind, CompletedBy, Fleet, Host,
+    LeaderObservation, MachineKey, Maintenance, Plan, Stage,
 };
 use stairfront_raft::{
     ClusterManager, Envelope, HardState, Log, Micros, OutgoingMessage, Payload, Ready, Recovered,
@@ -164,9 +164,9 @@
                 continue;
             }
             place.excused &= others.len() < MEMBERS / 2;
-            let held = place.machine.held();
+            let held = place.machine.cordoned_hosts();
             let over =
-                |key: &Key| key.1 <= place.applied && !held.iter().any(|of| of.told == key.1);
+                |key: &Key| key.1 <= place.applied && !held.iter().any(|of| of.notified == key.1);
             let news: Vec<Key> = told.into_iter().filter(|key| !over(key)).collect();
             place.ledger.extend(news);
         }
@@ -227,8 +227,12 @@
             Parcel::Raft(envelope) => return council.handle_message(now, *envelope),
             Parcel::Hold(host, told) => {
                 // Lifted here already by what was agreed since.
-                let over =
-                    told <= place.applied && !place.machine.held().iter().any(|of| of.told == told);
+                let over = told <= place.applied
+                    && !place
+                        .machine
+                        .cordoned_hosts()
+                        .iter()
+                        .any(|of| of.notified == told);
                 if !over {
                     place.ledger.insert((host.clone(), told));
                 }
@@ -321,9 +325,9 @@
             // What is agreed is held, and what was and is not any more is given back.
             let held: BTreeSet<Key> = place
                 .machine
-                .held()
+                .cordoned_hosts()
                 .into_iter()
-                .map(|held| (held.host, held.told))
+                .map(|held| (held.host, held.notified))
                 .collect();
             let applied = place.applied;
             place
@@ -347,25 +351,25 @@
         let host = |i: usize| Host {
             name: format!("c{i}"),
             zone: format!("z{}", i % 3),
-            group: 0,
-            up: true,
-            born_ms: 0,
+            deduplication_group: 0,
+            is_serving: true,
+            started_ms: 0,
         };
         let balancer = |at: usize| Balancer {
             name: name(at),
             // One that cannot be reached is called failed after a while.
-            there: at == me
+            is_present: at == me
                 || self.reaches(me, at)
                 || self.now - self.places[at].gone_at < 2 * SECOND,
-            left: false,
-            votes: at < VOTERS,
-            leads: at == me,
-            run: self.places[at].runs,
+            has_left: false,
+            is_voter: at < VOTERS,
+            is_leader: at == me,
+            process_id: self.places[at].runs,
         };
         Fleet {
             hosts: (0..HOSTS).map(host).collect(),
             balancers: (0..MEMBERS).map(balancer).collect(),
-            trouble: None,
+            fault: None,
         }
     }
 
@@ -379,10 +383,10 @@
             term,
             via,
             author,
-            what,
+            kind: what,
         };
         if let Some(council) = &mut self.places[at].council {
-            let _ = council.propose(self.now, command.id, command.write(), 2 * SECOND);
+            let _ = council.propose(self.now, command.id, command.encode(), 2 * SECOND);
         }
     }
 
@@ -396,39 +400,45 @@
             return;
         }
         let term = council.node().term();
-        if place.machine.turn_of(&name(me)) == Some(Stage::Told) {
+        if place.machine.balancer_stage(&name(me)) == Some(Stage::Notified) {
             let _ = council.transfer_leadership(self.now);
         }
         let (told, held): (Vec<Key>, Vec<Key>) = {
             let at = |stage| {
                 place
                     .machine
-                    .held_at(stage)
-                    .map(|held| (held.host, held.told))
+                    .hosts_at(stage)
+                    .map(|held| (held.host, held.notified))
                     .collect()
             };
-            (at(Stage::Told), at(Stage::Held))
+            (at(Stage::Notified), at(Stage::Draining))
         };
         let list = |said: &BTreeMap<Key, BTreeSet<String>>| {
             said.iter()
-                .map(|(key, names)| (key.clone(), names.iter().cloned().collect()))
+                .map(|((host, notified), names)| {
+                    let key = MachineKey {
+                        host: host.clone(),
+                        notified: *notified,
+                    };
+                    (key, names.iter().cloned().collect())
+                })
                 .collect()
         };
         let warm = place
             .machine
-            .at(Stage::Warming)
+            .machines_at(Stage::WarmingUp)
             .map(|machine| machine.name().to_string())
             .collect();
         let mut seen = LeaderObservation {
-            me: name(me),
+            leader: name(me),
             confirmed: list(&place.confirmed),
-            quiet: list(&place.quiet),
+            drained: list(&place.quiet),
             warm,
             ..LeaderObservation::default()
         };
         seen.fleet = self.fleet(me);
         let place = &mut self.places[me];
-        let (due, _) = place.machine.next_commands(&seen);
+        let due = place.machine.next_commands(&seen).due;
         place.proposed.retain(|_, at| self.now - *at < SECOND);
         // A step that was proposed is not proposed again within a second.
         let due: Vec<CommandKind> = due
@@ -494,20 +504,20 @@
                     machines: Vec::new(),
                     zones: Vec::new(),
                     kinds: vec![kind.to_string()],
-                    at_once: if at == 0 { AT_ONCE } else { 1 },
-                    stay: AvailabilityBudget {
+                    max_out: if at == 0 { AT_ONCE } else { 1 },
+                    availability: AvailabilityBudget {
                         zone: 0.5,
-                        whole: 0.6,
+                        fleet: 0.6,
                     },
-                    done: DoneBy::Operator,
-                    confirm_s: 60,
-                    quiet_s: 60,
-                    work_s: 60,
-                    warm_s: 60,
+                    completed_by: CompletedBy::Operator,
+                    confirm_timeout_s: 60,
+                    drain_timeout_s: 60,
+                    work_timeout_s: 60,
+                    warm_up_timeout_s: 60,
                     reason: kind.to_string(),
                     author: "ann".to_string(),
                 };
-                self.order(of, 0, CommandKind::Post(plan));
+                self.order(of, 0, CommandKind::Submit(plan));
             }
         }
         for plan in &shown.plans {
@@ -619,7 +629,7 @@
                 .map(|row| row.stage);
             place.council.is_some()
                 && place.applied == self.places[0].applied
-                && stages.all(|stage| matches!(stage, Stage::Back | Stage::Skipped))
+                && stages.all(|stage| matches!(stage, Stage::Returned | Stage::Skipped))
         };
         self.posted == [true; 2] && self.places.iter().all(over)
     }
@@ -726,9 +736,9 @@
                 .plans
                 .into_iter()
                 .flat_map(|plan| plan.machines);
-            let trouble = place.machine.view().trouble;
+            let trouble = place.machine.view().fault;
             let rows: Vec<_> = rows
-                .filter(|row| row.stage != Stage::Back)
+                .filter(|row| row.stage != Stage::Returned)
                 .map(|row| (row.machine, row.stage))
                 .collect();
             format!(
--- a/crates/stairfront-maintenance/tests/plans.rs
+++ b/crates/stairfront-maintenance/tests/plans.rs
@@ -2,32 +2,32 @@
 //! here from the steps that were settled, not by the state's own word.
 use std::collections::{BTreeMap, BTreeSet};
 
-use stairfront_emulator::dice::Dice;
+use stairfront_common::random::SeededRng;
 use stairfront_maintenance::{
-    AvailabilityBudget, Balancer, Command, CommandKind, DoneBy, Fleet, Host, LeaderObservation,
-    Machine, Maintenance, Plan, Stage,
+    AvailabilityBudget, Balancer, Command, CommandKind, CompletedBy, Fleet, Host,
+    LeaderObservation, Machine, MachineKey, Maintenance, NextCommands, Plan, Stage,
 };
 
 fn fleet(hosts: usize, zones: usize, balancers: usize) -> Fleet {
     let host = |i: usize| Host {
         name: format!("c{i:02}"),
         zone: format!("z{}", i % zones),
-        group: (i / 4) as u16,
-        up: true,
-        born_ms: 0,
+        deduplication_group: (i / 4) as u16,
+        is_serving: true,
+        started_ms: 0,
     };
     let balancer = |i: usize| Balancer {
         name: format!("b{i}"),
-        there: true,
-        left: false,
-        votes: i < 3,
-        leads: i == 0,
-        run: i as u64 + 1,
+        is_present: true,
+        has_left: false,
+        is_voter: i < 3,
+        is_leader: i == 0,
+        process_id: i as u64 + 1,
     };
     Fleet {
         hosts: (0..hosts).map(host).collect(),
         balancers: (0..balancers).map(balancer).collect(),
-        trouble: None,
+        fault: None,
     }
 }
 
@@ -36,16 +36,16 @@
         machines: Vec::new(),
         zones: Vec::new(),
         kinds: kinds.iter().map(|kind| kind.to_string()).collect(),
-        at_once,
-        stay: AvailabilityBudget {
+        max_out: at_once,
+        availability: AvailabilityBudget {
             zone: 0.5,
-            whole: 0.6,
+            fleet: 0.6,
         },
-        done: DoneBy::Operator,
-        confirm_s: 60,
-        quiet_s: 60,
-        work_s: 60,
-        warm_s: 60,
+        completed_by: CompletedBy::Operator,
+        confirm_timeout_s: 60,
+        drain_timeout_s: 60,
+        work_timeout_s: 60,
+        warm_up_timeout_s: 60,
         reason: "disks".to_string(),
         author: "ann".to_string(),
     }
@@ -81,9 +81,9 @@
             term: given,
             via,
             author,
-            what,
+            kind: what,
         };
-        let bytes = command.write();
+        let bytes = command.encode();
         assert_eq!(
             self.state.apply(self.index, self.term, &bytes),
             Some(self.ids)
@@ -115,7 +115,7 @@
             for row in &plan.machines {
                 let away = matches!(
                     row.stage,
-                    Stage::Told | Stage::Held | Stage::Out | Stage::Warming
+                    Stage::Notified | Stage::Draining | Stage::Out | Stage::WarmingUp
                 );
                 if away {
                     assert!(
@@ -132,16 +132,16 @@
     fn judge(&self, fleet: &Fleet, plans: &BTreeMap<u64, Plan>, began: Option<&Machine>) {
         for (number, plan) in plans {
             let out = self.out.values().filter(|of| *of == number).count();
-            assert!(out <= plan.at_once as usize, "{out} of plan {number}");
+            assert!(out <= plan.max_out as usize, "{out} of plan {number}");
         }
         // What fell out by itself may leave less than a plan wants; then nothing further may have been begun.
         let Some(began) = began else { return };
         if matches!(began, Machine::Balancer(_)) {
-            let voters = fleet.balancers.iter().filter(|one| one.votes);
+            let voters = fleet.balancers.iter().filter(|one| one.is_voter);
             let (all, stay) = voters.fold((0, 0), |(all, stay), one| {
                 (
                     all + 1,
-                    stay + usize::from(one.there && !self.out.contains_key(&one.name)),
+                    stay + usize::from(one.is_present && !self.out.contains_key(&one.name)),
                 )
             });
             return assert!(stay * 2 > all, "{stay} of {all} voters");
@@ -152,12 +152,12 @@
             let (stay, all) = zones.entry(&host.zone).or_default();
             let out = self.out.contains_key(&host.name);
             *all += 1;
-            *stay += usize::from(host.up && !out);
-            if out && host.group != 0 {
+            *stay += usize::from(host.is_serving && !out);
+            if out && host.deduplication_group != 0 {
                 assert!(
-                    groups.insert(host.group),
+                    groups.insert(host.deduplication_group),
                     "two of group {} are out",
-                    host.group
+                    host.deduplication_group
                 );
             }
         }
@@ -177,60 +177,63 @@
 fn whatever_is_asked_and_whatever_fails_no_more_is_out_than_the_plans_allow_and_they_end() {
     let (mut steps, mut refused, mut ended) = (0, 0, 0);
     for seed in 0..60 {
-        let mut dice = Dice::new(seed, "plans");
+        let mut random = SeededRng::for_part(seed, "plans");
         let mut world = fleet(12, 3, 5);
         let (mut log, mut observer) = (Log::new(), Observer::default());
         let mut plans = BTreeMap::new();
         log.settle(CommandKind::Fleet(world.clone())).unwrap();
         for round in 0..400 {
             // The world turns, for a while.
-            if round < 250 && dice.happens(0.05) {
-                let host = &mut world.hosts[dice.below(12) as usize];
-                host.up = !host.up;
-                host.born_ms += u64::from(host.up);
+            if round < 250 && random.happens(0.05) {
+                let host = &mut world.hosts[random.below(12_u64) as usize];
+                host.is_serving = !host.is_serving;
+                host.started_ms += u64::from(host.is_serving);
             }
-            if round < 250 && dice.happens(0.04) {
-                let one = &mut world.balancers[1 + dice.below(4) as usize];
-                one.there = !one.there;
-                one.run += u64::from(one.there);
+            if round < 250 && random.happens(0.04) {
+                let one = &mut world.balancers[1 + random.below(4_u64) as usize];
+                one.is_present = !one.is_present;
+                one.process_id += u64::from(one.is_present);
             }
-            if round < 250 && dice.happens(0.03) {
-                world.trouble = world
-                    .trouble
-                    .is_none()
-                    .then(|| "few are served".to_string());
+            if round < 250 && random.happens(0.03) {
+                world.fault = world.fault.is_none().then(|| "few are served".to_string());
             }
             if round == 250 {
-                world.hosts.iter_mut().for_each(|host| host.up = true);
-                world.balancers.iter_mut().for_each(|one| one.there = true);
-                world.trouble = None;
+                world
+                    .hosts
+                    .iter_mut()
+                    .for_each(|host| host.is_serving = true);
+                world
+                    .balancers
+                    .iter_mut()
+                    .for_each(|one| one.is_present = true);
+                world.fault = None;
             }
-            if plans.len() < 4 && round < 200 && dice.happens(0.05) {
-                let kinds = if dice.happens(0.6) {
+            if plans.len() < 4 && round < 200 && random.happens(0.05) {
+                let kinds = if random.happens(0.6) {
                     "caches"
                 } else {
                     "balancers"
                 };
-                let at_once = 1 + dice.below(if kinds == "caches" { 3 } else { 1 }) as u32;
+                let at_once = 1 + random.below(if kinds == "caches" { 3_u64 } else { 1 }) as u32;
                 let plan = Plan {
-                    done: if dice.happens(0.5) {
-                        DoneBy::Operator
+                    completed_by: if random.happens(0.5) {
+                        CompletedBy::Operator
                     } else {
-                        DoneBy::Restart
+                        CompletedBy::Restart
                     },
                     ..plan(&[kinds], at_once)
                 };
-                if let Ok(number) = log.settle(CommandKind::Post(plan.clone())) {
+                if let Ok(number) = log.settle(CommandKind::Submit(plan.clone())) {
                     plans.insert(number, plan);
                 }
             }
             // Operators' words, right and wrong ones.
-            if let Some(number) = plans.keys().nth(dice.below(4) as usize).copied() {
-                let machine = format!("c{:02}", dice.below(12));
-                let what = match dice.below(30) {
+            if let Some(number) = plans.keys().nth(random.below(4_u64) as usize).copied() {
+                let machine = format!("c{:02}", random.below(12_u64));
+                let what = match random.below(30_u64) {
                     0 if round < 200 => CommandKind::Hold {
                         plan: number,
-                        why: "lunch".to_string(),
+                        reason: "lunch".to_string(),
                     },
                     1 | 2 => CommandKind::Resume { plan: number },
                     3 => CommandKind::Skip {
@@ -259,50 +262,56 @@
             let leader = world
                 .balancers
                 .iter()
-                .find(|one| one.leads)
+                .find(|one| one.is_leader)
                 .map(|one| one.name.clone())
                 .unwrap();
             let mut seen = LeaderObservation {
                 fleet: world.clone(),
-                me: leader.clone(),
+                leader: leader.clone(),
                 ..LeaderObservation::default()
             };
             let roster: Vec<String> = world
                 .balancers
                 .iter()
-                .filter(|one| one.there)
+                .filter(|one| one.is_present)
                 .map(|one| one.name.clone())
                 .collect();
-            for stage in [Stage::Told, Stage::Held] {
-                for held in log.state.held_at(stage) {
-                    let key = (held.host, held.told);
+            for stage in [Stage::Notified, Stage::Draining] {
+                for held in log.state.hosts_at(stage) {
+                    let key = MachineKey {
+                        host: held.host,
+                        notified: held.notified,
+                    };
                     seen.confirmed.insert(key.clone(), roster.clone());
-                    seen.quiet.insert(key, roster.clone());
+                    seen.drained.insert(key, roster.clone());
                 }
             }
             let warming: Vec<String> = log
                 .state
-                .at(Stage::Warming)
+                .machines_at(Stage::WarmingUp)
                 .map(|machine| machine.name().to_string())
                 .collect();
-            seen.warm = warming.into_iter().filter(|_| dice.happens(0.5)).collect();
+            seen.warm = warming
+                .into_iter()
+                .filter(|_| random.happens(0.5))
+                .collect();
             // A balancer's or a host's work: it starts anew.
-            let away: Vec<Machine> = log.state.at(Stage::Out).cloned().collect();
-            for machine in away.iter().filter(|_| dice.happens(0.3)) {
+            let away: Vec<Machine> = log.state.machines_at(Stage::Out).cloned().collect();
+            for machine in away.iter().filter(|_| random.happens(0.3)) {
                 match machine {
                     Machine::Balancer(name) => {
                         world
                             .balancers
                             .iter_mut()
                             .filter(|one| one.name == *name)
-                            .for_each(|one| one.run += 100);
+                            .for_each(|one| one.process_id += 100);
                     }
                     Machine::Cache(name) => {
                         world
                             .hosts
                             .iter_mut()
                             .filter(|host| host.name == *name)
-                            .for_each(|host| host.born_ms += 100);
+                            .for_each(|host| host.started_ms += 100);
                         if round >= 250 {
                             let of: Vec<u64> = plans.keys().copied().collect();
                             of.into_iter().for_each(|plan| {
@@ -315,8 +324,8 @@
                     }
                 }
             }
-            let (due, _) = log.state.next_commands(&seen);
-            if dice.happens(0.05) {
+            let due = log.state.next_commands(&seen).due;
+            if random.happens(0.05) {
                 log.term += 1;
                 for what in due {
                     let old = log.term - 1;
@@ -329,25 +338,32 @@
             }
             // The leader's turn moves on in a plan of all balancers.
             let own = Machine::Balancer(leader.clone());
-            if log.state.at(Stage::Told).any(|machine| *machine == own) {
+            if log
+                .state
+                .machines_at(Stage::Notified)
+                .any(|machine| *machine == own)
+            {
                 let next = if leader == "b0" { "b1" } else { "b0" };
                 world
                     .balancers
                     .iter_mut()
-                    .for_each(|one| one.leads = one.name == next);
+                    .for_each(|one| one.is_leader = one.name == next);
             }
             for what in due {
                 // One that is down already takes nothing away, so it may go below what has to stay.
                 let began = match &what {
                     CommandKind::Step {
-                        to: Stage::Told,
+                        to: Stage::Notified,
                         machine,
                         ..
                     } => Some(machine.clone()),
                     _ => None,
                 };
-                let began =
-                    began.filter(|machine| world.host(machine.name()).is_none_or(|host| host.up));
+                let began = began.filter(|machine| {
+                    world
+                        .host(machine.name())
+                        .is_none_or(|host| host.is_serving)
+                });
                 if log.settle(what).is_ok() {
                     steps += 1;
                     observer.hear(&log);
@@ -361,16 +377,16 @@
             .plans
             .iter()
             .flat_map(|plan| plan.machines.iter())
-            .filter(|row| !matches!(row.stage, Stage::Back | Stage::Skipped))
+            .filter(|row| !matches!(row.stage, Stage::Returned | Stage::Skipped))
             .map(|row| format!("{} {}", row.machine, row.stage.as_str()))
             .collect();
         // Danger: a plan that stands still for ever, with a host out.
         assert!(
             open.is_empty(),
             "seed {seed}: {open:?}, {:?}",
-            log.state.trouble()
+            log.state.fleet_fault()
         );
-        assert!(log.state.held().is_empty());
+        assert!(log.state.cordoned_hosts().is_empty());
         ended += plans.len();
         // Who was away and learns it by entries, or by a snapshot on the way, has the same.
         let mut other = Maintenance::default();
@@ -393,7 +409,8 @@
 fn a_command_that_stands_in_the_log_twice_is_done_once() {
     let mut log = Log::new();
     log.settle(CommandKind::Fleet(fleet(6, 2, 3))).unwrap();
-    log.settle(CommandKind::Post(plan(&["caches"], 1))).unwrap();
+    log.settle(CommandKind::Submit(plan(&["caches"], 1)))
+        .unwrap();
     let (index, term, bytes) = log.entries.last().unwrap().clone();
     log.state.apply(index + 1, term + 1, &bytes);
     assert_eq!(log.state.view().plans.len(), 1);
@@ -403,10 +420,10 @@
     log.settle(CommandKind::Fleet(less.clone())).unwrap();
     let seen = LeaderObservation {
         fleet: less,
-        me: "b0".to_string(),
+        leader: "b0".to_string(),
         ..LeaderObservation::default()
     };
-    let (due, _) = log.state.next_commands(&seen);
+    let due = log.state.next_commands(&seen).due;
     assert!(
         matches!(&due[..], [CommandKind::Step { machine, .. }] if machine.name() != "c00"),
         "{due:?}"
@@ -429,14 +446,16 @@
             machine: machine.clone(),
             entered,
             to,
-            by,
+            confirmed_by: by,
         }
     };
-    let refused = log.settle(step(entered + 7, Stage::Told, &[])).unwrap_err();
+    let refused = log
+        .settle(step(entered + 7, Stage::Notified, &[]))
+        .unwrap_err();
     assert!(refused.contains("since entry"), "{refused}");
-    let told = log.settle(step(entered, Stage::Told, &[])).unwrap();
+    let told = log.settle(step(entered, Stage::Notified, &[])).unwrap();
     let refused = log
-        .settle(step(told, Stage::Held, &["b0", "b2"]))
+        .settle(step(told, Stage::Draining, &["b0", "b2"]))
         .unwrap_err();
     assert!(refused.contains("b1 has not said so"), "{refused}");
     let member = "b1".to_string();
@@ -446,59 +465,63 @@
         member,
     })
     .unwrap();
-    let held = log.settle(step(told, Stage::Held, &["b0", "b2"])).unwrap();
+    let held = log
+        .settle(step(told, Stage::Draining, &["b0", "b2"]))
+        .unwrap();
     let out = log.settle(step(held, Stage::Out, &["b0", "b2"])).unwrap();
-    assert!(log.settle(step(out, Stage::Warming, &[])).is_err());
+    assert!(log.settle(step(out, Stage::WarmingUp, &[])).is_err());
     // Late is said, and nothing follows from it.
     let now_ms = (log.index + 700) * 100;
     let seen = LeaderObservation {
         fleet: log.state.fleet().clone(),
-        me: "b0".to_string(),
+        leader: "b0".to_string(),
         now_ms,
         ..LeaderObservation::default()
     };
-    let (due, waits) = log.state.next_commands(&seen);
+    let NextCommands { due, blocked } = log.state.next_commands(&seen);
     assert!(
         due.is_empty()
-            && waits
+            && blocked
                 .iter()
-                .any(|waits| waits.why.starts_with("late, 70 s of 60: work")),
-        "{waits:?}"
+                .any(|machine| machine.reason.starts_with("late, 70 s of 60: work")),
+        "{blocked:?}"
     );
     // Danger: given back by a drop, it would be used while somebody works on it.
     log.settle(CommandKind::Drop { plan }).unwrap();
-    assert_eq!(log.state.held().len(), 1);
+    assert_eq!(log.state.cordoned_hosts().len(), 1);
     log.settle(CommandKind::Done {
         plan,
         machine: machine.name().to_string(),
     })
     .unwrap();
-    assert!(log.state.held().is_empty());
+    assert!(log.state.cordoned_hosts().is_empty());
 }
 
 /// Danger: with two of four voters out, nothing could be settled any more, their way back neither.
 #[test]
 fn half_of_the_voters_are_no_majority() {
     let mut four = fleet(6, 2, 4);
-    four.balancers.iter_mut().for_each(|one| one.votes = true);
+    four.balancers
+        .iter_mut()
+        .for_each(|one| one.is_voter = true);
     let mut log = Log::new();
     log.settle(CommandKind::Fleet(four.clone())).unwrap();
     assert!(log
-        .settle(CommandKind::Post(plan(&["balancers"], 2)))
+        .settle(CommandKind::Submit(plan(&["balancers"], 2)))
         .unwrap_err()
         .contains("leave no majority"));
-    log.settle(CommandKind::Post(plan(&["balancers"], 1)))
+    log.settle(CommandKind::Submit(plan(&["balancers"], 1)))
         .unwrap();
     // One has left by itself: no other is taken.
-    four.balancers[3].there = false;
-    four.balancers[3].left = true;
+    four.balancers[3].is_present = false;
+    four.balancers[3].has_left = true;
     log.settle(CommandKind::Fleet(four.clone())).unwrap();
     let seen = LeaderObservation {
         fleet: four,
-        me: "b0".to_string(),
+        leader: "b0".to_string(),
         ..LeaderObservation::default()
     };
-    let (due, _) = log.state.next_commands(&seen);
+    let due = log.state.next_commands(&seen).due;
     assert!(
         due.iter().all(
             |what| !matches!(what, CommandKind::Step { machine, .. } if machine.name() != "b3")
--- a/crates/stairfront-maintenance/tests/stored_forms.rs
+++ b/crates/stairfront-maintenance/tests/stored_forms.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use stairfront_maintenance::{
-    AvailabilityBudget, Balancer, BlockedMachine, Command, CommandError, CommandKind, DoneBy,
+    AvailabilityBudget, Balancer, BlockedMachine, Command, CommandError, CommandKind, CompletedBy,
     Fleet, Host, Machine, Maintenance, Outcome, Plan, PlanError, Stage,
 };
 
@@ -17,22 +17,22 @@
     let host = |at: u64| Host {
         name: format!("c{at:02}"),
         zone: format!("z{}", at % 2),
-        group: 21 + at as u16,
-        up: at != 15,
-        born_ms: 5000 + at,
+        deduplication_group: 21 + at as u16,
+        is_serving: at != 15,
+        started_ms: 5000 + at,
     };
     let balancer = |at: u64| Balancer {
         name: format!("b{at}"),
-        there: at != 4,
-        left: at == 4,
-        votes: at < 3,
-        leads: at == 0,
-        run: 600 + at,
+        is_present: at != 4,
+        has_left: at == 4,
+        is_voter: at < 3,
+        is_leader: at == 0,
+        process_id: 600 + at,
     };
     Fleet {
         hosts: (0..16).map(host).collect(),
         balancers: (0..5).map(balancer).collect(),
-        trouble: None,
+        fault: None,
     }
 }
 
@@ -41,16 +41,16 @@
         machines: texts(machines),
         zones: texts(zones),
         kinds: texts(kinds),
-        at_once: 6,
-        stay: AvailabilityBudget {
+        max_out: 6,
+        availability: AvailabilityBudget {
             zone: 0.125,
-            whole: 0.25,
+            fleet: 0.25,
         },
-        done: DoneBy::Operator,
-        confirm_s: 61,
-        quiet_s: 62,
-        work_s: 63,
-        warm_s: 64,
+        completed_by: CompletedBy::Operator,
+        confirm_timeout_s: 61,
+        drain_timeout_s: 62,
+        work_timeout_s: 63,
+        warm_up_timeout_s: 64,
         reason: "new disks".to_string(),
         author: "ann".to_string(),
     }
@@ -63,19 +63,19 @@
         (
             "fleet",
             CommandKind::Fleet(Fleet {
-                trouble: Some("queues grow".to_string()),
+                fault: Some("queues grow".to_string()),
                 ..fleet()
             }),
         ),
         ("fleet without trouble", CommandKind::Fleet(fleet())),
         (
             "plan",
-            CommandKind::Post(plan(&["c01"], &["z0"], &["caches", "balancers"])),
+            CommandKind::Submit(plan(&["c01"], &["z0"], &["caches", "balancers"])),
         ),
         (
             "plan by restarts",
-            CommandKind::Post(Plan {
-                done: DoneBy::Restart,
+            CommandKind::Submit(Plan {
+                completed_by: CompletedBy::Restart,
                 ..plan(&["b3"], &[], &[])
             }),
         ),
@@ -83,7 +83,7 @@
             "hold",
             CommandKind::Hold {
                 plan: 81,
-                why: "lunch".to_string(),
+                reason: "lunch".to_string(),
             },
         ),
         ("resume", CommandKind::Resume { plan: 82 }),
@@ -117,17 +117,17 @@
                 machine: Machine::Balancer("b2".to_string()),
                 entered: 88,
                 to: Stage::Out,
-                by: Vec::new(),
+                confirmed_by: Vec::new(),
             },
         ),
     ];
     let stages = [
         ("step to the first stage", Stage::Waiting),
-        ("step to the second stage", Stage::Told),
-        ("step to the third stage", Stage::Held),
+        ("step to the second stage", Stage::Notified),
+        ("step to the third stage", Stage::Draining),
         ("step to the fourth stage", Stage::Out),
-        ("step to the fifth stage", Stage::Warming),
-        ("step to the sixth stage", Stage::Back),
+        ("step to the fifth stage", Stage::WarmingUp),
+        ("step to the sixth stage", Stage::Returned),
         ("step to the seventh stage", Stage::Skipped),
     ];
     cases.extend(stages.map(|(label, to)| {
@@ -138,7 +138,7 @@
                 machine: cache(),
                 entered: 90,
                 to,
-                by: texts(&["b0", "b1"]),
+                confirmed_by: texts(&["b0", "b1"]),
             },
         )
     }));
@@ -159,7 +159,7 @@
                     term: 3000 + at,
                     via,
                     author,
-                    what,
+                    kind: what,
                 },
             )
         })
@@ -167,7 +167,7 @@
     golden::postcard("commands.hex", &cases);
     for (label, command) in &cases {
         assert_eq!(
-            command.write(),
+            command.encode(),
             postcard::to_stdvec(command).unwrap(),
             "{label}"
         );
@@ -177,7 +177,7 @@
 fn outcomes() -> Vec<(&'static str, Outcome)> {
     let fault = PlanError {
         key: "at_once".to_string(),
-        problem: "must be 1 at least".to_string(),
+        message: "must be 1 at least".to_string(),
     };
     let results = vec![
         ("carried out", Ok(91)),
@@ -204,7 +204,10 @@
         ),
         (
             "old term",
-            Err(CommandError::OldTerm { given: 95, now: 96 }),
+            Err(CommandError::OldTerm {
+                given: 95,
+                committed: 96,
+            }),
         ),
         (
             "changed",
@@ -259,9 +262,12 @@
             term,
             via: "b3".to_string(),
             author: "bob".to_string(),
-            what,
+            kind: what,
         };
-        assert_eq!(self.state.apply(self.index, 17, &command.write()), Some(id));
+        assert_eq!(
+            self.state.apply(self.index, 17, &command.encode()),
+            Some(id)
+        );
         self.state.outcome(id).unwrap().result.clone()
     }
 
@@ -274,7 +280,7 @@
             machine: machine.clone(),
             entered,
             to,
-            by,
+            confirmed_by: by,
         })?;
         self.entered.insert(key, index);
         Ok(index)
@@ -284,7 +290,7 @@
     fn take(&mut self, plan: u64, machines: &[&str], stages: &[Stage]) -> String {
         let next = machines.iter().find(|name| {
             let machine = Machine::Cache(name.to_string());
-            self.step(plan, &machine, Stage::Told).is_ok()
+            self.step(plan, &machine, Stage::Notified).is_ok()
         });
         let next = next.expect("one of them may be taken").to_string();
         for stage in stages {
@@ -305,7 +311,7 @@
     let s = &mut script;
     s.say(CommandKind::Fleet(fleet())).unwrap();
     let first = ["c00", "c01", "c02", "c03", "c04", "c05", "c06", "c07"];
-    let one = s.say(CommandKind::Post(plan(&first, &[], &[]))).unwrap();
+    let one = s.say(CommandKind::Submit(plan(&first, &[], &[]))).unwrap();
     let done = |machine: &str| CommandKind::Done {
         plan: one,
         machine: machine.to_string(),
@@ -316,14 +322,14 @@
         member: member.to_string(),
     };
     // The first ends in use, the second on its way to it.
-    let name = s.take(one, &first, &[Stage::Held, Stage::Out]);
+    let name = s.take(one, &first, &[Stage::Draining, Stage::Out]);
     let index = s.say(done(&name)).unwrap();
     s.entered.insert((one, name.clone()), index);
-    s.step(one, &Machine::Cache(name), Stage::Back).unwrap();
-    let name = s.take(one, &first, &[Stage::Held, Stage::Out]);
+    s.step(one, &Machine::Cache(name), Stage::Returned).unwrap();
+    let name = s.take(one, &first, &[Stage::Draining, Stage::Out]);
     s.say(done(&name)).unwrap();
-    s.take(one, &first, &[Stage::Held, Stage::Out]);
-    let name = s.take(one, &first, &[Stage::Held]);
+    s.take(one, &first, &[Stage::Draining, Stage::Out]);
+    let name = s.take(one, &first, &[Stage::Draining]);
     s.say(force(&name, "b2")).unwrap();
     let name = s.take(one, &first, &[]);
     s.say(force(&name, "b1")).unwrap();
@@ -341,27 +347,27 @@
     .unwrap();
 
     let second = Plan {
-        at_once: 1,
-        done: DoneBy::Restart,
+        max_out: 1,
+        completed_by: CompletedBy::Restart,
         ..plan(&["b3"], &["z1"], &[])
     };
-    let two = s.say(CommandKind::Post(second)).unwrap();
+    let two = s.say(CommandKind::Submit(second)).unwrap();
     s.say(CommandKind::Hold {
         plan: two,
-        why: "lunch".to_string(),
+        reason: "lunch".to_string(),
     })
     .unwrap();
     let third = ["c08", "c10", "c12"];
     let three = s
-        .say(CommandKind::Post(Plan {
-            at_once: 2,
+        .say(CommandKind::Submit(Plan {
+            max_out: 2,
             ..plan(&third, &[], &[])
         }))
         .unwrap();
-    s.take(three, &third, &[Stage::Held]);
+    s.take(three, &third, &[Stage::Draining]);
     s.say(CommandKind::Drop { plan: three }).unwrap();
-    let four = s.say(CommandKind::Post(plan(&["b3"], &[], &[]))).unwrap();
-    for stage in [Stage::Told, Stage::Held, Stage::Out] {
+    let four = s.say(CommandKind::Submit(plan(&["b3"], &[], &[]))).unwrap();
+    for stage in [Stage::Notified, Stage::Draining, Stage::Out] {
         s.step(four, &Machine::Balancer("b3".to_string()), stage)
             .unwrap();
     }
@@ -369,7 +375,7 @@
     assert_eq!(s.state.apply(s.index + 1, 17, &[255]), None);
     s.index += 1;
     s.say(CommandKind::Fleet(Fleet {
-        trouble: Some("queues grow".to_string()),
+        fault: Some("queues grow".to_string()),
         ..fleet()
     }))
     .unwrap();
@@ -379,9 +385,11 @@
         "waiting", "told", "held", "out", "warming", "back", "skipped",
     ];
     assert!(
-        stages.iter().all(|stage| state.count().contains_key(stage)),
+        stages
+            .iter()
+            .all(|stage| state.count_by_stage().contains_key(stage)),
         "{:?}",
-        state.count()
+        state.count_by_stage()
     );
     state
 }
@@ -404,7 +412,7 @@
 #[test]
 fn plans_as_posted() {
     let restart = Plan {
-        done: DoneBy::Restart,
+        completed_by: CompletedBy::Restart,
         ..plan(&["b3"], &[], &[])
     };
     golden::json(
@@ -418,15 +426,15 @@
     let few: Plan =
         serde_json::from_str(r#"{"reason":"new disks","author":"ann","stay":{}}"#).unwrap();
     let whole = Plan {
-        at_once: 1,
-        stay: AvailabilityBudget {
+        max_out: 1,
+        availability: AvailabilityBudget {
             zone: 0.5,
-            whole: 0.66,
+            fleet: 0.66,
         },
-        confirm_s: 60,
-        quiet_s: 60,
-        work_s: 3600,
-        warm_s: 60,
+        confirm_timeout_s: 60,
+        drain_timeout_s: 60,
+        work_timeout_s: 3600,
+        warm_up_timeout_s: 60,
         ..plan(&[], &[], &[])
     };
     assert_eq!(few, whole);
@@ -441,7 +449,7 @@
     let waits = BlockedMachine {
         plan: 97,
         machine: "c07".to_string(),
-        why: "not its turn".to_string(),
+        reason: "not its turn".to_string(),
     };
     golden::json("machines_and_waits.json", &(machines, waits));
 }
