--- a/crates/stairfront-maintenance/src/execute.rs
+++ b/crates/stairfront-maintenance/src/execute.rs
@@ -1,4 +1,4 @@
-//! What each command does to the agreed state.
+//! The effect of each command on the agreed state.
 use crate::command::{Command, CommandError, CommandKind};
 use crate::machine_record::{EntryStamp, MachineRecord, PlanRecord};
 use crate::maintenance::Maintenance;
@@ -13,6 +13,7 @@
 const MAX_HISTORY: usize = 512;
 
 impl Maintenance {
+    /// Applies a command, and returns the index of its entry.
     pub(crate) fn execute(
         &mut self,
         index: u64,
@@ -33,12 +34,31 @@
                 committed: term,
             });
         }
-        let stamp = EntryStamp { index, at_ms };
+        let change = self.change(EntryStamp { index, at_ms }, via, kind)?;
+        if let Some(text) = change {
+            self.add_history(HistoryEntry {
+                index,
+                term,
+                at_ms,
+                author,
+                text,
+            });
+        }
+        Ok(index)
+    }
+
+    /// Changes the state, and returns the text for the history; none for facts, which change often and are of no interest to
+    /// people.
+    fn change(
+        &mut self,
+        stamp: EntryStamp,
+        via: String,
+        kind: CommandKind,
+    ) -> Result<Option<String>, CommandError> {
         let text = match kind {
             CommandKind::Fleet(fleet) => {
-                // Facts change often and are of no interest to people: they have no place in the history.
                 self.fleet = fleet;
-                return Ok(index);
+                return Ok(None);
             }
             CommandKind::Step {
                 plan,
@@ -46,16 +66,16 @@
                 entered,
                 to,
                 confirmed_by,
-            } => self.apply_step(
-                stamp,
-                &Step {
+            } => {
+                let step = Step {
                     plan,
                     machine,
                     entered,
                     to,
                     confirmed_by,
-                },
-            )?,
+                };
+                self.apply_step(stamp, &step)?
+            }
             CommandKind::Submit(plan) => self.submit(stamp, plan, via)?,
             CommandKind::Hold { plan, reason } => self.hold(plan, reason)?,
             CommandKind::Resume { plan } => self.resume(plan)?,
@@ -68,14 +88,7 @@
                 member,
             } => self.force(plan, machine, member)?,
         };
-        self.add_history(HistoryEntry {
-            index,
-            term,
-            at_ms,
-            author,
-            text,
-        });
-        Ok(index)
+        Ok(Some(text))
     }
 
     fn add_history(&mut self, entry: HistoryEntry) {
--- a/crates/stairfront-maintenance/src/leader.rs
+++ b/crates/stairfront-maintenance/src/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader makes of its observations: the steps that are due, and why the others are not.
+//! The steps that are due by the observations of the leader, and why the others are not.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
     pub notified: u64,
 }
 
-/// What the leader has observed.
+/// The observations of the leader.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderObservation {
     /// The fleet as it sees it.
@@ -48,7 +48,7 @@
     pub reason: String,
 }
 
-/// What the leader has to propose, and what it may not.
+/// The commands that the leader has to propose, and the steps that it may not.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NextCommands {
     /// Commands that are due.
--- a/crates/stairfront-maintenance/src/lib.rs
+++ b/crates/stairfront-maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Plans of maintenance that take machines out of service in an agreed order.
 //!
 //! Agreed commands ([`Command`]) are applied one after the other, in the same order at each member; which machines are out
-//! and which may come next follows from them ([`Maintenance`]). What the leader observes of the fleet becomes commands here
+//! and which may come next follows from them ([`Maintenance`]). The leader's observations of the fleet become commands here
 //! too ([`LeaderObservation`]). The crate opens no socket and reads no clock.
 //!
 //! It owns the plans, their history and the facts that they rest on. The cordons that keep a host out of service belong to
--- a/crates/stairfront-maintenance/src/machine_record.rs
+++ b/crates/stairfront-maintenance/src/machine_record.rs
@@ -1,4 +1,4 @@
-//! What the agreed state keeps of each plan and of each machine in it.
+//! The records of plans and of their machines in the agreed state.
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
--- a/crates/stairfront-maintenance/src/plan.rs
+++ b/crates/stairfront-maintenance/src/plan.rs
@@ -83,7 +83,7 @@
     /// Machines of this plan that may be out at once.
     #[serde(rename = "at_once", default = "one_machine")]
     pub max_out: u32,
-    /// What must stay in service.
+    /// Fractions that must stay in service.
     #[serde(rename = "stay", default)]
     pub availability: AvailabilityBudget,
     /// Who tells that the work on a machine is done.
@@ -125,7 +125,7 @@
 pub struct PlanError {
     /// The key, with a position where it is a list.
     pub key: String,
-    /// What is wrong with its value.
+    /// The fault of its value.
     #[serde(rename = "problem")]
     pub message: String,
 }
--- a/crates/stairfront-maintenance/src/view.rs
+++ b/crates/stairfront-maintenance/src/view.rs
@@ -18,7 +18,7 @@
     pub at_ms: u64,
     /// Who asked for it.
     pub author: String,
-    /// What changed.
+    /// The change.
     pub text: String,
 }
 
