--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -78,7 +78,7 @@
 
 /// What members say to each other beside the agreement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Aside {
+pub enum Aside {
     /// Is anything open at this host, that is held since that entry?
     IsQuiet {
         host: String,
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -1,7 +1,6 @@
 //! What a balancer stores, leaves to its successor and tells operators, as it was pinned. Names in the program may
 //! change; these texts may not, since other builds, scripts and people read them.
 mod common;
-mod golden;
 
 use std::path::Path;
 
@@ -14,7 +13,7 @@
 use stairfront_balancer::counters::Counters;
 use stairfront_balancer::handover_socket;
 use stairfront_balancer::handover_state::HandoverState;
-use stairfront_balancer::maintenance::{DryRun, Settled, Shown};
+use stairfront_balancer::maintenance::{Aside, DryRun, Settled, Shown};
 use stairfront_maintenance::Balancer as FleetBalancer;
 use stairfront_maintenance::{
     AvailabilityBudget, BlockedMachine, Command, CommandKind, DoneBy, Fleet, Host, Maintenance,
@@ -23,11 +22,16 @@
 use stairfront_membership_agent::{MemberState, QuorumStatus, Report};
 use stairfront_policy::interface::PolicySnapshot;
 use stairfront_raft_node::Status;
+use stairfront_test_support::golden::GoldenFiles;
 use tokio::net::TcpListener;
 
+fn golden_files() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
 /// Written as pinned; the pinned text, read.
 fn through<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> T {
-    let pinned = golden::same(name, &serde_json::to_vec(value).unwrap());
+    let pinned = golden_files().assert_bytes(name, &serde_json::to_vec(value).unwrap());
     serde_json::from_slice(&pinned).unwrap_or_else(|problem| panic!("{name}: {problem}"))
 }
 
@@ -55,7 +59,7 @@
 #[test]
 fn the_handover_socket_has_the_pinned_name() {
     let path = handover_socket::path(Path::new("/run/stairfront"), "b-7");
-    golden::same("socket.txt", format!("{}\n", path.display()).as_bytes());
+    golden_files().assert_bytes("socket.txt", format!("{}\n", path.display()).as_bytes());
 }
 
 /// The name of the record of cordons, and its text in the next line.
@@ -72,7 +76,8 @@
     assert_eq!(files.len(), 1, "{files:?}");
     let name = files[0].file_name().unwrap().to_str().unwrap();
     let now = format!("{name}\n{}", std::fs::read_to_string(&files[0]).unwrap());
-    let pinned = String::from_utf8(golden::same("cordons.txt", now.as_bytes())).unwrap();
+    let pinned =
+        String::from_utf8(golden_files().assert_bytes("cordons.txt", now.as_bytes())).unwrap();
     std::fs::write(&files[0], pinned.split_once('\n').unwrap().1).unwrap();
     assert_eq!(
         CordonRecord::within(Some(folder.path()), "b-7").read(),
@@ -102,7 +107,7 @@
     assert!(
         shown.starts_with("taken_in:3\r\n") && shown.ends_with("server_connections_surplus:4\r\n")
     );
-    golden::same("counters.txt", names(&shown).as_bytes());
+    golden_files().assert_bytes("counters.txt", names(&shown).as_bytes());
 }
 
 /// The answer to `INFO` of a balancer in no group.
@@ -114,7 +119,7 @@
         let balancer = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
         let said = balancer.client().await.ask(&["INFO"]).await;
         let (_, info) = said.split_once("\r\n").unwrap();
-        golden::same("info.txt", names(info).as_bytes());
+        golden_files().assert_bytes("info.txt", names(info).as_bytes());
     });
 }
 
@@ -148,7 +153,7 @@
                 whole.replace("\r\n", "\n")
             ));
         }
-        golden::same("pages.txt", pages.as_bytes());
+        golden_files().assert_bytes("pages.txt", pages.as_bytes());
     });
 }
 
@@ -405,3 +410,33 @@
     let both = (settled, dry_run);
     assert_eq!(through("answers.json", &both), both);
 }
+
+/// Members of a group exchange these by postcard, beside the Raft messages: builds before and after must read each other.
+#[test]
+fn side_messages_between_members_have_the_pinned_form() {
+    let host = || text("s-7");
+    let blocked = BlockedMachine {
+        plan: 300,
+        machine: text("s-7"),
+        why: text("not quiet at b-2"),
+    };
+    let cases = [
+        (
+            "is quiet",
+            Aside::IsQuiet {
+                host: host(),
+                told: 129,
+            },
+        ),
+        (
+            "quiet",
+            Aside::Quiet {
+                host: host(),
+                told: u64::MAX,
+            },
+        ),
+        ("no waits", Aside::Waits(Vec::new())),
+        ("waits", Aside::Waits(vec![blocked])),
+    ];
+    golden_files().assert_postcard("side_messages.hex", &cases);
+}
