--- /dev/null
+++ b/crates/stairfront-balancer/src/client/mod.rs
@@ -0,0 +1,1 @@
+pub mod server;
--- a/crates/stairfront-balancer/src/clients.rs
+++ b/crates/stairfront-balancer/src/client/server.rs
@@ -23,17 +23,17 @@
 use tracing::{debug, warn};
 
 use crate::clock::{sleep, sleep_until, timeout, timeout_at, Instant};
+use crate::configuration::limits::{large_patience, patience, MAX_SPARE_CONNECTIONS};
 use crate::counters::Counters;
-use crate::handover::{Handed, Link, MOST_UNREAD};
-use crate::limits::{large_patience, patience, MOST_SPARE};
-use crate::messages::{Answer, Arrival, Given, Input, Piece};
-use crate::shutdown::Phase;
-use crate::stages::take_in::{self, Intake, Taken};
+use crate::lifecycle::handover::{HandedOverConnection, HandoverChannel, MAX_UNREAD_BYTES};
+use crate::lifecycle::shutdown::Phase;
+use crate::messages::{Answer, Arrival, BodyChunk, EngineEvent, FinalAnswer};
+use crate::stages::parse::{self, Accepted, RequestParser};
 use crate::transport::{Listener, Stream, Unread};
 
 /// Commands of one connection that may be open at once; reading waits beyond that. Few, so that one client that sends
 /// hundreds at once does not fill the servers.
-const MOST_OPEN: usize = 16;
+const MAX_OPEN: usize = 16;
 /// A client may take 2 s for the head of a command, and one that has brought no whole command must be closed or told
 /// within 3 s.
 const SILENT_LIMIT: Duration = Duration::from_millis(2700);
@@ -63,24 +63,24 @@
 const READ_BUFFER: usize = 1024;
 /// Below this part of free places a new connection has one that stands idle close ahead of need: some clients ask once
 /// and keep their connection for good.
-const FEW_PLACES: usize = 4;
+const LOW_CAPACITY_DIVISOR: usize = 4;
 /// Pause after an accept that failed for want of descriptors or memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// What all client connections share; all of it lives on the one thread.
-pub struct Context {
-    pub inbox: mpsc::Sender<Input>,
-    pub intake: Intake,
+pub struct ClientContext {
+    pub inbox: mpsc::Sender<EngineEvent>,
+    pub intake: RequestParser,
     pub counters: Rc<Counters>,
     pub phase: watch::Receiver<Phase>,
     /// Rung to have a connection that nobody uses close.
-    pub crowd: Crowd,
+    pub crowd: ConnectionPressure,
     /// Places of client connections that are free.
     pub places: Arc<Semaphore>,
     /// Places that the old process keeps until it hands over their connections or ends.
     pub elsewhere: Cell<usize>,
     /// The process that takes over, once there is one.
-    pub successor: Rc<Link>,
+    pub successor: Rc<HandoverChannel>,
     /// For commands that are not whole yet.
     pub budget: Rc<Budget>,
     /// The same for those with a large value.
@@ -88,7 +88,7 @@
     pub next_id: Cell<u32>,
 }
 
-impl Context {
+impl ClientContext {
     fn new_id(&self) -> RequestId {
         let id = self.next_id.get();
         self.next_id.set(id.wrapping_add(1));
@@ -99,14 +99,14 @@
 /// The connections that can make room. Those that have brought no command go first, then the one idle longest: waiters
 /// are woken in the order in which they came.
 #[derive(Default)]
-pub struct Crowd {
+pub struct ConnectionPressure {
     silent: Notify,
     idle: Notify,
     /// How many wait for the first bell.
     silents: Rc<Cell<usize>>,
 }
 
-impl Crowd {
+impl ConnectionPressure {
     fn ring(&self) {
         let bell = if self.silents.get() > 0 {
             &self.silent
@@ -128,7 +128,7 @@
 struct Silent(Rc<Cell<usize>>);
 
 impl Silent {
-    fn new(crowd: &Crowd) -> Self {
+    fn new(crowd: &ConnectionPressure) -> Self {
         crowd.silents.set(crowd.silents.get() + 1);
         Silent(Rc::clone(&crowd.silents))
     }
@@ -157,14 +157,14 @@
 #[allow(dead_code)]
 enum Hold {
     Permit(OwnedSemaphorePermit),
-    Brought(Brought),
+    InheritedPermit(InheritedPermit),
 }
 
 /// A place that a connection has brought from the old process, and leaves here when it ends. Danger: it would wait behind
 /// new connections for a place that was its own, and its client with it.
-struct Brought(Arc<Semaphore>);
+struct InheritedPermit(Arc<Semaphore>);
 
-impl Drop for Brought {
+impl Drop for InheritedPermit {
     fn drop(&mut self) {
         self.0.add_permits(1);
     }
@@ -172,15 +172,15 @@
 
 /// Takes connections from the old process for as long as any come.
 async fn adopt<T: Stream>(
-    mut handed: mpsc::Receiver<Handed>,
-    context: Rc<Context>,
+    mut handed: mpsc::Receiver<HandedOverConnection>,
+    context: Rc<ClientContext>,
     tasks: TaskTracker,
 ) {
     while let Some(one) = handed.recv().await {
         let hold = match context.elsewhere.get().checked_sub(1) {
             Some(left) => {
                 context.elsewhere.set(left);
-                Hold::Brought(Brought(Arc::clone(&context.places)))
+                Hold::InheritedPermit(InheritedPermit(Arc::clone(&context.places)))
             }
             // Accepted there after the count was told.
             None => match Arc::clone(&context.places).acquire_owned().await {
@@ -188,7 +188,7 @@
                 Err(_) => return,
             },
         };
-        match Came::<T>::adopt(one) {
+        match AcceptedConnection::<T>::adopt(one) {
             Ok(came) => {
                 let place = Slot {
                     spare: false,
@@ -207,13 +207,13 @@
 /// from the process that this one takes over from.
 pub async fn serve<L: Listener>(
     listener: L,
-    context: Rc<Context>,
+    context: Rc<ClientContext>,
     most: usize,
-    handed: mpsc::Receiver<Handed>,
+    handed: mpsc::Receiver<HandedOverConnection>,
 ) {
     let (places, spares) = (
         Arc::clone(&context.places),
-        Arc::new(Semaphore::new(MOST_SPARE)),
+        Arc::new(Semaphore::new(MAX_SPARE_CONNECTIONS)),
     );
     let tasks = TaskTracker::new();
     let mut phase = context.phase.clone();
@@ -227,14 +227,16 @@
     while !phase.borrow().hands_over() {
         let accepted = tokio::select! {
             biased;
-            accepted = listener.accept() => accepted.map(Came::new),
+            accepted = listener.accept() => accepted.map(AcceptedConnection::new),
             _ = phase.wait_for(|phase| phase.listener_closed()) => break,
         };
         match accepted {
             Ok(came) => {
                 context.counters.client_connections_accepted.add();
                 // Those that the old process keeps come back soon.
-                if places.available_permits() + context.elsewhere.get() < most / FEW_PLACES {
+                if places.available_permits() + context.elsewhere.get()
+                    < most / LOW_CAPACITY_DIVISOR
+                {
                     context.crowd.ring();
                     context.crowd.take_back();
                 }
@@ -261,28 +263,28 @@
 }
 
 /// A connection that has come, and what has been read from it elsewhere.
-struct Came<T> {
+struct AcceptedConnection<T> {
     socket: T,
     used: bool,
     unread: Vec<u8>,
 }
 
-impl<T: Stream> Came<T> {
+impl<T: Stream> AcceptedConnection<T> {
     fn new(socket: T) -> Self {
-        Came {
+        AcceptedConnection {
             socket,
             used: false,
             unread: Vec::new(),
         }
     }
 
-    fn adopt(handed: Handed) -> io::Result<Self> {
-        let Handed {
+    fn adopt(handed: HandedOverConnection) -> io::Result<Self> {
+        let HandedOverConnection {
             socket,
             used,
             unread,
         } = handed;
-        Ok(Came {
+        Ok(AcceptedConnection {
             socket: T::adopt(socket)?,
             used,
             unread,
@@ -295,7 +297,7 @@
 async fn take_place(
     places: &Arc<Semaphore>,
     spares: &Arc<Semaphore>,
-    crowd: &Crowd,
+    crowd: &ConnectionPressure,
     patience: Duration,
 ) -> Result<Slot, AcquireError> {
     let own = |permit| Slot {
@@ -321,20 +323,20 @@
 }
 
 /// An answer owed, in the order of the commands.
-enum Owed {
+enum PendingReply {
     Ready(Answer),
-    Awaited(Awaited),
+    InFlight(InFlightReply),
 }
 
 /// A request that is on its way through the balancer for as long as this lives. Danger: word of its client's end waits
 /// behind whatever else the engine is told; the flag stops what has not begun wherever it is.
-struct Awaited {
+struct InFlightReply {
     id: RequestId,
-    answer: oneshot::Receiver<Given>,
+    answer: oneshot::Receiver<FinalAnswer>,
     over: Rc<Cell<bool>>,
 }
 
-impl Drop for Awaited {
+impl Drop for InFlightReply {
     fn drop(&mut self) {
         self.over.set(true);
     }
@@ -383,13 +385,13 @@
 
 struct Connection<T: Stream> {
     wire: Framed<T, ClientCodec>,
-    context: Rc<Context>,
-    owed: VecDeque<Owed>,
+    context: Rc<ClientContext>,
+    owed: VecDeque<PendingReply>,
     /// No command is read any more: what is owed goes out, then the connection ends so.
-    last: Option<End>,
+    last: Option<ConnectionEnd>,
     /// Closes as soon as it is sure that no command has come.
-    leaving: Option<Leaving>,
-    standing: Standing,
+    leaving: Option<CloseReason>,
+    standing: ConnectionState,
     /// When it came, or had its last command or answer.
     quiet_since: Instant,
     /// Since when a command has been known to be incomplete.
@@ -408,7 +410,7 @@
 }
 
 /// What a connection has brought so far.
-enum Standing {
+enum ConnectionState {
     New,
     Silent(#[allow(dead_code)] Silent),
     Used,
@@ -416,7 +418,7 @@
 
 /// What a connection that is to close still waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Leaving {
+enum CloseReason {
     /// For the rest of a command that has begun to come.
     Whole,
     /// For nothing that is not there yet.
@@ -425,7 +427,7 @@
 
 /// How a connection ends.
 #[derive(Clone, Copy)]
-enum End {
+enum ConnectionEnd {
     /// Between requests, to make room or for standing idle.
     Closed,
     /// Between requests after an answer, because the process ends.
@@ -438,11 +440,15 @@
     HandedOver,
 }
 
-async fn run_connection<T: Stream>(came: Came<T>, context: Rc<Context>, place: Slot) {
+async fn run_connection<T: Stream>(
+    came: AcceptedConnection<T>,
+    context: Rc<ClientContext>,
+    place: Slot,
+) {
     context.counters.client_connections_open.add();
     let mut connection = Connection::new(came, Rc::clone(&context), place);
     let mut end = connection.run().await;
-    while matches!(end, End::HandedOver) {
+    while matches!(end, ConnectionEnd::HandedOver) {
         match hand_over(connection).await {
             Ok(place) => {
                 context.counters.client_connections_open.sub();
@@ -457,12 +463,12 @@
     match end {
         // Nothing is unread and its last answer is old, or nothing was ever said on it: where a request crosses the close
         // the reset tells the client that it was not read.
-        End::Closed => {}
+        ConnectionEnd::Closed => {}
         // Danger: closed over unread bytes it is reset, and the answer that its client has not read yet is gone.
-        End::Stopped => connection.linger(STOP_LINGER).await,
-        End::Said => connection.linger(LINGER).await,
-        End::Gone => connection.abandon().await,
-        End::HandedOver => {}
+        ConnectionEnd::Stopped => connection.linger(STOP_LINGER).await,
+        ConnectionEnd::Said => connection.linger(LINGER).await,
+        ConnectionEnd::Gone => connection.abandon().await,
+        ConnectionEnd::HandedOver => {}
     }
     // The socket goes first, then its place.
     let Connection { wire, place, .. } = connection;
@@ -482,12 +488,12 @@
         answered,
         ..
     } = connection;
-    let used = matches!(standing, Standing::Used);
+    let used = matches!(standing, ConnectionState::Used);
     let FramedParts { io, read_buf, .. } = wire.into_parts();
     let Ok(socket) = io.release() else {
         return Err(None);
     };
-    let handed = Handed {
+    let handed = HandedOverConnection {
         socket,
         used,
         unread: read_buf.to_vec(),
@@ -501,7 +507,7 @@
             warn!(
                 "a connection could not be handed over, and is served to its end here: {problem}"
             );
-            let came = Came::<T>::adopt(handed).map_err(|_| None)?;
+            let came = AcceptedConnection::<T>::adopt(handed).map_err(|_| None)?;
             let kept = Connection::new(came, context, place);
             Err(Some(Connection {
                 stays: true,
@@ -513,8 +519,8 @@
 }
 
 impl<T: Stream> Connection<T> {
-    fn new(came: Came<T>, context: Rc<Context>, place: Slot) -> Self {
-        let Came {
+    fn new(came: AcceptedConnection<T>, context: Rc<ClientContext>, place: Slot) -> Self {
+        let AcceptedConnection {
             socket,
             used,
             unread,
@@ -531,7 +537,11 @@
             owed: VecDeque::new(),
             last: None,
             leaving: None,
-            standing: if used { Standing::Used } else { Standing::New },
+            standing: if used {
+                ConnectionState::Used
+            } else {
+                ConnectionState::New
+            },
             quiet_since: Instant::now(),
             half_since: None,
             half_read: 0,
@@ -543,7 +553,7 @@
         }
     }
 
-    async fn run(&mut self) -> End {
+    async fn run(&mut self) -> ConnectionEnd {
         let context = Rc::clone(&self.context);
         let (mut phase, mut last) = (context.phase.clone(), context.phase.clone());
         let mut handover = context.phase.clone();
@@ -554,28 +564,28 @@
                 return end;
             }
             if self.write_ready(None).await.is_err() {
-                return End::Gone;
+                return ConnectionEnd::Gone;
             }
             let idle = self.owed.is_empty();
             if let (true, Some(end)) = (idle, self.last) {
                 return end;
             }
             let (used, spare) = (
-                matches!(self.standing, Standing::Used),
+                matches!(self.standing, ConnectionState::Used),
                 self.spare_until.is_some(),
             );
             let handing = !self.stays && phase.borrow().hands_over();
             if self.stays && idle && self.leaving.is_none() {
-                self.leaving = Some(Leaving::Whole);
+                self.leaving = Some(CloseReason::Whole);
             }
-            let movable = self.wire.read_buffer().len() <= MOST_UNREAD;
+            let movable = self.wire.read_buffer().len() <= MAX_UNREAD_BYTES;
             if handing && idle && movable {
-                return End::HandedOver;
+                return ConnectionEnd::HandedOver;
             }
             // What has not been read the successor reads; of a command that is too large to move, the rest.
             let waiting = self.waits_for_room();
             let reading = self.last.is_none()
-                && self.owed.len() < MOST_OPEN
+                && self.owed.len() < MAX_OPEN
                 && !(handing && movable)
                 && !waiting;
             // Read from, a connection tells its end by itself.
@@ -586,7 +596,7 @@
             // A command that has begun to come is not cut off, up to the end of its time.
             let whole = self.wire.read_buffer().is_empty();
             let leaving =
-                idle && (self.leaving == Some(Leaving::Cut) || self.leaving.is_some() && whole);
+                idle && (self.leaving == Some(CloseReason::Cut) || self.leaving.is_some() && whole);
             let staying = idle && self.leaving.is_none();
             let quiet_until = self.quiet_until();
             tokio::select! {
@@ -599,12 +609,12 @@
                 given = next_answer(&mut self.owed), if !idle => {
                     self.owed.pop_front();
                     if self.write_ready(Some(given)).await.is_err() {
-                        return End::Gone;
+                        return ConnectionEnd::Gone;
                     }
                 }
                 () = sleep(DEPARTURE_LOOK), if watched => {
                     if self.wire.get_ref().has_ended() {
-                        return End::Gone;
+                        return ConnectionEnd::Gone;
                     }
                 }
                 // What its client has not sent yet stays with it.
@@ -618,18 +628,18 @@
                 }
                 // A spare one has no place to give.
                 () = context.crowd.idle.notified(), if staying && used && !spare => {
-                    self.leaving = Some(Leaving::Whole);
+                    self.leaving = Some(CloseReason::Whole);
                 }
                 // One that has begun a command is on its way to be used.
                 () = context.crowd.silent.notified(), if staying && !spare && whole
-                    && matches!(self.standing, Standing::Silent(_)) => {
-                    self.leaving = Some(Leaving::Cut);
+                    && matches!(self.standing, ConnectionState::Silent(_)) => {
+                    self.leaving = Some(CloseReason::Cut);
                 }
                 () = sleep_until(quiet_until), if staying || idle && self.stays && !whole && !leaving => self.out_of_time(),
                 _ = handover.wait_for(|phase| phase.hands_over()), if !handing && !self.stays => {}
                 // Between requests a connection is closed when the balancer stops; what came before is read first.
                 // Danger: a new one whose request is on its way would be closed in its face, so it has a while.
-                _ = phase.wait_for(|phase| phase.closes_idle(used)), if staying => self.leaving = Some(Leaving::Whole),
+                _ = phase.wait_for(|phase| phase.closes_idle(used)), if staying => self.leaving = Some(CloseReason::Whole),
                 // Danger: a client that always has one more command out, or half of one, would keep the balancer
                 // from ending.
                 _ = last.wait_for(|phase| *phase == Phase::Last), if self.last.is_none() => {
@@ -641,9 +651,9 @@
 
     /// Danger: whatever comes between the last look at the socket and the end of this side crosses it, and its client has
     /// to come again. So the one follows the other.
-    fn end_here(&mut self) -> End {
+    fn end_here(&mut self) -> ConnectionEnd {
         let end = self.own_end();
-        if matches!(end, End::Stopped) {
+        if matches!(end, ConnectionEnd::Stopped) {
             // All answers have been written; what fails here fails again as it lingers.
             let _ = self.wire.get_mut().shutdown().now_or_never();
         }
@@ -651,12 +661,12 @@
     }
 
     /// How it ends of the balancer's own accord.
-    fn own_end(&self) -> End {
+    fn own_end(&self) -> ConnectionEnd {
         let stopping = self.stays || *self.context.phase.borrow() != Phase::Running;
         if stopping && (self.answered || !self.owed.is_empty()) {
-            End::Stopped
+            ConnectionEnd::Stopped
         } else {
-            End::Closed
+            ConnectionEnd::Closed
         }
     }
 
@@ -666,10 +676,10 @@
             return until;
         }
         match (&self.standing, self.half_since) {
-            (Standing::New, _) => self.quiet_since + NEW_LIMIT,
-            (Standing::Silent(_), _) => self.quiet_since + SILENT_LIMIT,
-            (Standing::Used, Some(since)) => since + SILENT_LIMIT,
-            (Standing::Used, None) => self.quiet_since + IDLE_LIMIT,
+            (ConnectionState::New, _) => self.quiet_since + NEW_LIMIT,
+            (ConnectionState::Silent(_), _) => self.quiet_since + SILENT_LIMIT,
+            (ConnectionState::Used, Some(since)) => since + SILENT_LIMIT,
+            (ConnectionState::Used, None) => self.quiet_since + IDLE_LIMIT,
         }
     }
 
@@ -686,15 +696,15 @@
         }
         let half = read > 0;
         match (&self.standing, self.half_since) {
-            _ if self.spare_until.is_some() => self.leaving = Some(Leaving::Whole),
-            (Standing::New, _) => {
-                self.standing = Standing::Silent(Silent::new(&self.context.crowd))
+            _ if self.spare_until.is_some() => self.leaving = Some(CloseReason::Whole),
+            (ConnectionState::New, _) => {
+                self.standing = ConnectionState::Silent(Silent::new(&self.context.crowd))
             }
             // It may have begun just now, and has its time from here.
-            (Standing::Used, None) if half => self.half_since = Some(Instant::now()),
+            (ConnectionState::Used, None) if half => self.half_since = Some(Instant::now()),
             _ => {
                 self.context.counters.client_connections_idled.add();
-                self.leaving = Some(Leaving::Cut);
+                self.leaving = Some(CloseReason::Cut);
             }
         }
     }
@@ -726,18 +736,23 @@
     }
 
     /// Books what the wire gave: a command, or its end.
-    async fn hear(&mut self, command: Option<Result<Vec<Bytes>, RespError>>) -> Result<(), End> {
+    async fn hear(
+        &mut self,
+        command: Option<Result<Vec<Bytes>, RespError>>,
+    ) -> Result<(), ConnectionEnd> {
         match command {
             Some(Ok(words)) => {
                 let room = self.wire.codec_mut().0.take_room();
-                self.take(words, room).await.map_err(|_| End::Gone)
+                self.take(words, room)
+                    .await
+                    .map_err(|_| ConnectionEnd::Gone)
             }
             Some(Err(RespError::Malformed(problem))) => {
                 debug!("malformed input: {problem}");
                 self.context.counters.malformed.add();
                 self.owed
-                    .push_back(Owed::Ready(Answer::Error("ERR Protocol error")));
-                self.last = Some(End::Said);
+                    .push_back(PendingReply::Ready(Answer::Error("ERR Protocol error")));
+                self.last = Some(ConnectionEnd::Said);
                 Ok(())
             }
             Some(Err(RespError::NoRoom(bytes))) => {
@@ -746,19 +761,19 @@
                 let _ = self.wire.next().now_or_never();
                 Ok(())
             }
-            Some(Err(RespError::Io(_))) | None => Err(End::Gone),
+            Some(Err(RespError::Io(_))) | None => Err(ConnectionEnd::Gone),
         }
     }
 
     /// Takes the commands in that have come already, so that their answers can go out together: a write for each is what
     /// a balancer that is behind can least afford.
-    async fn take_what_is_there(&mut self) -> Result<(), End> {
+    async fn take_what_is_there(&mut self) -> Result<(), ConnectionEnd> {
         let handing = !self.stays && self.context.phase.borrow().hands_over();
         // Danger: read on behind a command that waits for room, all that its client sends would stand here.
         while !handing
             && !self.owed.is_empty()
             && self.last.is_none()
-            && self.owed.len() < MOST_OPEN
+            && self.owed.len() < MAX_OPEN
             && !self.waits_for_room()
         {
             let Some(command) = self.wire.next().now_or_never() else {
@@ -770,7 +785,7 @@
     }
 
     /// Writes the given answer and those behind it that are there, in one go.
-    async fn write_ready(&mut self, mut given: Option<Given>) -> Result<(), RespError> {
+    async fn write_ready(&mut self, mut given: Option<FinalAnswer>) -> Result<(), RespError> {
         while let Some(large) = self.write_some(given.take()).await? {
             self.write_large(large).await?;
         }
@@ -780,11 +795,11 @@
     /// The same up to a large value, whose pieces are returned once its head is written.
     async fn write_some(
         &mut self,
-        given: Option<Given>,
-    ) -> Result<Option<mpsc::Receiver<Piece>>, RespError> {
+        given: Option<FinalAnswer>,
+    ) -> Result<Option<mpsc::Receiver<BodyChunk>>, RespError> {
         let (mut next, mut rooms, mut large) = (given, Vec::new(), None);
         let limit = self.patience();
-        while let Some(Given {
+        while let Some(FinalAnswer {
             answer,
             room,
             pieces,
@@ -836,7 +851,10 @@
 
     /// Writes a large value piece by piece, as its client reads: the server's connection waits meanwhile. Broken off, it
     /// ends the connection, so that the client can tell that it is not whole.
-    async fn write_large(&mut self, mut pieces: mpsc::Receiver<Piece>) -> Result<(), RespError> {
+    async fn write_large(
+        &mut self,
+        mut pieces: mpsc::Receiver<BodyChunk>,
+    ) -> Result<(), RespError> {
         self.context.counters.streams.add();
         // As long as its server may take for the next one.
         let limit = large_patience(self.patience());
@@ -845,8 +863,8 @@
                 .while_there(limit, |_, cx| pieces.poll_recv(cx))
                 .await?
             {
-                Some(Piece::Bytes(bytes)) => self.write_piece(bytes).await?,
-                Some(Piece::End) => return self.write_piece(Bytes::from_static(b"\r\n")).await,
+                Some(BodyChunk::Bytes(bytes)) => self.write_piece(bytes).await?,
+                Some(BodyChunk::End) => return self.write_piece(Bytes::from_static(b"\r\n")).await,
                 None => {
                     return Err(RespError::Malformed(
                         "a large value was not brought to its end",
@@ -873,19 +891,21 @@
     }
 
     /// The answer to the command that is first in turn, if it is there.
-    fn ready(&mut self) -> Option<Given> {
+    fn ready(&mut self) -> Option<FinalAnswer> {
         let given = match self.owed.front_mut()? {
-            Owed::Ready(_) => None,
-            Owed::Awaited(awaited) => match awaited.answer.try_recv() {
+            PendingReply::Ready(_) => None,
+            PendingReply::InFlight(awaited) => match awaited.answer.try_recv() {
                 Ok(given) => Some(given),
                 Err(oneshot::error::TryRecvError::Empty) => return None,
                 // A request that the engine dropped unanswered has failed.
-                Err(oneshot::error::TryRecvError::Closed) => Some(Given::from(Answer::Failed)),
+                Err(oneshot::error::TryRecvError::Closed) => {
+                    Some(FinalAnswer::from(Answer::Failed))
+                }
             },
         };
         match self.owed.pop_front()? {
-            Owed::Ready(answer) => Some(Given::from(answer)),
-            Owed::Awaited(_) => given,
+            PendingReply::Ready(answer) => Some(FinalAnswer::from(answer)),
+            PendingReply::InFlight(_) => given,
         }
     }
 
@@ -894,27 +914,27 @@
         &mut self,
         words: Vec<Bytes>,
         room: Option<Claim>,
-    ) -> Result<(), mpsc::error::SendError<Input>> {
+    ) -> Result<(), mpsc::error::SendError<EngineEvent>> {
         let spare = self.is_spare();
         let context = &self.context;
-        self.standing = Standing::Used;
+        self.standing = ConnectionState::Used;
         (self.leaving, self.half_since, self.quiet_since) = (None, None, Instant::now());
         self.half_read = 0;
-        let owed = match take_in::take_in(words, &context.intake) {
+        let owed = match parse::parse(words, &context.intake) {
             // Danger: closed right after its answer, it would be closed in the face of the client's next request.
-            Taken::Request { .. } if spare => {
+            Accepted::Request { .. } if spare => {
                 context.counters.over_cap.add();
                 self.spare_until = Some(Instant::now() + SPARE_LIMIT);
-                Owed::Ready(Answer::Busy { after_ms: None })
+                PendingReply::Ready(Answer::Busy { after_ms: None })
             }
-            Taken::Request {
+            Accepted::Request {
                 command,
                 mut request,
             } => {
                 request.id = context.new_id();
                 let (sender, answer) = oneshot::channel();
                 let (came, over) = (context.intake.clock.now(), Rc::default());
-                let awaited = Awaited {
+                let awaited = InFlightReply {
                     id: request.id,
                     answer,
                     over: Rc::clone(&over),
@@ -927,13 +947,13 @@
                     answer: sender,
                     over,
                 };
-                context.inbox.send(Input::Arrived(arrival)).await?;
-                Owed::Awaited(awaited)
+                context.inbox.send(EngineEvent::Arrived(arrival)).await?;
+                PendingReply::InFlight(awaited)
             }
-            Taken::Answered(answer) => Owed::Ready(answer),
-            Taken::Last(answer) => {
-                self.last = Some(End::Said);
-                Owed::Ready(answer)
+            Accepted::Answered(answer) => PendingReply::Ready(answer),
+            Accepted::Last(answer) => {
+                self.last = Some(ConnectionEnd::Said);
+                PendingReply::Ready(answer)
             }
         };
         self.owed.push_back(owed);
@@ -962,8 +982,8 @@
 
     /// Tells the engine of the requests whose client has left.
     async fn abandon(&mut self) {
-        let id = |owed: Owed| {
-            if let Owed::Awaited(awaited) = &owed {
+        let id = |owed: PendingReply| {
+            if let PendingReply::InFlight(awaited) = &owed {
                 Some(awaited.id)
             } else {
                 None
@@ -973,19 +993,19 @@
         let gone: Vec<RequestId> = self.owed.drain(..).filter_map(id).collect();
         for id in gone {
             // The engine is gone only when the whole balancer ends.
-            let _ = self.context.inbox.send(Input::ClientGone(id)).await;
+            let _ = self.context.inbox.send(EngineEvent::ClientGone(id)).await;
         }
     }
 }
 
 /// The answer to the command that is first in turn. Cancel safe: nothing is taken off the queue here.
-async fn next_answer(owed: &mut VecDeque<Owed>) -> Given {
+async fn next_answer(owed: &mut VecDeque<PendingReply>) -> FinalAnswer {
     match owed.front_mut() {
         // A request that the engine dropped unanswered has failed.
-        Some(Owed::Awaited(awaited)) => (&mut awaited.answer)
+        Some(PendingReply::InFlight(awaited)) => (&mut awaited.answer)
             .await
-            .unwrap_or(Given::from(Answer::Failed)),
+            .unwrap_or(FinalAnswer::from(Answer::Failed)),
         // Those that are ready have been written before.
-        Some(Owed::Ready(_)) | None => std::future::pending().await,
+        Some(PendingReply::Ready(_)) | None => std::future::pending().await,
     }
 }
--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -11,9 +11,9 @@
 use stairfront_settings::{Start, NOT_RETUNED};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::limits::{Memory, Sockets, MOST_SOCKETS};
-use crate::product;
-use crate::server_list::{RawList, ServerList};
+use crate::configuration::limits::{Memory, Sockets, MAX_SOCKETS};
+use crate::configuration::toml_config;
+use crate::control::server_list::{RawList, ServerList};
 
 const CONFIG: &str = "ROUTER_CONFIG";
 const OPERATORS: &str = "ROUTER_OPS";
@@ -162,7 +162,8 @@
     /// The file in the platform's form, and where each of its keys came from.
     fn whole(path: &str, text: &str) -> Result<(Value, Origin), ConfigError> {
         if path.ends_with(".toml") {
-            let whole = product::read(text).map_err(|fault| product_fault(path, text, fault))?;
+            let whole =
+                toml_config::read(text).map_err(|fault| product_fault(path, text, fault))?;
             return Ok((
                 whole,
                 Origin {
@@ -234,13 +235,13 @@
         let limits = [
             (
                 "limits.sockets",
-                raw.limits.sockets.unwrap_or(MOST_SOCKETS),
-                Sockets::FEWEST + aside,
+                raw.limits.sockets.unwrap_or(MAX_SOCKETS),
+                Sockets::MIN + aside,
             ),
             (
                 "limits.memory_mb",
-                raw.limits.memory_mb.unwrap_or(Memory::USUAL_MB),
-                Memory::FEWEST_MB,
+                raw.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB),
+                Memory::MIN_MB,
             ),
         ];
         for (key, given, fewest) in limits {
@@ -271,8 +272,8 @@
             discovery: raw.discovery,
             operators: raw.ops,
             seed: seed(&raw.seed),
-            sockets: Sockets::split(raw.limits.sockets.unwrap_or(MOST_SOCKETS), aside),
-            memory: Memory::of(raw.limits.memory_mb.unwrap_or(Memory::USUAL_MB)),
+            sockets: Sockets::split(raw.limits.sockets.unwrap_or(MAX_SOCKETS), aside),
+            memory: Memory::of(raw.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB)),
             known,
             membership: raw.membership,
             agreement: raw.agreement,
@@ -295,8 +296,8 @@
         let Some(text) = &self.toml else {
             return ConfigError::Key { path, key, problem };
         };
-        let key = product::own_key(&key);
-        match product::line_of(text, &key) {
+        let key = toml_config::own_key(&key);
+        match toml_config::line_of(text, &key) {
             Some(line) => ConfigError::Line {
                 path,
                 line,
@@ -308,9 +309,9 @@
     }
 }
 
-fn product_fault(path: &str, text: &str, fault: product::Fault) -> ConfigError {
-    let (path, product::Fault { key, problem, line }) = (path.to_string(), fault);
-    match line.or_else(|| product::line_of(text, &key)) {
+fn product_fault(path: &str, text: &str, fault: toml_config::Fault) -> ConfigError {
+    let (path, toml_config::Fault { key, problem, line }) = (path.to_string(), fault);
+    match line.or_else(|| toml_config::line_of(text, &key)) {
         Some(line) => ConfigError::Line {
             path,
             line,
--- a/crates/stairfront-balancer/src/limits.rs
+++ b/crates/stairfront-balancer/src/configuration/limits.rs
@@ -6,23 +6,23 @@
 use stairfront_policy::interface::Settings;
 
 use crate::clock::duration;
-use crate::operators::MOST_CALLERS;
+use crate::control::admin_server::MAX_CALLERS;
 
 /// Connections of clients beyond their places, which are turned away; they take descriptors of the reserve.
-pub const MOST_SPARE: usize = 8;
+pub const MAX_SPARE_CONNECTIONS: usize = 8;
 /// Descriptors that are not connections with a place: standard streams, event queue, signals, listeners, discovery,
 /// connections just accepted and some for the libraries (16 were seen), the spare connections, and operators' calls.
-const RESERVE: usize = 18 + MOST_SPARE + MOST_CALLERS;
+const RESERVE: usize = 18 + MAX_SPARE_CONNECTIONS + MAX_CALLERS;
 /// The most sockets that the deployment ever grants; a larger limit is not used.
-pub const MOST_SOCKETS: usize = 1024;
+pub const MAX_SOCKETS: usize = 1024;
 
 /// The least time in which somebody who takes or brings nothing is not given up: what a caller may need for half a call.
-const LEAST_PATIENCE: Duration = Duration::from_secs(5);
+const MIN_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a client may read nothing before it counts as gone: longer than any request of these settings lasts, which
 /// its pauses between two reads may take.
 pub fn patience(longest_deadline: Duration) -> Duration {
-    LEAST_PATIENCE.max(longest_deadline + Duration::from_secs(1))
+    MIN_READ_TIMEOUT.max(longest_deadline + Duration::from_secs(1))
 }
 
 /// The same for either side of a large value, which has begun and is timed no more: pauses are part of it.
@@ -47,13 +47,13 @@
 
 impl Sockets {
     /// Fewer would leave no room for a client and a server connection at once.
-    pub const FEWEST: usize = RESERVE + 8;
+    pub const MIN: usize = RESERVE + 8;
 
-    /// Of a limit that is `FEWEST` at least.
+    /// Of a limit that is `MIN` at least.
     /// `aside` descriptors are others' to use.
     pub fn split(limit: usize, aside: usize) -> Self {
-        let limit = limit.clamp(Self::FEWEST, MOST_SOCKETS);
-        let limit = limit.saturating_sub(aside).max(Self::FEWEST);
+        let limit = limit.clamp(Self::MIN, MAX_SOCKETS);
+        let limit = limit.saturating_sub(aside).max(Self::MIN);
         let free = limit - RESERVE;
         // Clients hold a third of the descriptors at most, connections that they only keep included. Danger: up to that
         // all would be kept ones, and new requests find no connection; so fewer are kept, and servers get the rest.
@@ -84,14 +84,14 @@
 }
 
 impl Memory {
-    pub const FEWEST_MB: usize = 16;
+    pub const MIN_MB: usize = 16;
     /// Where no limit is told.
-    pub const USUAL_MB: usize = 192;
+    pub const DEFAULT_MB: usize = 192;
     /// A command with the largest value, and what stands round it.
     const LARGE: usize = LARGEST_VALUE + 16 * 1024;
 
     pub fn of(limit_mb: usize) -> Self {
-        let part = limit_mb.max(Self::FEWEST_MB) * MIB / 8;
+        let part = limit_mb.max(Self::MIN_MB) * MIB / 8;
         let large = Self::LARGE.min(part + part / 4);
         Memory {
             requests: part / 2,
--- /dev/null
+++ b/crates/stairfront-balancer/src/configuration/mod.rs
@@ -0,0 +1,4 @@
+pub mod config;
+pub mod limits;
+pub mod request_catalog;
+pub mod toml_config;
--- a/crates/stairfront-balancer/src/terms.rs
+++ b/crates/stairfront-balancer/src/configuration/request_catalog.rs
@@ -10,16 +10,16 @@
 const RETIRED: Micros = 2 * SECOND;
 
 #[derive(Debug)]
-pub struct Terms {
+pub struct RequestCatalog {
     names: Names,
     classes: Vec<Class>,
     retired: Vec<usize>,
     retired_until: Micros,
 }
 
-impl Terms {
+impl RequestCatalog {
     pub fn of(start: &Start) -> Self {
-        Terms {
+        RequestCatalog {
             names: start.names.clone(),
             classes: start.settings.classes.clone(),
             retired: Vec::new(),
@@ -28,10 +28,10 @@
     }
 
     pub fn retuned(now: Micros, retuned: &Retuned) -> Self {
-        Terms {
+        RequestCatalog {
             retired: retuned.retired.clone(),
             retired_until: now + RETIRED,
-            ..Terms::of(&retuned.start)
+            ..RequestCatalog::of(&retuned.start)
         }
     }
 
--- a/crates/stairfront-balancer/src/operators.rs
+++ b/crates/stairfront-balancer/src/control/admin_server.rs
@@ -24,13 +24,13 @@
 use tracing::{info, warn};
 
 use crate::clock::{sleep, timeout};
-use crate::handover::Link;
-use crate::maintenance::{Keeper, Problem};
-use crate::orders::Ordered;
+use crate::control::maintenance::{CommandError, MaintenanceService};
+use crate::control::pending_order::PendingOrder;
+use crate::lifecycle::handover::HandoverChannel;
 use crate::transport::{Listener, Stream};
 
 /// Callers that are spoken to at once; their descriptors are set aside (`limits.rs`).
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_CALLERS: usize = 8;
 /// A whole call comes at once; who has brought none by then is sent away. Others may be sent away sooner, to make room.
 const CALL_LIMIT: Duration = Duration::from_millis(2000);
 /// An answer is owed within a second. What the engine has not done by then is answered with a no.
@@ -38,7 +38,7 @@
 /// For a caller to read its answer.
 const ANSWER_LIMIT: Duration = Duration::from_millis(500);
 /// No call has a body that matters.
-const LARGEST_BODY: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 /// An order for the group has this time to be confirmed by all, within the second.
 const GROUP_LIMIT: Duration = Duration::from_millis(900);
 const NO_GROUP: &str = "this balancer is in no group: its configuration has no [membership]";
@@ -48,25 +48,25 @@
 
 /// What the door needs to know.
 #[derive(Clone)]
-pub struct Desk {
-    pub orders: mpsc::Sender<Ordered>,
+pub struct AdminServer {
+    pub orders: mpsc::Sender<PendingOrder>,
     /// Other processes of this balancer, during an upgrade.
-    pub links: [Rc<Link>; 2],
+    pub links: [Rc<HandoverChannel>; 2],
     /// This process can serve.
     pub ready: watch::Receiver<bool>,
     /// The group, where there is one.
     pub members: Option<Rc<MembershipAgent>>,
     /// The plans that the group has agreed on, where it agrees on any.
-    pub keeper: Option<Rc<Keeper>>,
+    pub keeper: Option<Rc<MaintenanceService>>,
 }
 
 /// Callers that have brought no whole call yet, the one that came first in front.
 type Mute = Rc<RefCell<VecDeque<(u64, AbortHandle)>>>;
 
 /// Answers calls for as long as the balancer runs.
-pub async fn serve<L: Listener>(listener: L, desk: Desk) {
-    let (places, mute) = (Arc::new(Semaphore::new(MOST_CALLERS)), Mute::default());
-    let budget = Budget::new(MOST_CALLERS * LARGEST_BODY);
+pub async fn serve<L: Listener>(listener: L, desk: AdminServer) {
+    let (places, mute) = (Arc::new(Semaphore::new(MAX_CALLERS)), Mute::default());
+    let budget = Budget::new(MAX_CALLERS * MAX_BODY_BYTES);
     for caller in 0.. {
         let socket = loop {
             match listener.accept().await {
@@ -88,7 +88,7 @@
         };
         let (desk, own_mute, budget) = (desk.clone(), Rc::clone(&mute), Rc::clone(&budget));
         let task = spawn_local(async move {
-            let wire = Framed::new(socket, HttpServerCodec::new(LARGEST_BODY, &budget));
+            let wire = Framed::new(socket, HttpServerCodec::new(MAX_BODY_BYTES, &budget));
             speak(wire, desk, || {
                 own_mute.borrow_mut().retain(|(other, _)| *other != caller)
             })
@@ -100,7 +100,11 @@
 }
 
 /// One call and its answer. `heard` is called once the caller has brought a whole call or will bring none.
-async fn speak<T: Stream>(mut wire: Framed<T, HttpServerCodec>, desk: Desk, heard: impl FnOnce()) {
+async fn speak<T: Stream>(
+    mut wire: Framed<T, HttpServerCodec>,
+    desk: AdminServer,
+    heard: impl FnOnce(),
+) {
     let call = timeout(CALL_LIMIT, wire.next()).await;
     heard();
     let reply = match call {
@@ -122,7 +126,7 @@
     let _ = timeout(ANSWER_LIMIT, said).await;
 }
 
-async fn answer(received: &Received, desk: &Desk) -> Reply {
+async fn answer(received: &Received, desk: &AdminServer) -> Reply {
     match AdminRequest::read(&received.method, &received.target) {
         Ok(AdminRequest::Health) if *desk.ready.borrow() => yes("serves\n"),
         Ok(AdminRequest::Health) => no(503, "Service Unavailable", "no list of servers yet"),
@@ -179,7 +183,7 @@
 }
 
 /// A plan is read whole and checked against what is agreed of the fleet, before it is told and again as it is settled.
-async fn plan(body: &[u8], dry_run: bool, desk: &Desk) -> Reply {
+async fn plan(body: &[u8], dry_run: bool, desk: &AdminServer) -> Reply {
     let Some(keeper) = &desk.keeper else {
         return no(404, "Not Found", NO_AGREEMENT);
     };
@@ -195,14 +199,14 @@
             }
         };
     match keeper.dry_run(&plan) {
-        Err(Problem::Refused(fault)) => no(409, "Conflict", &fault),
-        Err(Problem::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
+        Err(CommandError::Refused(fault)) => no(409, "Conflict", &fault),
+        Err(CommandError::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
         Ok(would) if dry_run => json(200, "OK", &would),
         Ok(_) => command(&plan.author.clone(), CommandKind::Post(plan), desk).await,
     }
 }
 
-async fn command(author: &str, what: CommandKind, desk: &Desk) -> Reply {
+async fn command(author: &str, what: CommandKind, desk: &AdminServer) -> Reply {
     let Some(keeper) = &desk.keeper else {
         return no(404, "Not Found", NO_AGREEMENT);
     };
@@ -224,13 +228,13 @@
             info!("operators: {author}: {words}: settled at {}", settled.index);
             json(200, "OK", &settled)
         }
-        Err(Problem::Refused(problem)) => no(409, "Conflict", &problem),
-        Err(Problem::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
+        Err(CommandError::Refused(problem)) => no(409, "Conflict", &problem),
+        Err(CommandError::Unsettled(problem)) => no(503, "Service Unavailable", &problem),
     }
 }
 
 /// Danger: a yes before the engine has it would have operators restart a cache host that still gets requests.
-async fn order(order: OperatorOrder, desk: &Desk) -> Reply {
+async fn order(order: OperatorOrder, desk: &AdminServer) -> Reply {
     match timeout(ORDER_LIMIT, everywhere(&order, desk))
         .await
         .ok()
@@ -264,7 +268,7 @@
 
 /// An order to the whole group: a yes once every member of the roster has confirmed a cordon, or has left on purpose,
 /// and once a majority has confirmed its end. A no tells who is missing and why; what was ordered goes on being told.
-async fn group_order(host: String, cordon: bool, desk: &Desk) -> Reply {
+async fn group_order(host: String, cordon: bool, desk: &AdminServer) -> Reply {
     let Some(members) = &desk.members else {
         return no(404, "Not Found", NO_GROUP);
     };
@@ -325,7 +329,7 @@
 }
 
 /// Has this process and, during an upgrade, the other one carry an order out; none if one of them does not answer.
-async fn everywhere(order: &OperatorOrder, desk: &Desk) -> Option<OrderOutcome> {
+async fn everywhere(order: &OperatorOrder, desk: &AdminServer) -> Option<OrderOutcome> {
     let own = here(order.clone(), OrderSource::Operators, desk).await?;
     let word = if own == OrderOutcome::Unknown {
         OrderSource::Operators
@@ -345,9 +349,12 @@
     Some(all)
 }
 
-async fn here(order: OperatorOrder, word: OrderSource, desk: &Desk) -> Option<OrderOutcome> {
+async fn here(order: OperatorOrder, word: OrderSource, desk: &AdminServer) -> Option<OrderOutcome> {
     let (done, is_done) = oneshot::channel();
-    desk.orders.send(Ordered { order, word, done }).await.ok()?;
+    desk.orders
+        .send(PendingOrder { order, word, done })
+        .await
+        .ok()?;
     is_done.await.ok()
 }
 
--- a/crates/stairfront-balancer/src/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -15,9 +15,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::{sleep, timeout};
+use crate::control::server_list::{ListError, RawList, ServerList};
 use crate::counters::Counters;
-use crate::messages::Input;
-use crate::server_list::{ListError, RawList, ServerList};
+use crate::messages::EngineEvent;
 use crate::transport::Network;
 
 /// How long the agent may hold a watch for news; 60 s is the most. Danger: while discovery is down its changes count
@@ -35,7 +35,7 @@
 /// The longest after refusals. What discovery has to tell counts as told some seconds later, heard or not.
 const LONGEST_REFUSED: Duration = Duration::from_millis(1600);
 /// Some thousand servers.
-const LARGEST_LIST: usize = 2 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
 /// One line in the log for so many failed calls in a row.
 const LOG_EVERY: u32 = 50;
 
@@ -65,12 +65,12 @@
 
 /// Keeps a watch on the agent for as long as the balancer runs and passes on all that changes. A dead agent costs
 /// nothing but these calls: serving goes on with the list in hand.
-pub struct Watch<N: Network> {
+pub struct DiscoveryWatch<N: Network> {
     network: N,
     /// Where the agent is; a new configuration may name another.
     agents: watch::Receiver<Option<SocketAddr>>,
     names: Names,
-    inbox: mpsc::Sender<Input>,
+    inbox: mpsc::Sender<EngineEvent>,
     wire: Option<Framed<N::Stream, HttpCodec>>,
     /// The version in hand; none asks for the whole list.
     index: Option<u64>,
@@ -84,17 +84,17 @@
     counters: Rc<Counters>,
 }
 
-impl<N: Network> Watch<N> {
+impl<N: Network> DiscoveryWatch<N> {
     pub fn new(
         network: N,
         agents: watch::Receiver<Option<SocketAddr>>,
         names: Names,
         known: u64,
         seed: u64,
-        inbox: mpsc::Sender<Input>,
+        inbox: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
-        Watch {
+        DiscoveryWatch {
             network,
             agents,
             names,
@@ -110,7 +110,7 @@
 
     /// The agent is asked at once whenever this is told.
     pub fn asked_by(self, ask_now: Rc<Notify>) -> Self {
-        Watch { ask_now, ..self }
+        DiscoveryWatch { ask_now, ..self }
     }
 
     /// Danger: a call to the agent of an old configuration may be held for most of a minute, and its versions mean
@@ -152,7 +152,7 @@
                         return;
                     };
                     (self.hold, self.index) = (HOLD, Some(list.index));
-                    room.send(Input::List(list));
+                    room.send(EngineEvent::List(list));
                 }
                 Err(problem) => {
                     if failures % LOG_EVERY == 0 {
@@ -163,7 +163,7 @@
                     self.wire = None;
                     self.hold = Duration::ZERO;
                     let (first, longest) = match problem {
-                        // Turned away: it has told nothing, and the list in hand stands. Danger: balancers that ask for
+                        // Rejection away: it has told nothing, and the list in hand stands. Danger: balancers that ask for
                         // the whole list instead are turned away all the more.
                         CallError::Status(429 | 503) => (REFUSED_PAUSE, LONGEST_REFUSED),
                         // What it was to tell is not known: only the whole list mends that.
@@ -200,7 +200,7 @@
                 let socket = connected.await.map_err(|_| CallError::Late)??;
                 none.insert(Framed::new(
                     socket,
-                    HttpCodec::new(LARGEST_LIST, &Budget::new(LARGEST_LIST)),
+                    HttpCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES)),
                 ))
             }
         };
--- a/crates/stairfront-balancer/src/group.rs
+++ b/crates/stairfront-balancer/src/control/gossip_transport.rs
@@ -6,22 +6,22 @@
 use stairfront_membership_agent::{MembershipAgent, MembershipEvent};
 use tokio::sync::{mpsc, oneshot, Notify};
 
-use crate::handover::Link;
-use crate::messages::Input;
-use crate::orders::Ordered;
+use crate::control::pending_order::PendingOrder;
+use crate::lifecycle::handover::HandoverChannel;
+use crate::messages::EngineEvent;
 
 /// Carries what the group wants for as long as the balancer runs.
-pub struct Carrier {
+pub struct GossipTransport {
     pub members: Rc<MembershipAgent>,
-    pub orders: mpsc::Sender<Ordered>,
-    pub inbox: mpsc::Sender<Input>,
+    pub orders: mpsc::Sender<PendingOrder>,
+    pub inbox: mpsc::Sender<EngineEvent>,
     /// Other processes of this balancer, during an upgrade: what the group holds, both hold.
-    pub links: [Rc<Link>; 2],
+    pub links: [Rc<HandoverChannel>; 2],
     /// Has discovery's agent asked at once.
     pub ask_agent: Rc<Notify>,
 }
 
-impl Carrier {
+impl GossipTransport {
     pub async fn run(self) {
         loop {
             match self.members.next_turn().await {
@@ -33,7 +33,7 @@
                 MembershipEvent::Hearsay { host, stop } => {
                     if self
                         .inbox
-                        .send(Input::Hearsay { host, stop })
+                        .send(EngineEvent::Hearsay { host, stop })
                         .await
                         .is_err()
                     {
@@ -55,7 +55,7 @@
         };
         let (done, is_done) = oneshot::channel();
         self.orders
-            .send(Ordered {
+            .send(PendingOrder {
                 order: order.clone(),
                 word: OrderSource::Vouched,
                 done,
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/control/maintenance.rs
@@ -19,36 +19,36 @@
 use tokio::time::{interval, Instant, MissedTickBehavior};
 use tracing::{info, warn};
 
-use crate::counters::{Counters, OriginUse};
-use crate::handover::Link;
-use crate::messages::Input;
-use crate::orders::Ordered;
+use crate::control::pending_order::PendingOrder;
+use crate::counters::{Counters, OriginUsage};
+use crate::lifecycle::handover::HandoverChannel;
+use crate::messages::EngineEvent;
 
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Between two tellings of facts: what flaps is not written down at each turn.
-const FACTS_EVERY: Duration = Duration::from_millis(500);
+const MIN_FLEET_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// A step that was proposed is not proposed again for so long.
-const STEP_AGAIN: Duration = Duration::from_secs(1);
+const STEP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// An order of the one who leads that is not settled by then is looked at anew.
-const STEP_LIMIT: Duration = Duration::from_secs(2);
+const STEP_TIMEOUT: Duration = Duration::from_secs(2);
 /// For an operator's command, within the second that is owed.
-const COMMAND_LIMIT: Duration = Duration::from_millis(900);
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 /// Over which the service is judged, and the use of hosts that warm up is counted.
 const WINDOW: Duration = Duration::from_secs(2);
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+const USAGE_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 /// A host is in use at its share from this part of the others' mean on; shares by two ring points differ by more than that.
-const AT_SHARE: f64 = 0.4;
+const WARM_USAGE_RATIO: f64 = 0.4;
 /// Below this part of requests served, nothing further is taken out; and with fewer requests nothing is said of it.
-const LEAST_SERVED: f64 = 0.97;
-const FEWEST_JUDGED: u64 = 50;
+const MIN_SERVED_RATIO: f64 = 0.97;
+const MIN_JUDGED_REQUESTS: u64 = 50;
 /// An origin that serves less than this part of the attempts at it is pressed: a further cold host would press it more. With
 /// fewer attempts in a window nothing is said: a single one that fails is none.
-const LEAST_AT_ORIGIN: f64 = 0.9;
-const FEWEST_AT_ORIGIN: u64 = 20;
+const MIN_ORIGIN_SERVED_RATIO: f64 = 0.9;
+const MIN_ORIGIN_ATTEMPTS: u64 = 20;
 /// What the one who leads has said of waiting machines counts for so long.
-const WAITS_LAST: Duration = Duration::from_secs(3);
+const BLOCKED_TTL: Duration = Duration::from_secs(3);
 /// Answers of members that one who leads keeps, by host and member.
-const MOST_ANSWERS: usize = 4096;
+const MAX_QUIET_REPORTS: usize = 4096;
 
 /// The agreed plans, as the voters' driver applies them.
 #[derive(Default)]
@@ -78,7 +78,7 @@
 
 /// What members say to each other beside the agreement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Aside {
+pub enum SideEvent {
     /// Is anything open at this host, that is held since that entry?
     IsQuiet {
         host: String,
@@ -94,7 +94,7 @@
 
 /// What is shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct PublishedView {
     pub me: String,
     pub agreement: Status,
     #[serde(flatten)]
@@ -105,7 +105,7 @@
 
 /// An operator's command, once it is settled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Settled {
+pub struct CommittedCommand {
     pub via: String,
     pub leader: Option<String>,
     pub index: u64,
@@ -114,7 +114,7 @@
 
 /// Uses of one host as last counted.
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
+struct HostUsage {
     sent: u64,
     /// In the last whole window.
     lately: u64,
@@ -122,7 +122,7 @@
 
 /// Requests and attempts at the origin, since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct ServiceCounts {
     pub served: u64,
     /// Served, refused and failed.
     pub all: u64,
@@ -130,22 +130,22 @@
     pub unserved_at_origin: u64,
 }
 
-impl Counted {
+impl ServiceCounts {
     /// What is wrong with the service between two looks, as `me` sees it.
-    pub fn trouble_since(self, before: Counted, me: &str) -> Option<String> {
+    pub fn trouble_since(self, before: ServiceCounts, me: &str) -> Option<String> {
         let of = |now: u64, then: u64| now.saturating_sub(then);
         let (all, served) = (of(self.all, before.all), of(self.served, before.served));
-        if all >= FEWEST_JUDGED && (served as f64) < LEAST_SERVED * all as f64 {
+        if all >= MIN_JUDGED_REQUESTS && (served as f64) < MIN_SERVED_RATIO * all as f64 {
             return Some(format!(
                 "under {:.0}% of requests are served at {me}",
-                LEAST_SERVED * 100.0
+                MIN_SERVED_RATIO * 100.0
             ));
         }
         let asked = of(self.at_origin, before.at_origin);
         let unserved = of(self.unserved_at_origin, before.unserved_at_origin);
-        let pressed =
-            asked >= FEWEST_AT_ORIGIN && unserved as f64 > (1.0 - LEAST_AT_ORIGIN) * asked as f64;
-        let least = LEAST_AT_ORIGIN * 100.0;
+        let pressed = asked >= MIN_ORIGIN_ATTEMPTS
+            && unserved as f64 > (1.0 - MIN_ORIGIN_SERVED_RATIO) * asked as f64;
+        let least = MIN_ORIGIN_SERVED_RATIO * 100.0;
         pressed.then(|| {
             format!("the origin is pressed: under {least:.0}% of attempts at it are served at {me}")
         })
@@ -153,44 +153,44 @@
 }
 
 #[derive(Default)]
-struct Leading {
+struct LeaderState {
     /// Orders to confirm, by host and entry.
     asked: BTreeMap<(String, u64), u64>,
     quiet: BTreeMap<(String, u64), BTreeSet<String>>,
     proposed: BTreeMap<String, Instant>,
     facts: Option<Instant>,
-    uses: BTreeMap<String, Use>,
+    uses: BTreeMap<String, HostUsage>,
     counted_at: Option<Instant>,
     /// What had been counted when the window began.
-    window: Option<(Instant, Counted)>,
+    window: Option<(Instant, ServiceCounts)>,
     trouble: Option<String>,
 }
 
-pub struct Keeper {
-    of: Parts,
-    leading: RefCell<Leading>,
+pub struct MaintenanceService {
+    of: MaintenanceHandles,
+    leading: RefCell<LeaderState>,
     waits: RefCell<Option<(Instant, Vec<BlockedMachine>)>>,
     told: RefCell<Option<Stage>>,
 }
 
 /// What a keeper is made of.
-pub struct Parts {
+pub struct MaintenanceHandles {
     pub voters: Rc<RaftNode<Plans>>,
     pub members: Rc<MembershipAgent>,
-    pub orders: mpsc::Sender<Ordered>,
-    pub inbox: mpsc::Sender<Input>,
-    pub links: [Rc<Link>; 2],
+    pub orders: mpsc::Sender<PendingOrder>,
+    pub inbox: mpsc::Sender<EngineEvent>,
+    pub links: [Rc<HandoverChannel>; 2],
     pub counters: Rc<Counters>,
-    pub origin: Rc<OriginUse>,
+    pub origin: Rc<OriginUsage>,
     pub zones: Vec<String>,
     pub names: Vec<String>,
     pub me: String,
 }
 
-impl Keeper {
-    pub fn new(of: Parts) -> Rc<Self> {
+impl MaintenanceService {
+    pub fn new(of: MaintenanceHandles) -> Rc<Self> {
         let (leading, waits, told) = Default::default();
-        Rc::new(Keeper {
+        Rc::new(MaintenanceService {
             of,
             leading,
             waits,
@@ -200,8 +200,8 @@
 
     pub async fn run(self: Rc<Self>) {
         let voting: JoinHandle<()> = spawn_local(Rc::clone(&self.of.voters).run());
-        let _ends_with_this = Ends(voting);
-        let mut ticks = interval(LOOK_EVERY);
+        let _ends_with_this = AbortOnDrop(voting);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -246,27 +246,27 @@
     }
 
     async fn hear(&self, from: &str, bytes: &[u8]) {
-        match postcard::from_bytes::<Aside>(bytes) {
-            Ok(Aside::IsQuiet { host, told }) => {
+        match postcard::from_bytes::<SideEvent>(bytes) {
+            Ok(SideEvent::IsQuiet { host, told }) => {
                 if self.is_quiet(&host).await {
-                    self.say(from, &Aside::Quiet { host, told });
+                    self.say(from, &SideEvent::Quiet { host, told });
                 }
             }
-            Ok(Aside::Quiet { host, told }) => {
+            Ok(SideEvent::Quiet { host, told }) => {
                 let mut leading = self.leading.borrow_mut();
                 // Only what was asked is kept.
                 if let Some(quiet) = leading.quiet.get_mut(&(host, told)) {
-                    if quiet.len() < MOST_ANSWERS {
+                    if quiet.len() < MAX_QUIET_REPORTS {
                         quiet.insert(from.to_string());
                     }
                 }
             }
-            Ok(Aside::Waits(waits)) => *self.waits.borrow_mut() = Some((Instant::now(), waits)),
+            Ok(SideEvent::Waits(waits)) => *self.waits.borrow_mut() = Some((Instant::now(), waits)),
             Err(_) => {}
         }
     }
 
-    fn say(&self, to: &str, aside: &Aside) {
+    fn say(&self, to: &str, aside: &SideEvent) {
         // Texts, numbers and lists of them alone, which cannot fail.
         self.of
             .voters
@@ -284,7 +284,7 @@
         let (done, is_done) = oneshot::channel();
         self.of
             .orders
-            .send(Ordered {
+            .send(PendingOrder {
                 order: order.clone(),
                 word: OrderSource::Operators,
                 done,
@@ -308,7 +308,7 @@
     async fn look(&self) {
         let turn = self.of.voters.machine().0.turn_of(&self.of.me);
         let Some(term) = self.of.voters.leader_term() else {
-            *self.leading.borrow_mut() = Leading::default();
+            *self.leading.borrow_mut() = LeaderState::default();
             return;
         };
         if turn == Some(Stage::Told) {
@@ -331,7 +331,7 @@
             let others: Vec<String> = self.roster().filter(|name| *name != self.of.me).collect();
             others
                 .iter()
-                .for_each(|name| self.say(name, &Aside::Waits(waits.clone())));
+                .for_each(|name| self.say(name, &SideEvent::Waits(waits.clone())));
         }
     }
 
@@ -344,14 +344,19 @@
         let mut leading = self.leading.borrow_mut();
         match &what {
             CommandKind::Fleet(_) => {
-                if leading.facts.is_some_and(|at| now - at < FACTS_EVERY) {
+                if leading
+                    .facts
+                    .is_some_and(|at| now - at < MIN_FLEET_REPORT_INTERVAL)
+                {
                     return;
                 }
                 leading.facts = Some(now);
             }
             other => {
                 let key = format!("{other:?}");
-                leading.proposed.retain(|_, at| now - *at < STEP_AGAIN);
+                leading
+                    .proposed
+                    .retain(|_, at| now - *at < STEP_RETRY_INTERVAL);
                 if leading.proposed.contains_key(&key) {
                     return;
                 }
@@ -364,7 +369,7 @@
         };
         self.of
             .voters
-            .propose(command.id, command.write(), STEP_LIMIT);
+            .propose(command.id, command.write(), STEP_TIMEOUT);
     }
 
     fn command(&self, author: &str, what: CommandKind) -> Command {
@@ -383,7 +388,7 @@
     /// The fleet as this balancer sees it, and what has come back into use.
     async fn see(&self) -> Option<LeaderObservation> {
         let (to, hosts) = oneshot::channel();
-        self.of.inbox.send(Input::Hosts(to)).await.ok()?;
+        self.of.inbox.send(EngineEvent::Hosts(to)).await.ok()?;
         let listed = hosts.await.ok()?;
         let zone = |zone: usize| {
             self.of
@@ -441,7 +446,7 @@
     fn judge_service(&self) -> Option<String> {
         let (now, counters) = (Instant::now(), &self.of.counters);
         let served = counters.served.get();
-        let counted = Counted {
+        let counted = ServiceCounts {
             served,
             all: served + counters.refused.get() + counters.failed.get() + counters.shed.get(),
             at_origin: self.of.origin.ended.get(),
@@ -472,7 +477,7 @@
             return Vec::new();
         }
         let counted_at = self.leading.borrow().counted_at;
-        if counted_at.is_none_or(|at| at.elapsed() >= COUNT_EVERY) {
+        if counted_at.is_none_or(|at| at.elapsed() >= USAGE_COUNT_INTERVAL) {
             self.leading.borrow_mut().counted_at = Some(Instant::now());
             for host in hosts.iter().filter(|host| host.up) {
                 let Some((_, sent)) = self.used(&host.name).await else {
@@ -483,7 +488,7 @@
                 let lately = known.map_or(0, |known| sent.saturating_sub(known.sent));
                 leading.uses.insert(
                     host.name.clone(),
-                    Use {
+                    HostUsage {
                         sent,
                         lately: if known.is_some() { lately } else { u64::MAX },
                     },
@@ -505,7 +510,9 @@
             .collect();
         let mean = others.iter().sum::<u64>() as f64 / others.len().max(1) as f64;
         let is_warm = |name: &String| match hosts.iter().find(|host| host.name == *name) {
-            Some(host) => host.up && counted(name).is_some_and(|of| of as f64 >= AT_SHARE * mean),
+            Some(host) => {
+                host.up && counted(name).is_some_and(|of| of as f64 >= WARM_USAGE_RATIO * mean)
+            }
             None => balancers.iter().any(|one| one.name == *name && one.there),
         };
         warming.into_iter().filter(is_warm).collect()
@@ -553,7 +560,7 @@
                 .into_iter()
                 .filter(|name| !quiet.contains(name))
             {
-                let aside = Aside::IsQuiet {
+                let aside = SideEvent::IsQuiet {
                     host: held.host.clone(),
                     told: held.told,
                 };
@@ -571,10 +578,10 @@
 
     // --- for operators ---
 
-    pub fn shown(&self) -> Shown {
+    pub fn shown(&self) -> PublishedView {
         let waits = self.waits.borrow();
-        let waits = waits.as_ref().filter(|(at, _)| at.elapsed() < WAITS_LAST);
-        Shown {
+        let waits = waits.as_ref().filter(|(at, _)| at.elapsed() < BLOCKED_TTL);
+        PublishedView {
             me: self.of.me.clone(),
             agreement: self.of.voters.status(),
             view: self.of.voters.machine().0.view(),
@@ -591,18 +598,18 @@
     }
 
     /// What a plan would take out, in order, by what is agreed now.
-    pub fn dry_run(&self, plan: &Plan) -> Result<DryRun, Problem> {
+    pub fn dry_run(&self, plan: &Plan) -> Result<DryRun, CommandError> {
         let machine = self.of.voters.machine();
         // Danger: just founded, or just started, each name would be refused as one that nobody knows.
         if machine.0.fleet().hosts.is_empty() {
-            return Err(Problem::Unsettled(
+            return Err(CommandError::Unsettled(
                 "nothing is agreed of the fleet yet; ask again".to_string(),
             ));
         }
         let order = machine
             .0
             .dry_run(plan)
-            .map_err(|fault| Problem::Refused(fault.to_string()))?;
+            .map_err(|fault| CommandError::Refused(fault.to_string()))?;
         let rounds = order.len().div_ceil(plan.at_once.max(1) as usize) as u64;
         // What the steps may take before they are called late: known no better before.
         let longest = u64::from(plan.confirm_s) + u64::from(plan.quiet_s) + u64::from(plan.warm_s);
@@ -618,23 +625,27 @@
     }
 
     /// Brings an operator's command to the one who leads, and waits until it is settled.
-    pub async fn command_of(&self, author: &str, what: CommandKind) -> Result<Settled, Problem> {
+    pub async fn command_of(
+        &self,
+        author: &str,
+        what: CommandKind,
+    ) -> Result<CommittedCommand, CommandError> {
         let command = self.command(author, what);
         let id = command.id;
         let settled = self
             .of
             .voters
-            .order(id, command.write(), COMMAND_LIMIT)
+            .order(id, command.write(), COMMAND_TIMEOUT)
             .await;
         let status = self.of.voters.status();
         let outcome: Option<Outcome> = self.of.voters.machine().0.outcome(id).cloned();
         match (settled, outcome) {
-            (Err(refusal), _) => Err(Problem::Refused(refusal.to_string())),
+            (Err(refusal), _) => Err(CommandError::Refused(refusal.to_string())),
             (Ok(_), Some(Outcome { index, term, result: Ok(_) })) => {
-                Ok(Settled { via: self.of.me.clone(), leader: status.leader, index, term })
+                Ok(CommittedCommand { via: self.of.me.clone(), leader: status.leader, index, term })
             }
-            (Ok(_), Some(Outcome { result: Err(refusal), .. })) => Err(Problem::Refused(refusal.to_string())),
-            (Ok(_), None) => Err(Problem::Unsettled(match status.leader {
+            (Ok(_), Some(Outcome { result: Err(refusal), .. })) => Err(CommandError::Refused(refusal.to_string())),
+            (Ok(_), None) => Err(CommandError::Unsettled(match status.leader {
                 Some(leader) => format!(
                     "not settled in time, {leader} leads; it may be yet: look before you say it again"
                 ),
@@ -661,14 +672,14 @@
         .as_millis() as u64
 }
 
-pub enum Problem {
+pub enum CommandError {
     Refused(String),
     Unsettled(String),
 }
 
-struct Ends(JoinHandle<()>);
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Ends {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/stairfront-balancer/src/orders.rs
+++ b/crates/stairfront-balancer/src/control/pending_order.rs
@@ -3,9 +3,9 @@
 use tokio::sync::oneshot;
 
 /// Orders that may wait for the engine, which hears them before anything else.
-pub const MOST_WAITING: usize = 16;
+pub const MAX_WAITING: usize = 16;
 
-pub struct Ordered {
+pub struct PendingOrder {
     pub order: OperatorOrder,
     pub word: OrderSource,
     pub done: oneshot::Sender<OrderOutcome>,
--- a/crates/stairfront-balancer/src/reload.rs
+++ b/crates/stairfront-balancer/src/control/reload.rs
@@ -10,10 +10,10 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-use crate::config::Config;
+use crate::configuration::config::Config;
+use crate::control::server_list::ServerList;
 use crate::counters::Counters;
-use crate::messages::Input;
-use crate::server_list::ServerList;
+use crate::messages::EngineEvent;
 
 /// Catches SIGHUP from now on. Danger: uncaught it ends the process, and once caught it never does again, also while
 /// the balancer stops.
@@ -29,7 +29,7 @@
 }
 
 /// What of the configuration can change under way.
-pub struct Reloads {
+pub struct ConfigReloader {
     /// What this process was started with, and the address of discovery in use.
     current: Config,
     /// The settings in use, and the classes among them that the file has no more.
@@ -38,19 +38,19 @@
     /// Tells the watch on discovery where the agent is.
     agent: watch::Sender<Option<SocketAddr>>,
     /// Takes new settings, and the list of a file that names no agent.
-    inbox: mpsc::Sender<Input>,
+    inbox: mpsc::Sender<EngineEvent>,
     counters: Rc<Counters>,
 }
 
-impl Reloads {
+impl ConfigReloader {
     pub fn new(
         current: Config,
         agent: watch::Sender<Option<SocketAddr>>,
-        inbox: mpsc::Sender<Input>,
+        inbox: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
         let in_use = current.start.clone();
-        Reloads {
+        ConfigReloader {
             current,
             in_use,
             retired: Vec::new(),
@@ -98,7 +98,7 @@
             // The engine is gone only when the whole balancer ends.
             let _ = self
                 .inbox
-                .send(Input::List(ServerList {
+                .send(EngineEvent::List(ServerList {
                     full: true,
                     ..new.known
                 }))
@@ -124,6 +124,9 @@
             ),
         }
         (self.in_use, self.retired) = (retuned.start.clone(), retuned.retired.clone());
-        let _ = self.inbox.send(Input::Retune(Box::new(retuned))).await;
+        let _ = self
+            .inbox
+            .send(EngineEvent::Retune(Box::new(retuned)))
+            .await;
     }
 }
--- a/crates/stairfront-balancer/src/server_list.rs
+++ b/crates/stairfront-balancer/src/control/server_list.rs
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ServerEntry {
     pub name: String,
     pub member: Endpoint,
     pub address: SocketAddr,
@@ -62,7 +62,7 @@
     pub index: u64,
     /// The complete list, not changes alone.
     pub full: bool,
-    pub lines: Vec<Line>,
+    pub lines: Vec<ServerEntry>,
 }
 
 /// The same at every balancer and after every restart, whatever the address.
@@ -91,7 +91,7 @@
 }
 
 impl RawEndpoint {
-    fn read(self, names: &Names) -> Result<Line, ListError> {
+    fn read(self, names: &Names) -> Result<ServerEntry, ListError> {
         let RawEndpoint {
             name,
             address,
@@ -123,7 +123,7 @@
             kind: Kind(kind.unwrap_or(u16::MAX)),
             size: self.weight,
         };
-        Ok(Line {
+        Ok(ServerEntry {
             name,
             member,
             address,
--- a/crates/stairfront-balancer/src/counters.rs
+++ b/crates/stairfront-balancer/src/counters.rs
@@ -63,7 +63,7 @@
     decision_panics,
     client_connections_accepted,
     client_connections_open,
-    /// Handed over to the process that took over from this one.
+    /// HandedOverConnection over to the process that took over from this one.
     client_connections_handed,
     /// Closed since they brought no whole command, or none for long.
     client_connections_idled,
@@ -75,13 +75,13 @@
 
 /// What became of attempts at the origin, for whoever takes machines out only while it is well.
 #[derive(Debug, Default)]
-pub struct OriginUse {
+pub struct OriginUsage {
     pub ended: Counter,
     /// Refused, failed or without an answer.
     pub unserved: Counter,
 }
 
-impl OriginUse {
+impl OriginUsage {
     pub fn ended(&self, outcome: Outcome) {
         match outcome {
             // Nothing was asked of it, or its answer was not waited for.
--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -18,27 +18,27 @@
 use tokio_util::time::DelayQueue;
 use tracing::{debug, info, warn};
 
-use crate::caches::{Pool, Protocol, UpstreamTarget};
 use crate::clock::{duration, Clock};
-use crate::cordon_record::CordonRecord;
-use crate::counters::{Counters, OriginUse};
-use crate::handover_state::{HandoverState, Snapshot};
-use crate::heartbeat::{door_settings, Vitals};
-use crate::limits::{stall_limit, Memory};
-use crate::messages::{Answer, Arrival, AttemptEnd, AttemptId, Input, Job};
-use crate::orders::Ordered;
-use crate::server_list::{cache_id, Line, ServerList};
-use crate::shutdown::life_left;
-use crate::stages::admit::{NotAdmitted, Open, Table};
+use crate::configuration::limits::{stall_limit, Memory};
+use crate::configuration::request_catalog::RequestCatalog;
+use crate::control::cordon_record::CordonRecord;
+use crate::control::pending_order::PendingOrder;
+use crate::control::server_list::{cache_id, ServerEntry, ServerList};
+use crate::counters::{Counters, OriginUsage};
+use crate::lifecycle::handover_state::{HandoverState, Snapshot};
+use crate::lifecycle::loop_monitor::{door_settings, RuntimeHandles};
+use crate::lifecycle::shutdown::life_left;
+use crate::messages::{Answer, Arrival, AttemptEnd, AttemptId, EngineEvent, Job};
+use crate::stages::admit::{AdmissionError, OpenRequest, RequestTable};
 use crate::stages::route::{self, Decide};
-use crate::stages::send::Sending;
-use crate::terms::Terms;
+use crate::stages::send::SendDecision;
 use crate::transport::Network;
+use crate::upstream::upstream_pool::{Protocol, UpstreamPool, UpstreamTarget};
 
 /// Hosts kept that no list names any more: more than a list may call gone by mistake, and bounded.
-const MOST_DROPPED: usize = 4096;
+const MAX_REMOVED_HOSTS: usize = 4096;
 
-enum Due {
+enum TimerKind {
     /// A timer of the decision module.
     Token(u64),
     /// An attempt that has waited for a socket for as long as a connection may take.
@@ -46,25 +46,25 @@
 }
 
 /// What the engine has in common with other tasks, or with the process after this one.
-pub struct Shared {
-    pub vitals: Vitals,
+pub struct EngineHandles {
+    pub vitals: RuntimeHandles,
     /// Told once there is a list to serve from.
     pub ready: watch::Sender<bool>,
     pub record: CordonRecord,
     /// What the clients' tasks read commands against.
-    pub terms: Rc<RefCell<Terms>>,
+    pub terms: Rc<RefCell<RequestCatalog>>,
     /// The others of this balancer's group, and the cache hosts that they hold out; none where there is no group.
     pub members: Option<(Rc<MembershipAgent>, Vec<String>)>,
-    /// Counted where there is a group that asks for it.
-    pub origin: Rc<OriginUse>,
+    /// ServiceCounts where there is a group that asks for it.
+    pub origin: Rc<OriginUsage>,
 }
 
 pub struct Engine<D, N: Network> {
     policy: D,
     clock: Clock,
-    table: Table,
-    pool: Pool<N>,
-    timers: DelayQueue<Due>,
+    table: RequestTable,
+    pool: UpstreamPool<N>,
+    timers: DelayQueue<TimerKind>,
     counters: Rc<Counters>,
     /// Hears how long requests waited for the engine.
     door: Rc<RefCell<AdmissionController>>,
@@ -87,10 +87,10 @@
     members: Option<Rc<MembershipAgent>>,
     /// Attempts by cache host, where there is a group that asks for them.
     sent: FxHashMap<CacheId, u64>,
-    origin: Rc<OriginUse>,
+    origin: Rc<OriginUsage>,
     record: CordonRecord,
-    terms: Rc<RefCell<Terms>>,
-    /// Ends of attempts that the module has not heard yet.
+    terms: Rc<RefCell<RequestCatalog>>,
+    /// AbortOnDrop of attempts that the module has not heard yet.
     ends: VecDeque<AttemptEnd>,
     actions: Vec<Action>,
 }
@@ -101,12 +101,12 @@
         start: Start,
         decider: impl FnOnce(Settings) -> D,
         memory: Memory,
-        pool: Pool<N>,
-        shared: Shared,
+        pool: UpstreamPool<N>,
+        shared: EngineHandles,
     ) -> Self {
-        let Shared {
+        let EngineHandles {
             vitals:
-                Vitals {
+                RuntimeHandles {
                     clock,
                     door,
                     counters,
@@ -129,7 +129,7 @@
         settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
         Engine {
             clock,
-            table: Table::new(host.open_requests, memory),
+            table: RequestTable::new(host.open_requests, memory),
             pool,
             timers: DelayQueue::new(),
             counters,
@@ -159,8 +159,8 @@
         mut self,
         known: ServerList,
         inherited: Option<HandoverState>,
-        mut inputs: mpsc::Receiver<Input>,
-        mut orders: mpsc::Receiver<Ordered>,
+        mut inputs: mpsc::Receiver<EngineEvent>,
+        mut orders: mpsc::Receiver<PendingOrder>,
     ) {
         // Before the list is known, so that nothing ever goes to a cache host that was taken out.
         self.restore_cordons();
@@ -187,7 +187,7 @@
             tokio::select! {
                 biased;
                 // Ahead of all requests that wait: an answer is owed to operators in a second under any load.
-                Some(Ordered { order, word, done }) = orders.recv() => {
+                Some(PendingOrder { order, word, done }) = orders.recv() => {
                     // A caller that has left finds it done when it asks again.
                     let _ = done.send(self.carry_out_order(&order, word));
                     self.settle();
@@ -205,18 +205,18 @@
         }
     }
 
-    fn hear(&mut self, input: Input) {
+    fn hear(&mut self, input: EngineEvent) {
         match input {
-            Input::Arrived(arrival) => {
+            EngineEvent::Arrived(arrival) => {
                 self.door
                     .borrow_mut()
                     .message(self.clock.now() - arrival.came);
                 self.arrived(arrival);
             }
-            Input::ClientGone(id) => self.client_gone(id),
-            Input::Retune(retuned) => self.retune(&retuned),
-            Input::Snapshot(to) => self.snapshot(to),
-            Input::Hosts(to) => {
+            EngineEvent::ClientGone(id) => self.client_gone(id),
+            EngineEvent::Retune(retuned) => self.retune(&retuned),
+            EngineEvent::Snapshot(to) => self.snapshot(to),
+            EngineEvent::Hosts(to) => {
                 let listed = self
                     .names
                     .iter()
@@ -224,20 +224,20 @@
                 // Who has left does not need it.
                 let _ = to.send(listed.collect());
             }
-            Input::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
-            Input::Ending => {
+            EngineEvent::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
+            EngineEvent::Ending => {
                 let by = self.clock.now() + self.life_left;
                 self.tell(Event::ShuttingDown { by });
             }
-            Input::TakeAll => {
+            EngineEvent::TakeAll => {
                 self.pool.take_all(&mut self.ends);
                 self.time_waits();
             }
-            Input::Pool(news) => {
+            EngineEvent::UpstreamPool(news) => {
                 self.pool.hear(news, &mut self.ends);
                 self.time_waits();
             }
-            Input::List(list) => {
+            EngineEvent::List(list) => {
                 self.counters.lists_heard.add();
                 let told = self.members.is_some().then(|| self.leaving_in(&list));
                 self.learn(list, false);
@@ -277,7 +277,7 @@
             settings: &settings,
             tenants,
         });
-        *self.terms.borrow_mut() = Terms::retuned(self.clock.now(), retuned);
+        *self.terms.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
     }
 
     fn snapshot(&mut self, to: oneshot::Sender<Snapshot>) {
@@ -416,7 +416,7 @@
 
     /// Which cache hosts leave by a list, among those that were in use.
     fn leaving_in(&self, list: &ServerList) -> DrainAnnouncement {
-        let said = |line: &&Line| line.member.state != EndpointState::Ready;
+        let said = |line: &&ServerEntry| line.member.state != EndpointState::Ready;
         let mut leaving: Vec<String> = list
             .lines
             .iter()
@@ -458,15 +458,15 @@
                 self.counters.taken_in.add();
                 self.tell(Event::Request(request));
             }
-            Err(NotAdmitted::IdOpen) => self.counters.rejected.add(),
-            Err(NotAdmitted::NoRoom) => self.counters.over_cap.add(),
+            Err(AdmissionError::IdOpen) => self.counters.rejected.add(),
+            Err(AdmissionError::NoRoom) => self.counters.over_cap.add(),
         }
     }
 
-    fn fire(&mut self, due: Due) {
+    fn fire(&mut self, due: TimerKind) {
         match due {
-            Due::Token(token) => self.tell(Event::Timer { token }),
-            Due::Socket(attempt) => self.ends.extend(self.pool.give_up_waiting(attempt)),
+            TimerKind::Token(token) => self.tell(Event::Timer { token }),
+            TimerKind::Socket(attempt) => self.ends.extend(self.pool.give_up_waiting(attempt)),
         }
         self.settle();
     }
@@ -474,17 +474,22 @@
     /// Danger: word of a client that left waits behind all that came before it; what is about to happen for its request
     /// goes by the flag that its connection has raised.
     fn notice_departure(&mut self, id: RequestId) {
-        if self.table.open.get(&id).is_some_and(Open::is_deserted) {
+        if self
+            .table
+            .open
+            .get(&id)
+            .is_some_and(OpenRequest::is_deserted)
+        {
             self.client_gone(id);
         }
     }
 
     fn client_gone(&mut self, id: RequestId) {
-        let answer = self.table.open.get_mut(&id).and_then(Open::end);
+        let answer = self.table.open.get_mut(&id).and_then(OpenRequest::end);
         if answer.is_some() {
             self.counters.client_gone.add();
             self.tell(Event::ClientDisconnected { id });
-            self.table.book(id);
+            self.table.complete(id);
         }
     }
 
@@ -512,7 +517,7 @@
                 self.carry(sending);
             }
             self.tell(Event::AttemptFinished(settled));
-            self.table.book(id);
+            self.table.complete(id);
         }
     }
 
@@ -566,17 +571,17 @@
                 if self.table.answer(id, Answer::Busy { after_ms }) {
                     self.counters.refused.add();
                 }
-                self.table.book(id);
+                self.table.complete(id);
             }
             Action::Fail { id } => {
                 if self.table.answer(id, Answer::Failed) {
                     self.counters.failed.add();
                 }
-                self.table.book(id);
+                self.table.complete(id);
             }
             Action::Cancel { id, attempt } => self.table.cancel(id, attempt),
             Action::Timer { delay, token } => {
-                self.timers.insert(Due::Token(token), duration(delay));
+                self.timers.insert(TimerKind::Token(token), duration(delay));
             }
             Action::Disconnect { cache } => self.pool.close_idle(cache),
             Action::Log(text) => info!("{text}"),
@@ -600,11 +605,11 @@
         self.carry(sending);
     }
 
-    fn carry(&mut self, sending: Sending) {
+    fn carry(&mut self, sending: SendDecision) {
         match sending {
-            Sending::Job(job) => self.dispatch(job),
-            Sending::Ended(end) => self.ends.push_back(end),
-            Sending::Deferred => {}
+            SendDecision::Job(job) => self.dispatch(job),
+            SendDecision::Ended(end) => self.ends.push_back(end),
+            SendDecision::Deferred => {}
         }
     }
 
@@ -619,7 +624,7 @@
 
     fn time_waits(&mut self) {
         for (attempt, until) in self.pool.new_waits() {
-            self.timers.insert_at(Due::Socket(attempt), until);
+            self.timers.insert_at(TimerKind::Socket(attempt), until);
         }
     }
 
@@ -656,7 +661,7 @@
         }));
     }
 
-    fn place(&mut self, line: &Line) {
+    fn place(&mut self, line: &ServerEntry) {
         let member = line.member;
         if member.state == EndpointState::Removed {
             return self.delist(member.id);
@@ -705,7 +710,7 @@
         }
         self.dropped.retain(|other| *other != id);
         self.dropped.push_back(id);
-        if self.dropped.len() > MOST_DROPPED {
+        if self.dropped.len() > MAX_REMOVED_HOSTS {
             if let Some(oldest) = self.dropped.pop_front() {
                 self.forget(oldest);
             }
--- a/crates/stairfront-balancer/src/handover.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover.rs
@@ -17,11 +17,11 @@
 use tracing::{debug, info, warn};
 
 use crate::clock::{sleep, timeout};
-use crate::handover_socket::{HandoverListener, HandoverSocket};
-use crate::handover_state::{HandoverState, Snapshot};
-use crate::messages::Input;
-use crate::orders::Ordered;
-use crate::shutdown::Phase;
+use crate::control::pending_order::PendingOrder;
+use crate::lifecycle::handover_socket::{HandoverListener, HandoverSocket};
+use crate::lifecycle::handover_state::{HandoverState, Snapshot};
+use crate::lifecycle::shutdown::Phase;
+use crate::messages::EngineEvent;
 
 /// What the old process may take to answer its successor, which has 6 s in all to say that it can serve.
 const ANSWER_LIMIT: Duration = Duration::from_millis(1500);
@@ -31,12 +31,12 @@
 /// Pause after a handover listener that could not be opened or heard.
 const PAUSE: Duration = Duration::from_millis(500);
 /// Most bytes read ahead on a connection that can be handed over.
-pub const MOST_UNREAD: usize = MAX_PART_BYTES;
+pub const MAX_UNREAD_BYTES: usize = MAX_PART_BYTES;
 /// Connections handed over that wait for their task.
-pub const MOST_HANDED: usize = 64;
+pub const MAX_HANDED_OVER: usize = 64;
 
 /// A client's connection from the old process.
-pub struct Handed {
+pub struct HandedOverConnection {
     pub socket: OwnedFd,
     pub used: bool,
     pub unread: Vec<u8>,
@@ -130,14 +130,14 @@
 
 /// One process's end of a handover socket, while there is one.
 #[derive(Default)]
-pub struct Link {
+pub struct HandoverChannel {
     socket: RefCell<Option<Rc<HandoverSocket>>>,
     /// Orders that the other process has not answered, by number.
     waiting: RefCell<FxHashMap<u32, oneshot::Sender<OrderOutcome>>>,
     next: Cell<u32>,
 }
 
-impl Link {
+impl HandoverChannel {
     pub fn is_up(&self) -> bool {
         self.socket.borrow().is_some()
     }
@@ -182,7 +182,7 @@
 
     /// Hands a client's connection over. Danger: the descriptor here is closed only after the other side has its own, or
     /// the connection would end in the client's face.
-    pub async fn hand_over(&self, handed: &Handed) -> io::Result<()> {
+    pub async fn hand_over(&self, handed: &HandedOverConnection) -> io::Result<()> {
         let socket = self.socket().ok_or(io::ErrorKind::NotConnected)?;
         let message = Message::Connection {
             used: handed.used,
@@ -200,8 +200,8 @@
     async fn keep(
         &self,
         socket: HandoverSocket,
-        orders: &mpsc::Sender<Ordered>,
-        handed: Option<&mpsc::Sender<Handed>>,
+        orders: &mpsc::Sender<PendingOrder>,
+        handed: Option<&mpsc::Sender<HandedOverConnection>>,
     ) {
         let socket = Rc::new(socket);
         self.socket.replace(Some(Rc::clone(&socket)));
@@ -224,7 +224,11 @@
                     ..,
                 ) => {
                     let (done, is_done) = oneshot::channel();
-                    if orders.send(Ordered { order, word, done }).await.is_err() {
+                    if orders
+                        .send(PendingOrder { order, word, done })
+                        .await
+                        .is_err()
+                    {
                         break;
                     }
                     let Ok(done) = is_done.await else { break };
@@ -244,7 +248,7 @@
                 }
                 (Message::Connection { used, unread }, Some(socket), Some(handed)) => {
                     if handed
-                        .send(Handed {
+                        .send(HandedOverConnection {
                             socket,
                             used,
                             unread,
@@ -264,17 +268,17 @@
 }
 
 /// The new process's side: hears the old one until its end, then takes what it had kept.
-pub struct Succession {
+pub struct UpgradeCoordinator {
     pub predecessor: Predecessor,
-    pub link: Rc<Link>,
-    pub orders: mpsc::Sender<Ordered>,
-    pub handed: mpsc::Sender<Handed>,
-    pub inbox: mpsc::Sender<Input>,
+    pub link: Rc<HandoverChannel>,
+    pub orders: mpsc::Sender<PendingOrder>,
+    pub handed: mpsc::Sender<HandedOverConnection>,
+    pub inbox: mpsc::Sender<EngineEvent>,
 }
 
-impl Succession {
+impl UpgradeCoordinator {
     pub async fn run(self) {
-        let Succession {
+        let UpgradeCoordinator {
             predecessor,
             link,
             orders,
@@ -284,26 +288,26 @@
         link.keep(predecessor.socket, &orders, Some(&handed)).await;
         info!("the old process has ended; all descriptors are this one's");
         // The engine is gone only when the whole balancer ends.
-        let _ = inbox.send(Input::TakeAll).await;
+        let _ = inbox.send(EngineEvent::TakeAll).await;
     }
 }
 
 /// The old process's side: waits for successors and welcomes them, one at a time.
-pub struct Attendant {
+pub struct SuccessorHandler {
     pub path: PathBuf,
     pub name: String,
     /// Another descriptor of the listener for clients.
     pub listener: OwnedFd,
-    pub link: Rc<Link>,
-    pub orders: mpsc::Sender<Ordered>,
-    pub inbox: mpsc::Sender<Input>,
+    pub link: Rc<HandoverChannel>,
+    pub orders: mpsc::Sender<PendingOrder>,
+    pub inbox: mpsc::Sender<EngineEvent>,
     pub places: Arc<Semaphore>,
     pub most_clients: usize,
     pub ready: watch::Receiver<bool>,
     pub phase: watch::Receiver<Phase>,
 }
 
-impl Attendant {
+impl SuccessorHandler {
     pub async fn run(mut self) {
         // Danger: a process that can't serve yet would take the path from one that can.
         if self.ready.wait_for(|ready| *ready).await.is_err() {
@@ -341,7 +345,7 @@
     }
 
     async fn take_all(&self) {
-        let _ = self.inbox.send(Input::TakeAll).await;
+        let _ = self.inbox.send(EngineEvent::TakeAll).await;
     }
 
     async fn welcome(&self, socket: &HandoverSocket) -> io::Result<()> {
@@ -355,7 +359,7 @@
         let (snapshot, taken) = oneshot::channel();
         let gone = |_| io::Error::other("the engine has ended");
         self.inbox
-            .send(Input::Snapshot(snapshot))
+            .send(EngineEvent::Snapshot(snapshot))
             .await
             .map_err(|_| io::Error::other("the engine has ended"))?;
         let Snapshot { state, servers } = taken.await.map_err(gone)?;
--- a/crates/stairfront-balancer/src/heartbeat.rs
+++ b/crates/stairfront-balancer/src/lifecycle/loop_monitor.rs
@@ -16,8 +16,8 @@
 /// Part of the tightest aim that a request may lose to the loop, and its bounds: below the one a timer's grain and a
 /// busy machine's own delays would count, above the other drains and pings would wait too long.
 const AIM_PART: Micros = 25;
-const LEAST_TARGET: Micros = 5 * MS;
-const MOST_TARGET: Micros = 15 * MS;
+const MIN_TARGET: Micros = 5 * MS;
+const MAX_TARGET: Micros = 15 * MS;
 /// Taking less than this is told in the log, once until all is taken again.
 const TOLD_BELOW: f64 = 0.9;
 
@@ -36,9 +36,9 @@
         .iter()
         .map(|class| class.latency_objective)
         .min()
-        .unwrap_or(MOST_TARGET * AIM_PART);
+        .unwrap_or(MAX_TARGET * AIM_PART);
     AdmissionSettings {
-        target: (aim / AIM_PART).clamp(LEAST_TARGET, MOST_TARGET),
+        target: (aim / AIM_PART).clamp(MIN_TARGET, MAX_TARGET),
         quotas: set
             .tenants
             .iter()
@@ -56,15 +56,15 @@
 
 /// What a balancer knows of itself.
 #[derive(Clone)]
-pub struct Vitals {
+pub struct RuntimeHandles {
     pub clock: Clock,
     pub door: Rc<RefCell<AdmissionController>>,
     pub counters: Rc<Counters>,
 }
 
 /// Beats for as long as the balancer runs, and tells the door how late each beat was.
-pub async fn beat(vitals: Vitals) {
-    let Vitals {
+pub async fn beat(vitals: RuntimeHandles) {
+    let RuntimeHandles {
         clock,
         door,
         counters,
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/lifecycle/server.rs
@@ -14,29 +14,31 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tracing::info;
 
-use crate::caches::{Pool, PoolLimits};
-use crate::clients::{self, Context, Crowd};
+use crate::client::server::{self as client_server, ClientContext, ConnectionPressure};
 use crate::clock::{duration, Clock};
-use crate::config::Config;
-use crate::cordon_record::CordonRecord;
-use crate::counters::{Counters, OriginUse};
-use crate::discovery::Watch;
-use crate::engine::{Engine, Shared};
-use crate::group::Carrier;
-use crate::handover::{self, Attendant, Link, Predecessor, Succession, MOST_HANDED};
-use crate::handover_socket;
-use crate::heartbeat::{self, Vitals};
-use crate::limits::stall_limit;
-use crate::maintenance::{Keeper, Parts, Plans};
-use crate::messages::Input;
-use crate::operators::{self, Desk};
-use crate::orders;
-use crate::reload::{self, Reloads};
-use crate::shutdown::{watch_signals, Phase};
+use crate::configuration::config::Config;
+use crate::configuration::limits::stall_limit;
+use crate::configuration::request_catalog::RequestCatalog;
+use crate::control::admin_server::{self, AdminServer};
+use crate::control::cordon_record::CordonRecord;
+use crate::control::discovery::DiscoveryWatch;
+use crate::control::gossip_transport::GossipTransport;
+use crate::control::maintenance::{MaintenanceHandles, MaintenanceService, Plans};
+use crate::control::pending_order;
+use crate::control::reload::{self, ConfigReloader};
+use crate::counters::{Counters, OriginUsage};
+use crate::engine::{Engine, EngineHandles};
+use crate::lifecycle::handover::{
+    self, HandoverChannel, Predecessor, SuccessorHandler, UpgradeCoordinator, MAX_HANDED_OVER,
+};
+use crate::lifecycle::handover_socket;
+use crate::lifecycle::loop_monitor::{self, RuntimeHandles};
+use crate::lifecycle::shutdown::{watch_signals, Phase};
+use crate::messages::EngineEvent;
+use crate::stages::parse::RequestParser;
 use crate::stages::route::Decide;
-use crate::stages::take_in::Intake;
-use crate::terms::Terms;
 use crate::transport::{self, Listener, Network, Tcp};
+use crate::upstream::upstream_pool::{PoolSettings, UpstreamPool};
 
 /// Messages that may wait for the engine; senders wait beyond that. Each is handled in some microseconds.
 const INBOX: usize = 1024;
@@ -72,7 +74,7 @@
         };
         let (phase, phases) = watch::channel(Phase::Running);
         let (rung, rings) = mpsc::channel(1);
-        let successor = Rc::new(Link::default());
+        let successor = Rc::new(HandoverChannel::default());
         let has_successor = {
             let successor = Rc::clone(&successor);
             move || successor.is_up()
@@ -85,7 +87,7 @@
             let record = CordonSetFile::within(folder.as_deref(), &raw.group, &config.name);
             MembershipAgent::new(raw, &config.name, config.seed, record)
         });
-        let around = Around {
+        let around = ServerDependencies {
             network: Tcp,
             listener,
             operators,
@@ -105,19 +107,19 @@
 }
 
 /// Tells the engine once that this process is to end.
-async fn tell_of_the_end(mut phase: watch::Receiver<Phase>, inbox: mpsc::Sender<Input>) {
+async fn tell_of_the_end(mut phase: watch::Receiver<Phase>, inbox: mpsc::Sender<EngineEvent>) {
     if phase
         .wait_for(|phase| *phase != Phase::Running)
         .await
         .is_ok()
     {
         // The engine is gone only when the whole balancer ends.
-        let _ = inbox.send(Input::Ending).await;
+        let _ = inbox.send(EngineEvent::Ending).await;
     }
 }
 
 /// What a balancer finds round itself: its network, its clock and those who tell it to stop or to read again.
-pub struct Around<N, L> {
+pub struct ServerDependencies<N, L> {
     pub network: N,
     pub listener: L,
     /// Where operators call.
@@ -126,7 +128,7 @@
     pub folder: Option<PathBuf>,
     /// The process that this one takes over from, and the one that takes over from it.
     pub predecessor: Option<Predecessor>,
-    pub successor: Rc<Link>,
+    pub successor: Rc<HandoverChannel>,
     /// The group that this balancer is a member of, where there is one.
     pub members: Option<Rc<MembershipAgent>>,
     pub clock: Clock,
@@ -139,9 +141,9 @@
 pub async fn serve<D: Decide, N: Network, L: Listener>(
     mut config: Config,
     decider: impl FnOnce(Settings, u64) -> D,
-    around: Around<N, L>,
+    around: ServerDependencies<N, L>,
 ) -> io::Result<()> {
-    let Around {
+    let ServerDependencies {
         network,
         listener,
         operators,
@@ -153,7 +155,7 @@
         phase,
         hangups,
     } = around;
-    let before = Rc::new(Link::default());
+    let before = Rc::new(HandoverChannel::default());
     let ask_agent = Rc::new(Notify::new());
     let (known, start) = (std::mem::take(&mut config.known), config.start.clone());
     let zones = start.names.zones.clone();
@@ -167,12 +169,12 @@
     let (agent, agents) = watch::channel(config.discovery);
     let (inbox, inputs) = mpsc::channel(INBOX);
     let (ready, is_ready) = watch::channel(false);
-    let (orders, ordered) = mpsc::channel(orders::MOST_WAITING);
+    let (orders, ordered) = mpsc::channel(pending_order::MAX_WAITING);
     let counters = Rc::new(Counters::default());
     let (clients_elsewhere, servers_elsewhere) = predecessor
         .as_ref()
         .map_or((0, 0), |old| (old.clients, old.servers));
-    let limits = PoolLimits {
+    let limits = PoolSettings {
         connections: sockets.servers,
         elsewhere: servers_elsewhere,
         connect_timeout: duration(start.settings.limits.connect_timeout),
@@ -180,14 +182,14 @@
         stall_limit: stall_limit(&start.settings),
         memory,
     };
-    let pool = Pool::new(
+    let pool = UpstreamPool::new(
         network.clone(),
         limits,
         start.names.report.clone(),
         inbox.clone(),
         Rc::clone(&counters),
     );
-    let watch = Watch::new(
+    let watch = DiscoveryWatch::new(
         network,
         agents,
         start.names.clone(),
@@ -197,16 +199,16 @@
         Rc::clone(&counters),
     )
     .asked_by(Rc::clone(&ask_agent));
-    let door = heartbeat::door(&start.settings, clock, seed);
+    let door = loop_monitor::door(&start.settings, clock, seed);
     let lists = inbox.clone();
-    let terms = Rc::new(RefCell::new(Terms::of(&start)));
+    let terms = Rc::new(RefCell::new(RequestCatalog::of(&start)));
     let places = Arc::new(Semaphore::new(
         sockets.clients.saturating_sub(clients_elsewhere),
     ));
     let kept = Rc::new(OnceCell::new());
-    let context = Rc::new(Context {
+    let context = Rc::new(ClientContext {
         inbox: inbox.clone(),
-        intake: Intake {
+        intake: RequestParser {
             terms: Rc::clone(&terms),
             clock,
             counters: Rc::clone(&counters),
@@ -217,7 +219,7 @@
         },
         counters: Rc::clone(&counters),
         phase: phase.clone(),
-        crowd: Crowd::default(),
+        crowd: ConnectionPressure::default(),
         places: Arc::clone(&places),
         elsewhere: Cell::new(clients_elsewhere),
         successor: Rc::clone(&successor),
@@ -226,7 +228,7 @@
         next_id: Cell::new(0),
     });
     let decider = |settings| decider(settings, seed);
-    let vitals = Vitals {
+    let vitals = RuntimeHandles {
         clock,
         door,
         counters: Rc::clone(&counters),
@@ -246,8 +248,8 @@
         }
         None => None,
     };
-    let origin = Rc::new(OriginUse::default());
-    let shared = Shared {
+    let origin = Rc::new(OriginUsage::default());
+    let shared = EngineHandles {
         vitals: vitals.clone(),
         ready,
         record,
@@ -261,8 +263,8 @@
         listener.local_address()?,
         known.lines.len()
     );
-    let reloads = Reloads::new(config, agent, lists, Rc::clone(&counters));
-    let beating = heartbeat::beat(vitals);
+    let reloads = ConfigReloader::new(config, agent, lists, Rc::clone(&counters));
+    let beating = loop_monitor::beat(vitals);
     watching.push(spawn_local(tell_of_the_end(phase.clone(), inbox.clone())));
     watching.extend([
         spawn_local(beating),
@@ -272,7 +274,7 @@
     if let Some(members) = &members {
         let links = [Rc::clone(&before), Rc::clone(&successor)];
         let (orders, inbox) = (orders.clone(), inbox.clone());
-        let carrier = Carrier {
+        let carrier = GossipTransport {
             members: Rc::clone(members),
             orders,
             inbox,
@@ -299,7 +301,7 @@
                 seed,
                 Plans::default(),
             );
-            let keeper = Keeper::new(Parts {
+            let keeper = MaintenanceService::new(MaintenanceHandles {
                 voters,
                 members: Rc::clone(members),
                 orders: orders.clone(),
@@ -322,17 +324,17 @@
         info!("operators call at {}", listener.local_address()?);
         let links = [Rc::clone(&before), Rc::clone(&successor)];
         let (members, keeper) = (members.clone(), keeper.clone());
-        let desk = Desk {
+        let desk = AdminServer {
             orders: orders.clone(),
             links,
             ready: is_ready.clone(),
             members,
             keeper,
         };
-        watching.push(spawn_local(operators::serve(listener, desk)));
+        watching.push(spawn_local(admin_server::serve(listener, desk)));
     }
     if let Some(folder) = &folder {
-        let attendant = Attendant {
+        let attendant = SuccessorHandler {
             path: handover_socket::path(folder, &name),
             name,
             listener: listener.duplicate()?,
@@ -346,12 +348,12 @@
         };
         watching.push(spawn_local(attendant.run()));
     }
-    let (handed, connections) = mpsc::channel(MOST_HANDED);
+    let (handed, connections) = mpsc::channel(MAX_HANDED_OVER);
     let mut inherited = None;
     if let Some(mut predecessor) = predecessor {
         inherited = predecessor.state.take();
         let orders = orders.clone();
-        let succession = Succession {
+        let succession = UpgradeCoordinator {
             predecessor,
             link: before,
             orders,
@@ -362,7 +364,7 @@
     }
     let mut deciding = spawn_local(engine.run(known, inherited, inputs, ordered));
     let ended = tokio::select! {
-        () = clients::serve(listener, context, sockets.clients, connections) => Ok(()),
+        () = client_server::serve(listener, context, sockets.clients, connections) => Ok(()),
         // Danger: without its engine a balancer would take requests and answer none.
         ended = &mut deciding => Err(io::Error::other(format!("the engine ended: {ended:?}"))),
     };
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 
 use crate::clock::Instant;
-use crate::handover_state::Snapshot;
-use crate::server_list::ServerList;
+use crate::control::server_list::ServerList;
+use crate::lifecycle::handover_state::Snapshot;
 
 /// The final answer to one request, or an immediate one to a command that needs no decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,16 +38,16 @@
 
 /// An answer on its way to the client's connection, with the room that its value takes until it is written.
 #[derive(Debug)]
-pub struct Given {
+pub struct FinalAnswer {
     pub answer: Answer,
     pub room: Option<OwnedSemaphorePermit>,
     /// The pieces of a large one.
-    pub pieces: Option<mpsc::Receiver<Piece>>,
+    pub pieces: Option<mpsc::Receiver<BodyChunk>>,
 }
 
-impl From<Answer> for Given {
+impl From<Answer> for FinalAnswer {
     fn from(answer: Answer) -> Self {
-        Given {
+        FinalAnswer {
             answer,
             room: None,
             pieces: None,
@@ -122,7 +122,7 @@
     pub command: Command,
     /// What a large value takes, until the request is over.
     pub room: Option<Claim>,
-    pub answer: oneshot::Sender<Given>,
+    pub answer: oneshot::Sender<FinalAnswer>,
     /// Raised by the client's connection as its client leaves, whatever waits before the engine then.
     pub over: Rc<Cell<bool>>,
 }
@@ -161,19 +161,19 @@
     pub begun: Instant,
     pub verdict: Verdict,
     /// A large value, which has begun to come: for the attempt that is its end.
-    pub rest: Option<Rest>,
+    pub rest: Option<AnswerBody>,
 }
 
 /// A large value on its way.
 #[derive(Debug)]
-pub struct Rest {
+pub struct AnswerBody {
     pub length: usize,
-    /// Ends without `Piece::End` if the value can't be brought to its end.
-    pub pieces: mpsc::Receiver<Piece>,
+    /// AbortOnDrop without `BodyChunk::End` if the value can't be brought to its end.
+    pub pieces: mpsc::Receiver<BodyChunk>,
 }
 
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     Bytes(Bytes),
     /// All have come, and the reply was good to its last byte.
     End,
@@ -238,7 +238,7 @@
 
 /// What a connection's task tells the pool. The socket is closed before `Closed` is told.
 #[derive(Debug)]
-pub enum PoolNews {
+pub enum PoolEvent {
     Idle {
         connection: ConnectionId,
         end: Option<AttemptEnd>,
@@ -255,10 +255,10 @@
 }
 
 /// What the engine is told.
-pub enum Input {
+pub enum EngineEvent {
     Arrived(Arrival),
     ClientGone(RequestId),
-    Pool(PoolNews),
+    UpstreamPool(PoolEvent),
     List(ServerList),
     /// A successor asks what this process knows; from then on it keeps a part of the descriptors alone.
     Snapshot(oneshot::Sender<Snapshot>),
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -10,11 +10,11 @@
 use tokio::sync::{oneshot, Semaphore};
 
 use crate::clock::Instant;
-use crate::limits::Memory;
-use crate::messages::{Answer, Arrival, Command, Given};
+use crate::configuration::limits::Memory;
+use crate::messages::{Answer, Arrival, Command, FinalAnswer};
 
 /// An attempt whose end has not been heard.
-pub struct Out {
+pub struct OutstandingAttempt {
     pub number: u8,
     /// Used to have the attempt ended early.
     pub cancel: Option<oneshot::Sender<()>>,
@@ -30,47 +30,47 @@
 }
 
 /// An open request, from admission until it is answered and its last attempt has ended.
-pub struct Open {
+pub struct OpenRequest {
     pub command: Command,
     /// What it takes of the room for requests; a large value has room of its own.
     pub bytes: usize,
     pub room: Option<Claim>,
     /// None once answered, or when the engine has heard that the client left.
-    pub answer: Option<oneshot::Sender<Given>>,
+    pub answer: Option<oneshot::Sender<FinalAnswer>>,
     pub sent: u8,
     /// How often it may be sent, as when it was taken.
     pub most: u8,
-    pub out: Vec<Out>,
+    pub out: Vec<OutstandingAttempt>,
     pub deferred: Option<Deferred>,
     /// Raised as the answer is given or the client leaves; shared with its client's connection and with its attempts, which
     /// look before the first byte.
     pub over: Rc<Cell<bool>>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Its client has left, and the engine has not heard it yet.
     pub fn is_deserted(&self) -> bool {
         self.over.get() && self.answer.is_some()
     }
 
     /// What the final answer goes to, once; none if the client has had it or has left. The only place where it is taken.
-    pub fn end(&mut self) -> Option<oneshot::Sender<Given>> {
+    pub fn end(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         self.over.set(true);
         self.answer.take()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotAdmitted {
+pub enum AdmissionError {
     /// Another open request has its id.
     IdOpen,
     /// One too many: memory has an end.
     NoRoom,
 }
 
-/// The open requests; each is taken off in one place, `book`.
-pub struct Table {
-    pub open: FxHashMap<RequestId, Open>,
+/// The open requests; each is taken off in one place, `complete`.
+pub struct RequestTable {
+    pub open: FxHashMap<RequestId, OpenRequest>,
     /// The clients' own ids of the open requests.
     pub ids: FxHashSet<Bytes>,
     pub bytes: usize,
@@ -80,9 +80,9 @@
     most_bytes: usize,
 }
 
-impl Table {
+impl RequestTable {
     pub fn new(most: usize, memory: Memory) -> Self {
-        Table {
+        RequestTable {
             open: FxHashMap::default(),
             ids: FxHashSet::default(),
             bytes: 0,
@@ -98,7 +98,11 @@
     }
 
     /// Enters a request that may be sent so often, or answers it at once.
-    pub fn admit(&mut self, arrival: Arrival, most_attempts: u8) -> Result<Request, NotAdmitted> {
+    pub fn admit(
+        &mut self,
+        arrival: Arrival,
+        most_attempts: u8,
+    ) -> Result<Request, AdmissionError> {
         let Arrival {
             request,
             command,
@@ -116,20 +120,23 @@
         let problem = if self.ids.contains(&command.id) {
             // Danger: servers know a request by its id alone. A second one under it would count as a second copy, and
             // be answered with what was made for the first.
-            Some((NotAdmitted::IdOpen, Answer::Error("ERR id is open already")))
+            Some((
+                AdmissionError::IdOpen,
+                Answer::Error("ERR id is open already"),
+            ))
         } else if self.open.len() >= self.most || self.bytes + bytes > self.most_bytes {
-            Some((NotAdmitted::NoRoom, Answer::Busy { after_ms: None }))
+            Some((AdmissionError::NoRoom, Answer::Busy { after_ms: None }))
         } else {
             None
         };
         if let Some((problem, told)) = problem {
             // A client that has left needs no answer.
-            let _ = answer.send(Given::from(told));
+            let _ = answer.send(FinalAnswer::from(told));
             return Err(problem);
         }
         self.ids.insert(command.id.clone());
         self.bytes += bytes;
-        let open = Open {
+        let open = OpenRequest {
             command,
             bytes,
             room,
--- a/crates/stairfront-balancer/src/stages/take_in.rs
+++ b/crates/stairfront-balancer/src/stages/parse.rs
@@ -10,10 +10,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
+use crate::configuration::request_catalog::RequestCatalog;
+use crate::control::maintenance::MaintenanceService;
 use crate::counters::Counters;
-use crate::maintenance::Keeper;
 use crate::messages::{Answer, Command, Verb};
-use crate::terms::Terms;
 
 /// Longest key, id or list of names and values. They go on in an HTTP head, which servers bound.
 const LONGEST_WORD: usize = 1024;
@@ -26,9 +26,9 @@
 const NOT_READY: &str = "LOADING no list of servers yet";
 
 /// What a command is read against.
-pub struct Intake {
+pub struct RequestParser {
     /// The engine replaces them as it replaces its own settings.
-    pub terms: Rc<RefCell<Terms>>,
+    pub terms: Rc<RefCell<RequestCatalog>>,
     pub clock: Clock,
     pub counters: Rc<Counters>,
     /// Says what is taken while this balancer itself is behind.
@@ -38,10 +38,10 @@
     /// The others of this balancer's group, where there is one.
     pub members: Option<Rc<MembershipAgent>>,
     /// The plans that the group agrees on, once they are there.
-    pub keeper: Rc<OnceCell<Rc<Keeper>>>,
+    pub keeper: Rc<OnceCell<Rc<MaintenanceService>>>,
 }
 
-impl Intake {
+impl RequestParser {
     fn info(&self) -> String {
         let group = self
             .members
@@ -55,7 +55,7 @@
     }
 }
 
-pub enum Taken {
+pub enum Accepted {
     Request {
         command: Command,
         request: Request,
@@ -65,36 +65,36 @@
     Last(Answer),
 }
 
-pub fn take_in(words: Vec<Bytes>, intake: &Intake) -> Taken {
+pub fn parse(words: Vec<Bytes>, intake: &RequestParser) -> Accepted {
     let Some(name) = words.first().map(|word| word.to_ascii_uppercase()) else {
         return reject(intake, BAD_COMMAND);
     };
     let verb = match &name[..] {
         b"C.GET" => Verb::Get,
         b"C.SET" => Verb::Set,
-        b"PING" if *intake.ready.borrow() => return Taken::Answered(Answer::Pong),
-        b"PING" => return Taken::Answered(Answer::Error(NOT_READY)),
-        b"INFO" => return Taken::Answered(Answer::Text(intake.info())),
-        b"CLIENT" | b"SELECT" => return Taken::Answered(Answer::Ok),
-        b"QUIT" => return Taken::Last(Answer::Ok),
+        b"PING" if *intake.ready.borrow() => return Accepted::Answered(Answer::Pong),
+        b"PING" => return Accepted::Answered(Answer::Error(NOT_READY)),
+        b"INFO" => return Accepted::Answered(Answer::Text(intake.info())),
+        b"CLIENT" | b"SELECT" => return Accepted::Answered(Answer::Ok),
+        b"QUIT" => return Accepted::Last(Answer::Ok),
         _ => return reject(intake, UNKNOWN_COMMAND),
     };
     let Some(command) = command(verb, words) else {
         return reject(intake, BAD_COMMAND);
     };
     match request(&command, intake) {
-        Ok(request) => Taken::Request { command, request },
-        Err(Turned::Unfit(problem)) => reject(intake, problem),
-        Err(Turned::Shed { after_ms }) => {
+        Ok(request) => Accepted::Request { command, request },
+        Err(Rejection::Unfit(problem)) => reject(intake, problem),
+        Err(Rejection::Shed { after_ms }) => {
             intake.counters.shed.add();
-            Taken::Answered(Answer::Busy { after_ms })
+            Accepted::Answered(Answer::Busy { after_ms })
         }
     }
 }
 
-fn reject(intake: &Intake, problem: &'static str) -> Taken {
+fn reject(intake: &RequestParser, problem: &'static str) -> Accepted {
     intake.counters.rejected.add();
-    Taken::Answered(Answer::Error(problem))
+    Accepted::Answered(Answer::Error(problem))
 }
 
 fn command(verb: Verb, words: Vec<Bytes>) -> Option<Command> {
@@ -118,19 +118,24 @@
 }
 
 /// Why a command becomes no request.
-enum Turned {
+enum Rejection {
     Unfit(&'static str),
     Shed { after_ms: Option<u64> },
 }
 
-impl From<&'static str> for Turned {
+impl From<&'static str> for Rejection {
     fn from(problem: &'static str) -> Self {
-        Turned::Unfit(problem)
+        Rejection::Unfit(problem)
     }
 }
 
 /// Asked before the key is hashed or anything is entered, so that what is turned away costs little more than its reading.
-fn knock(intake: &Intake, class: ClassId, tenant: TenantId, retry: bool) -> Result<(), Turned> {
+fn knock(
+    intake: &RequestParser,
+    class: ClassId,
+    tenant: TenantId,
+    retry: bool,
+) -> Result<(), Rejection> {
     let arrival = Arrival {
         tenant: usize::try_from(tenant.0).ok(),
         class: usize::from(class.0),
@@ -138,11 +143,11 @@
     };
     match intake.door.borrow_mut().ask(arrival) {
         AdmissionDecision::Take => Ok(()),
-        AdmissionDecision::Refuse { after_ms } => Err(Turned::Shed { after_ms }),
+        AdmissionDecision::Refuse { after_ms } => Err(Rejection::Shed { after_ms }),
     }
 }
 
-fn request(command: &Command, intake: &Intake) -> Result<Request, Turned> {
+fn request(command: &Command, intake: &RequestParser) -> Result<Request, Rejection> {
     let (now, terms) = (intake.clock.now(), intake.terms.borrow());
     let (mut class, mut tenant, mut wait, mut repeat) = (None, TenantId(u32::MAX), None, false);
     let mut told = [0; 2];
--- a/crates/stairfront-balancer/src/stages/relay.rs
+++ b/crates/stairfront-balancer/src/stages/relay.rs
@@ -5,26 +5,26 @@
 use stairfront_policy::interface::{AttemptResult, RequestId};
 
 use crate::clock::micros;
-use crate::messages::{Answer, AttemptEnd, Given, Rest};
-use crate::stages::admit::{Open, Table};
+use crate::messages::{Answer, AnswerBody, AttemptEnd, FinalAnswer};
+use crate::stages::admit::{OpenRequest, RequestTable};
 
-impl Table {
+impl RequestTable {
     /// Gives the client its final answer; false if it has had one or has left.
-    pub fn answer(&mut self, request: RequestId, answer: impl Into<Given>) -> bool {
-        let sender = self.open.get_mut(&request).and_then(Open::end);
+    pub fn answer(&mut self, request: RequestId, answer: impl Into<FinalAnswer>) -> bool {
+        let sender = self.open.get_mut(&request).and_then(OpenRequest::end);
         // A client that left in this moment is told of by its connection.
         sender.is_some_and(|sender| sender.send(answer.into()).is_ok())
     }
 
     /// Danger: clients that ask for large values and read none of them would have all memory filled with answers.
-    fn with_room(&self, value: &Bytes) -> Given {
+    fn with_room(&self, value: &Bytes) -> FinalAnswer {
         let bytes = u32::try_from(value.len()).unwrap_or(u32::MAX);
         match Arc::clone(&self.room).try_acquire_many_owned(bytes) {
-            Ok(room) => Given {
+            Ok(room) => FinalAnswer {
                 room: Some(room),
-                ..Given::from(Answer::Value(value.clone()))
+                ..FinalAnswer::from(Answer::Value(value.clone()))
             },
-            Err(_) => Given::from(Answer::Failed),
+            Err(_) => FinalAnswer::from(Answer::Failed),
         }
     }
 
@@ -37,13 +37,13 @@
         if let Some(value) = &end.verdict.value {
             self.answer(id, self.with_room(value));
         }
-        if let Some(Rest { length, pieces }) = end.rest.take() {
+        if let Some(AnswerBody { length, pieces }) = end.rest.take() {
             // Where nobody waits for it any more, its connection sees that and ends.
             self.answer(
                 id,
-                Given {
+                FinalAnswer {
                     pieces: Some(pieces),
-                    ..Given::from(Answer::Large(length))
+                    ..FinalAnswer::from(Answer::Large(length))
                 },
             );
         }
--- a/crates/stairfront-balancer/src/stages/send.rs
+++ b/crates/stairfront-balancer/src/stages/send.rs
@@ -6,9 +6,9 @@
 
 use crate::clock::{duration, Instant};
 use crate::messages::{AttemptEnd, AttemptId, Job, Verdict};
-use crate::stages::admit::{Deferred, Out, Table};
+use crate::stages::admit::{Deferred, OutstandingAttempt, RequestTable};
 
-pub enum Sending {
+pub enum SendDecision {
     Job(Job),
     /// Over before it began: the request has ended or its time is up.
     Ended(AttemptEnd),
@@ -16,23 +16,23 @@
     Deferred,
 }
 
-impl Table {
+impl RequestTable {
     pub fn send(
         &mut self,
         request: RequestId,
         cache: CacheId,
         timeout: Micros,
         lapses: Option<Micros>,
-    ) -> Sending {
+    ) -> SendDecision {
         let Some(open) = self.open.get_mut(&request) else {
             let attempt = AttemptId { request, number: 0 };
-            return Sending::Ended(moot(attempt, cache));
+            return SendDecision::Ended(moot(attempt, cache));
         };
         let number = open.sent;
         open.sent = open.sent.saturating_add(1);
         let lapses = lapses.map(|within| Instant::now() + duration(within));
         if open.over.get() || number >= open.most || timeout < 0 {
-            return Sending::Ended(moot(AttemptId { request, number }, cache));
+            return SendDecision::Ended(moot(AttemptId { request, number }, cache));
         }
         // Danger: two attempts of one request must not be out at once, and a cancelled one is out until its
         // connection is closed.
@@ -43,9 +43,9 @@
                 timeout,
                 lapses,
             });
-            return Sending::Deferred;
+            return SendDecision::Deferred;
         }
-        Sending::Job(job(
+        SendDecision::Job(job(
             open,
             AttemptId { request, number },
             cache,
@@ -55,7 +55,7 @@
     }
 
     /// The send that waited for the end of a cancelled attempt.
-    pub fn send_deferred(&mut self, request: RequestId) -> Option<Sending> {
+    pub fn send_deferred(&mut self, request: RequestId) -> Option<SendDecision> {
         let open = self.open.get_mut(&request)?;
         if open.out.iter().any(|out| out.cancel.is_none()) {
             return None;
@@ -69,9 +69,9 @@
         let attempt = AttemptId { request, number };
         // Danger: nothing more may go out for a request that has had its answer meanwhile.
         Some(if open.over.get() {
-            Sending::Ended(moot(attempt, cache))
+            SendDecision::Ended(moot(attempt, cache))
         } else {
-            Sending::Job(job(open, attempt, cache, timeout, lapses))
+            SendDecision::Job(job(open, attempt, cache, timeout, lapses))
         })
     }
 
@@ -85,14 +85,14 @@
 }
 
 fn job(
-    open: &mut super::admit::Open,
+    open: &mut super::admit::OpenRequest,
     attempt: AttemptId,
     cache: CacheId,
     timeout: Micros,
     lapses: Option<Instant>,
 ) -> Job {
     let (cancel, cancelled) = oneshot::channel();
-    open.out.push(Out {
+    open.out.push(OutstandingAttempt {
         number: attempt.number,
         cancel: Some(cancel),
     });
--- a/crates/stairfront-balancer/src/transport.rs
+++ b/crates/stairfront-balancer/src/transport.rs
@@ -64,7 +64,7 @@
 
 pub trait Network: Clone + 'static {
     type Stream: Stream;
-    /// Ends with an error as soon as it is known that the connection cannot be made; the caller bounds the time.
+    /// AbortOnDrop with an error as soon as it is known that the connection cannot be made; the caller bounds the time.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
--- a/crates/stairfront-balancer/src/cache_host.rs
+++ b/crates/stairfront-balancer/src/upstream/cache_host.rs
@@ -10,9 +10,9 @@
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::connection::Speech;
-use crate::load_report::load_report;
 use crate::messages::{Outgoing, Verb, Verdict};
+use crate::upstream::connection::UpstreamProtocol;
+use crate::upstream::load_report::load_report;
 
 /// Longest word on how a request went.
 const LONGEST_NOTE: usize = 16;
@@ -61,7 +61,7 @@
     }
 }
 
-impl Speech for CacheCodec {
+impl UpstreamProtocol for CacheCodec {
     type Reply = Value;
     const BEHIND: &'static [u8] = b"\r\n";
 
--- a/crates/stairfront-balancer/src/connection.rs
+++ b/crates/stairfront-balancer/src/upstream/connection.rs
@@ -20,12 +20,12 @@
 use crate::clock::{sleep_until, timeout, timeout_at, Instant};
 use crate::counters::Counters;
 use crate::messages::{
-    AttemptEnd, ConnectionId, Input, Job, Outgoing, Piece, PoolNews, Rest, Verdict,
+    AnswerBody, AttemptEnd, BodyChunk, ConnectionId, EngineEvent, Job, Outgoing, PoolEvent, Verdict,
 };
 use crate::transport::{Network, Stream, Unread};
 
 /// Pieces of a large value that wait for its client.
-const MOST_PIECES: usize = 1;
+const MAX_QUEUED_CHUNKS: usize = 1;
 /// The most that one piece of a large value has. Danger: each costs two system calls and two wakes, and with the few
 /// kilobytes that a codec reads at once a part of a core is used up by them alone.
 const PIECE: usize = 32 * 1024;
@@ -33,7 +33,7 @@
 const LEAST_ROOM: usize = 4 * 1024;
 
 /// How one kind of server is spoken to.
-pub trait Speech:
+pub trait UpstreamProtocol:
     Decoder<Item = Part<Self::Reply>> + Encoder<Outgoing, Error = <Self as Decoder>::Error> + Sized
 {
     type Reply: Debug;
@@ -47,9 +47,9 @@
 }
 
 /// What every connection's task needs to know.
-pub struct Common<N> {
+pub struct ConnectionContext<N> {
     pub network: N,
-    pub inbox: mpsc::Sender<Input>,
+    pub inbox: mpsc::Sender<EngineEvent>,
     pub counters: Rc<Counters>,
     pub report: Vec<String>,
     pub connect_timeout: Cell<Duration>,
@@ -62,17 +62,17 @@
 }
 
 /// The owner of one socket.
-pub struct Task<N: Network> {
+pub struct ConnectionTask<N: Network> {
     pub id: ConnectionId,
     pub address: SocketAddr,
     /// Raised when nothing new may be begun at this server.
     pub barred: Rc<Cell<bool>>,
-    pub common: Rc<Common<N>>,
+    pub common: Rc<ConnectionContext<N>>,
     pub jobs: mpsc::Receiver<Job>,
 }
 
-impl<N: Network> Task<N> {
-    pub async fn run<S: Speech>(mut self, first: Job)
+impl<N: Network> ConnectionTask<N> {
+    pub async fn run<S: UpstreamProtocol>(mut self, first: Job)
     where
         <S as Decoder>::Error: std::fmt::Display + 'static,
     {
@@ -103,13 +103,13 @@
             let exchanged = match job.may_begin() {
                 true => exchange(&mut wire, &mut job, &self.common.report).await,
                 // Nothing was written: the connection is as good as it was.
-                false => Exchanged::Over(Verdict::bare(Outcome::NeverSent), true),
+                false => ExchangeOutcome::Over(Verdict::bare(Outcome::NeverSent), true),
             };
             let (end, reusable) = match exchanged {
-                Exchanged::Over(verdict, reusable) => (Some(job.end(verdict)), reusable),
-                Exchanged::Begun(verdict, length) => {
-                    let (pieces, coming) = mpsc::channel(MOST_PIECES);
-                    let rest = Some(Rest {
+                ExchangeOutcome::Over(verdict, reusable) => (Some(job.end(verdict)), reusable),
+                ExchangeOutcome::Begun(verdict, length) => {
+                    let (pieces, coming) = mpsc::channel(MAX_QUEUED_CHUNKS);
+                    let rest = Some(AnswerBody {
                         length,
                         pieces: coming,
                     });
@@ -117,7 +117,7 @@
                         rest,
                         ..job.end(verdict)
                     };
-                    self.tell(PoolNews::Begun { end }).await;
+                    self.tell(PoolEvent::Begun { end }).await;
                     (None, pass_on(&mut wire, &pieces, &self.common).await)
                 }
             };
@@ -133,7 +133,7 @@
                 drop(wire);
                 return self.closed_with(end, None, more).await;
             }
-            self.tell(PoolNews::Idle {
+            self.tell(PoolEvent::Idle {
                 connection: self.id,
                 end,
             })
@@ -158,14 +158,17 @@
         }
     }
 
-    async fn connect<S: Speech>(&self, job: &mut Job) -> Result<Framed<N::Stream, S>, Outcome> {
+    async fn connect<S: UpstreamProtocol>(
+        &self,
+        job: &mut Job,
+    ) -> Result<Framed<N::Stream, S>, Outcome> {
         let limit = job.connect_limit(self.common.connect_timeout.get());
         tokio::select! {
             biased;
             () = cancelled(&mut job.cancel) => Err(Outcome::Cancelled),
             connected = timeout_at(limit, self.common.network.connect(self.address)) => match connected {
                 Ok(Ok(socket)) => {
-                    let Common { largest_value, budget, .. } = &*self.common;
+                    let ConnectionContext { largest_value, budget, .. } = &*self.common;
                     Ok(Framed::new(socket, S::new(self.address, *largest_value, budget)))
                 }
                 Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
@@ -174,7 +177,7 @@
     }
 
     /// The next attempt for this connection; none if it has ended, stood idle too long or is to close.
-    async fn next_job<S: Speech>(
+    async fn next_job<S: UpstreamProtocol>(
         &mut self,
         wire: &mut Framed<N::Stream, S>,
         until: Instant,
@@ -193,7 +196,7 @@
 
     async fn closed_with(self, end: Option<AttemptEnd>, unsent: Option<Job>, surplus: bool) {
         let (connection, unsent) = (self.id, unsent.map(Box::new));
-        self.tell(PoolNews::Closed {
+        self.tell(PoolEvent::Closed {
             connection,
             end,
             unsent,
@@ -202,9 +205,13 @@
         .await;
     }
 
-    async fn tell(&self, news: PoolNews) {
+    async fn tell(&self, news: PoolEvent) {
         // The engine is gone only when the whole balancer ends.
-        let _ = self.common.inbox.send(Input::Pool(news)).await;
+        let _ = self
+            .common
+            .inbox
+            .send(EngineEvent::UpstreamPool(news))
+            .await;
     }
 }
 
@@ -225,7 +232,7 @@
 }
 
 /// What became of a command.
-enum Exchanged {
+enum ExchangeOutcome {
     /// The attempt is over; whether the connection can be used again.
     Over(Verdict, bool),
     /// A value of so many bytes has begun to come.
@@ -234,10 +241,10 @@
 
 /// Passes a large value on as it comes; whether the connection can be used again. Danger: read ahead of its client, values
 /// together far over the memory limit would be held. What is not wanted yet stays with the server.
-async fn pass_on<T: Stream, S: Speech, N>(
+async fn pass_on<T: Stream, S: UpstreamProtocol, N>(
     wire: &mut Framed<T, S>,
-    pieces: &mpsc::Sender<Piece>,
-    common: &Common<N>,
+    pieces: &mpsc::Sender<BodyChunk>,
+    common: &ConnectionContext<N>,
 ) -> bool
 where
     <S as Decoder>::Error: std::fmt::Display + 'static,
@@ -257,7 +264,7 @@
             Ok(None) | Err(_) => break,
         };
         let (piece, reusable) = match part {
-            Part::Piece(bytes) => (Piece::Bytes(bytes), None),
+            Part::Piece(bytes) => (BodyChunk::Bytes(bytes), None),
             Part::Done(reply) => match S::verdict(reply, &common.report) {
                 (
                     Verdict {
@@ -265,7 +272,7 @@
                         ..
                     },
                     reusable,
-                ) => (Piece::End, Some(reusable)),
+                ) => (BodyChunk::End, Some(reusable)),
                 // What stands behind the value belongs to no answer: the value may be wrong as well.
                 _ => break,
             },
@@ -284,11 +291,11 @@
 }
 
 /// One command and what comes back.
-async fn exchange<T: Stream, S: Speech>(
+async fn exchange<T: Stream, S: UpstreamProtocol>(
     wire: &mut Framed<T, S>,
     job: &mut Job,
     report: &[String],
-) -> Exchanged
+) -> ExchangeOutcome
 where
     <S as Decoder>::Error: std::fmt::Display + 'static,
 {
@@ -316,21 +323,21 @@
             Ok(Ok(())) => {}
             Ok(Err(problem)) => {
                 debug!("request not written: {problem}");
-                return Exchanged::Over(Verdict::bare(Outcome::ConnectFailed), false);
+                return ExchangeOutcome::Over(Verdict::bare(Outcome::ConnectFailed), false);
             }
             // Closed before its last byte was written, it never ran.
-            Err(_) => return Exchanged::Over(Verdict::bare(Outcome::ConnectFailed), false),
+            Err(_) => return ExchangeOutcome::Over(Verdict::bare(Outcome::ConnectFailed), false),
         }
         written = true;
         shrink(wire.write_buffer_mut());
         match wire.next().await {
             Some(Ok(Part::Whole(reply))) => {
                 let (verdict, reusable) = S::verdict(reply, report);
-                Exchanged::Over(verdict, reusable)
+                ExchangeOutcome::Over(verdict, reusable)
             }
             Some(Ok(Part::Begun(length, reply))) => {
                 let (verdict, _) = S::verdict(reply, report);
-                Exchanged::Begun(
+                ExchangeOutcome::Begun(
                     Verdict {
                         value: None,
                         ..verdict
@@ -340,7 +347,7 @@
             }
             // No reader yields these first.
             Some(Ok(Part::Piece(_) | Part::Done(_))) => {
-                Exchanged::Over(Verdict::bare(Outcome::Malformed), false)
+                ExchangeOutcome::Over(Verdict::bare(Outcome::Malformed), false)
             }
             Some(Err(problem)) => {
                 debug!("reply not read: {problem}");
@@ -349,9 +356,9 @@
                 } else {
                     Outcome::Reset
                 };
-                Exchanged::Over(Verdict::bare(outcome), false)
+                ExchangeOutcome::Over(Verdict::bare(outcome), false)
             }
-            None => Exchanged::Over(Verdict::bare(Outcome::Reset), false),
+            None => ExchangeOutcome::Over(Verdict::bare(Outcome::Reset), false),
         }
     };
     let outcome = tokio::select! {
@@ -366,5 +373,5 @@
     } else {
         outcome
     };
-    Exchanged::Over(Verdict::bare(outcome), false)
+    ExchangeOutcome::Over(Verdict::bare(outcome), false)
 }
--- a/crates/stairfront-balancer/src/load_report.rs
+++ b/crates/stairfront-balancer/src/upstream/load_report.rs
@@ -2,7 +2,7 @@
 use stairfront_policy::interface::LoadReport;
 
 /// Load reports hold four values at most.
-const MOST_VALUES: usize = 4;
+const MAX_VALUES: usize = 4;
 
 /// A report such as `inflight=7,queue=2`, in the order in which the settings name the fields. Danger: a part of one, or
 /// a figure that no server can have, would be believed; such a report is none.
@@ -23,7 +23,7 @@
         (values.next().is_none() && figure.is_finite() && figure >= 0.0).then_some(figure)
     };
     let mut load = LoadReport::default();
-    for (i, field) in fields.iter().enumerate().take(MOST_VALUES) {
+    for (i, field) in fields.iter().enumerate().take(MAX_VALUES) {
         match read(field) {
             Some(figure) => (load.values[i], load.len) = (figure, i as u8 + 1),
             None => return LoadReport::default(),
--- a/crates/stairfront-balancer/src/origin.rs
+++ b/crates/stairfront-balancer/src/upstream/origin.rs
@@ -10,9 +10,9 @@
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::connection::Speech;
-use crate::load_report::load_report;
 use crate::messages::{Outgoing, Verb, Verdict};
+use crate::upstream::connection::UpstreamProtocol;
+use crate::upstream::load_report::load_report;
 
 #[derive(Debug)]
 pub struct OriginCodec {
@@ -83,7 +83,7 @@
     target
 }
 
-impl Speech for OriginCodec {
+impl UpstreamProtocol for OriginCodec {
     type Reply = Response;
     const BEHIND: &'static [u8] = b"";
 
--- a/crates/stairfront-balancer/src/caches.rs
+++ b/crates/stairfront-balancer/src/upstream/upstream_pool.rs
@@ -12,14 +12,14 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use crate::cache_host::CacheCodec;
 use crate::clock::Instant;
-use crate::connection::{Common, Task};
+use crate::configuration::limits::Memory;
 use crate::counters::Counters;
-use crate::limits::Memory;
-use crate::messages::{AttemptEnd, AttemptId, ConnectionId, Input, Job, PoolNews, Verdict};
-use crate::origin::OriginCodec;
+use crate::messages::{AttemptEnd, AttemptId, ConnectionId, EngineEvent, Job, PoolEvent, Verdict};
 use crate::transport::Network;
+use crate::upstream::cache_host::CacheCodec;
+use crate::upstream::connection::{ConnectionContext, ConnectionTask};
+use crate::upstream::origin::OriginCodec;
 
 /// Part of the servers' own idle limit after which a connection is closed here. Danger: a request written to a
 /// connection that the server is just closing ends as a reset, and may have run.
@@ -47,7 +47,7 @@
     endpoint: UpstreamTarget,
     /// Raised when connections made so far are not to be used again.
     epoch: u64,
-    /// Nothing new may be begun there. Shared with its connections' tasks, which look before the first byte.
+    /// Nothing new may be begun there. EngineHandles with its connections' tasks, which look before the first byte.
     barred: Rc<Cell<bool>>,
     /// Idle connections, the one used last at the end: reusing that one lets the others run into their limit.
     idle: Vec<ConnectionId>,
@@ -72,8 +72,8 @@
     jobs: Option<mpsc::Sender<Job>>,
 }
 
-pub struct Pool<N: Network> {
-    common: Rc<Common<N>>,
+pub struct UpstreamPool<N: Network> {
+    common: Rc<ConnectionContext<N>>,
     hosts: FxHashMap<CacheId, Host>,
     connections: FxHashMap<ConnectionId, Connection>,
     most: usize,
@@ -89,7 +89,7 @@
     rest_until: Option<Instant>,
 }
 
-pub struct PoolLimits {
+pub struct PoolSettings {
     pub connections: usize,
     /// How many of them the old process of this balancer keeps until its end.
     pub elsewhere: usize,
@@ -101,15 +101,15 @@
     pub memory: Memory,
 }
 
-impl<N: Network> Pool<N> {
+impl<N: Network> UpstreamPool<N> {
     pub fn new(
         network: N,
-        limits: PoolLimits,
+        limits: PoolSettings,
         report: Vec<String>,
-        inbox: mpsc::Sender<Input>,
+        inbox: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
-        let PoolLimits {
+        let PoolSettings {
             connections: most,
             elsewhere,
             connect_timeout,
@@ -119,8 +119,8 @@
         } = limits;
         let (largest_value, budget) = (memory.largest_value, Budget::new(memory.replies));
         let idle_limit = servers_idle_limit.mul_f64(IDLE_PART);
-        Pool {
-            common: Rc::new(Common {
+        UpstreamPool {
+            common: Rc::new(ConnectionContext {
                 network,
                 inbox,
                 counters,
@@ -231,7 +231,7 @@
         self.new_waits.drain(..)
     }
 
-    /// Ends the attempts to a server that still wait for a socket. Danger: they would be sent to it long after
+    /// AbortOnDrop the attempts to a server that still wait for a socket. Danger: they would be sent to it long after
     /// discovery told that it drains.
     pub fn end_waiting(&mut self, cache: CacheId, ends: &mut impl Extend<AttemptEnd>) {
         self.waiting.retain(|job| {
@@ -295,7 +295,7 @@
         None
     }
 
-    /// Ends an attempt that still waits for a socket. Danger: a want of sockets here would count as a failure of the
+    /// AbortOnDrop an attempt that still waits for a socket. Danger: a want of sockets here would count as a failure of the
     /// server, and all of them would rest. It was never issued.
     pub fn give_up_waiting(&mut self, attempt: AttemptId) -> Option<AttemptEnd> {
         let i = self.waiting.iter().position(|job| job.attempt == attempt)?;
@@ -305,14 +305,14 @@
     }
 
     /// Books what a connection tells; ends of attempts go into `ends`.
-    pub fn hear(&mut self, news: PoolNews, ends: &mut impl Extend<AttemptEnd>) {
+    pub fn hear(&mut self, news: PoolEvent, ends: &mut impl Extend<AttemptEnd>) {
         match news {
-            PoolNews::Idle { connection, end } => {
+            PoolEvent::Idle { connection, end } => {
                 ends.extend(end);
                 self.keep(connection, ends);
             }
-            PoolNews::Begun { end } => ends.extend([end]),
-            PoolNews::Closed {
+            PoolEvent::Begun { end } => ends.extend([end]),
+            PoolEvent::Closed {
                 connection,
                 end,
                 unsent,
@@ -359,7 +359,7 @@
         self.common.counters.server_connections_opened.add();
         self.common.counters.server_connections_open.add();
         let (address, barred) = (host.endpoint.address, Rc::clone(&host.barred));
-        let task = Task {
+        let task = ConnectionTask {
             id,
             address,
             barred,
--- a/crates/stairfront-balancer/tests/clients.rs
+++ b/crates/stairfront-balancer/tests/clients.rs
@@ -233,7 +233,8 @@
 ) -> (Balancer, Client) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let text = config(listener.local_addr().unwrap(), agent, lines, 1024).to_string();
-    let config = stairfront_balancer::config::Config::from_text("test", &text).unwrap();
+    let config =
+        stairfront_balancer::configuration::config::Config::from_text("test", &text).unwrap();
     let balancer = Balancer::begin(None, listener, config).await;
     let client = balancer.client().await;
     (balancer, client)
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! What the balancer makes of its messages on the wire.
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
-use stairfront_balancer::cache_host::CacheCodec;
-use stairfront_balancer::clients::ClientCodec;
+use stairfront_balancer::client::server::ClientCodec;
 use stairfront_balancer::messages::{Answer, Command, Outgoing, Verb};
+use stairfront_balancer::upstream::cache_host::CacheCodec;
 use stairfront_codec::budget::Budget;
 use stairfront_codec::part::Part;
 use stairfront_codec::resp::{Value, LARGEST_BULK};
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -9,9 +9,9 @@
 
 use serde_json::{json, Value};
 use stairfront_balancer::clock::Clock;
-use stairfront_balancer::config::Config;
-use stairfront_balancer::server::{self, Around};
-use stairfront_balancer::shutdown::Phase;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::lifecycle::server::{self, ServerDependencies};
+use stairfront_balancer::lifecycle::shutdown::Phase;
 use stairfront_balancer::transport::Tcp;
 use stairfront_policy::Policy;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -91,7 +91,7 @@
     Twice(Vec<u8>, Duration, Vec<u8>),
     /// Keeps the connection and says nothing.
     Silence,
-    /// Ends the connection without an answer.
+    /// AbortOnDrop the connection without an answer.
     End,
     /// Says a part of an answer and ends the connection.
     Cut(Vec<u8>),
@@ -377,7 +377,7 @@
         let (phase, phases) = watch::channel(Phase::Running);
         let (hangups, rings) = mpsc::channel(1);
         let clock = Clock::start();
-        let around = Around {
+        let around = ServerDependencies {
             network: Tcp,
             listener,
             operators: Some(door),
--- a/crates/stairfront-balancer/tests/config.rs
+++ b/crates/stairfront-balancer/tests/config.rs
@@ -3,8 +3,8 @@
 
 use common::{config, line};
 use serde_json::{json, Value};
-use stairfront_balancer::config::{Config, ConfigError};
-use stairfront_balancer::limits::Memory;
+use stairfront_balancer::configuration::config::{Config, ConfigError};
+use stairfront_balancer::configuration::limits::Memory;
 
 fn good() -> Value {
     let address = "127.0.0.1:6379".parse().unwrap();
--- a/crates/stairfront-balancer/tests/crossings.rs
+++ b/crates/stairfront-balancer/tests/crossings.rs
@@ -12,7 +12,7 @@
     run_within, until, Balancer, Log, Step,
 };
 use serde_json::Value;
-use stairfront_balancer::shutdown::Phase;
+use stairfront_balancer::lifecycle::shutdown::Phase;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
--- a/crates/stairfront-balancer/tests/departures.rs
+++ b/crates/stairfront-balancer/tests/departures.rs
@@ -8,20 +8,20 @@
 
 use bytes::Bytes;
 use common::{cache, commands, config, get, hit, line, ms, run, until, Client, Log};
-use stairfront_balancer::caches::{Pool, PoolLimits};
-use stairfront_balancer::clients::{self, Context, Crowd};
+use stairfront_balancer::client::server::{self, ClientContext, ConnectionPressure};
 use stairfront_balancer::clock::Clock;
-use stairfront_balancer::config::Config;
-use stairfront_balancer::cordon_record::CordonRecord;
-use stairfront_balancer::engine::{Engine, Shared};
-use stairfront_balancer::heartbeat::{self, Vitals};
-use stairfront_balancer::limits::Memory;
-use stairfront_balancer::messages::{Arrival, Command, Given, Input, Verb};
-use stairfront_balancer::shutdown::Phase;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::configuration::limits::Memory;
+use stairfront_balancer::configuration::request_catalog::RequestCatalog;
+use stairfront_balancer::control::cordon_record::CordonRecord;
+use stairfront_balancer::engine::{Engine, EngineHandles};
+use stairfront_balancer::lifecycle::loop_monitor::{self, RuntimeHandles};
+use stairfront_balancer::lifecycle::shutdown::Phase;
+use stairfront_balancer::messages::{Arrival, Command, EngineEvent, FinalAnswer, Verb};
+use stairfront_balancer::stages::parse::RequestParser;
 use stairfront_balancer::stages::route::Decide;
-use stairfront_balancer::stages::take_in::Intake;
-use stairfront_balancer::terms::Terms;
 use stairfront_balancer::transport::Tcp;
+use stairfront_balancer::upstream::upstream_pool::{PoolSettings, UpstreamPool};
 use stairfront_codec::budget::Budget;
 use stairfront_policy::interface::{
     Action, ClassId, Event, Key, Micros, Request, RequestId, TenantId, SECOND,
@@ -41,25 +41,29 @@
 fn context(
     config: &Config,
     room: usize,
-) -> (Rc<Context>, mpsc::Receiver<Input>, watch::Sender<Phase>) {
+) -> (
+    Rc<ClientContext>,
+    mpsc::Receiver<EngineEvent>,
+    watch::Sender<Phase>,
+) {
     let (inbox, inputs) = mpsc::channel(room);
     let (phase, phases) = watch::channel(Phase::Running);
     let (clock, start, memory) = (Clock::start(), &config.start, config.memory);
-    let intake = Intake {
-        terms: Rc::new(RefCell::new(Terms::of(start))),
+    let intake = RequestParser {
+        terms: Rc::new(RefCell::new(RequestCatalog::of(start))),
         clock,
         counters: Rc::default(),
-        door: heartbeat::door(&start.settings, clock, 0),
+        door: loop_monitor::door(&start.settings, clock, 0),
         ready: watch::channel(true).1,
         members: None,
         keeper: Rc::default(),
     };
-    let context = Context {
+    let context = ClientContext {
         inbox,
         intake,
         counters: Rc::default(),
         phase: phases,
-        crowd: Crowd::default(),
+        crowd: ConnectionPressure::default(),
         places: Arc::new(Semaphore::new(8)),
         elsewhere: Cell::new(0),
         successor: Rc::default(),
@@ -79,7 +83,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (_handing, handed) = mpsc::channel(1);
-        spawn_local(clients::serve(listener, Rc::clone(&context), 8, handed));
+        spawn_local(server::serve(listener, Rc::clone(&context), 8, handed));
         let mut client = Client::connect(address).await.unwrap();
         for id in ["1", "2", "3"] {
             client.send(&get("k", id, 1400)).await;
@@ -92,7 +96,7 @@
             sleep(ms(50)).await;
             (0..3)
                 .map(|_| match inputs.try_recv() {
-                    Ok(Input::Arrived(arrival)) => arrival.over,
+                    Ok(EngineEvent::Arrived(arrival)) => arrival.over,
                     _ => panic!("three arrivals are first"),
                 })
                 .collect()
@@ -133,7 +137,7 @@
         let (inbox, inputs) = mpsc::channel(8);
         let (_orders, ordered) = mpsc::channel(1);
         let (clock, start, memory) = (Clock::start(), config.start.clone(), Memory::of(64));
-        let limits = PoolLimits {
+        let limits = PoolSettings {
             connections: 4,
             elsewhere: 0,
             connect_timeout: ms(250),
@@ -141,17 +145,17 @@
             stall_limit: ms(10_000),
             memory,
         };
-        let pool = Pool::new(Tcp, limits, Vec::new(), inbox.clone(), Rc::default());
-        let door = heartbeat::door(&start.settings, clock, 0);
-        let shared = Shared {
-            vitals: Vitals {
+        let pool = UpstreamPool::new(Tcp, limits, Vec::new(), inbox.clone(), Rc::default());
+        let door = loop_monitor::door(&start.settings, clock, 0);
+        let shared = EngineHandles {
+            vitals: RuntimeHandles {
                 clock,
                 door,
                 counters: Rc::default(),
             },
             ready: watch::channel(false).0,
             record: CordonRecord::within(None, "b"),
-            terms: Rc::new(RefCell::new(Terms::of(&start))),
+            terms: Rc::new(RefCell::new(RequestCatalog::of(&start))),
             members: None,
             origin: Rc::default(),
         };
@@ -164,7 +168,7 @@
             pool,
             shared,
         );
-        let (answer, receiver) = oneshot::channel::<Given>();
+        let (answer, receiver) = oneshot::channel::<FinalAnswer>();
         let (id, class, tenant, key) = (RequestId(7), ClassId(0), TenantId(0), Some(Key(1)));
         let expires = clock.now() + SECOND;
         let request = Request {
@@ -195,7 +199,7 @@
             over,
         };
         inbox
-            .send(Input::Arrived(arrival))
+            .send(EngineEvent::Arrived(arrival))
             .await
             .unwrap_or_else(|_| panic!("closed"));
         let known = std::mem::take(&mut config.known);
--- a/crates/stairfront-balancer/tests/discovery.rs
+++ b/crates/stairfront-balancer/tests/discovery.rs
@@ -5,9 +5,9 @@
 
 use common::{bulk, cache, commands, hit, http, line, ms, origin, run, until, Balancer, Log, Step};
 use serde_json::{json, Value};
-use stairfront_balancer::discovery::Watch;
-use stairfront_balancer::messages::Input;
-use stairfront_balancer::server_list::{cache_id, RawList};
+use stairfront_balancer::control::discovery::DiscoveryWatch;
+use stairfront_balancer::control::server_list::{cache_id, RawList};
+use stairfront_balancer::messages::EngineEvent;
 use stairfront_balancer::transport::Tcp;
 use stairfront_policy::interface::{Cell, EndpointState, Kind, Zone};
 use stairfront_settings::Names;
@@ -262,11 +262,11 @@
         let (inbox, mut inputs) = mpsc::channel(1);
         // No room: the engine is behind.
         inbox
-            .send(Input::TakeAll)
+            .send(EngineEvent::TakeAll)
             .await
             .unwrap_or_else(|_| panic!("closed"));
         let ask_now = Rc::new(Notify::new());
-        let watch = Watch::new(Tcp, at, Names::default(), 1, 0, inbox, Rc::default());
+        let watch = DiscoveryWatch::new(Tcp, at, Names::default(), 1, 0, inbox, Rc::default());
         let watching = spawn_local(watch.asked_by(Rc::clone(&ask_now)).run());
         until(|| !targets(&log).is_empty()).await;
         // The answer has been read, and its list waits.
@@ -278,9 +278,9 @@
             "{:?}",
             targets(&log)
         );
-        assert!(matches!(inputs.recv().await, Some(Input::TakeAll)));
+        assert!(matches!(inputs.recv().await, Some(EngineEvent::TakeAll)));
         match inputs.recv().await {
-            Some(Input::List(list)) => assert_eq!((list.index, list.lines.len()), (5, 1)),
+            Some(EngineEvent::List(list)) => assert_eq!((list.index, list.lines.len()), (5, 1)),
             _ => panic!("the list is lost"),
         }
         watching.abort();
--- a/crates/stairfront-balancer/tests/operators.rs
+++ b/crates/stairfront-balancer/tests/operators.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use serde_json::json;
-use stairfront_balancer::config::Config;
+use stairfront_balancer::configuration::config::Config;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
--- a/crates/stairfront-balancer/tests/pool.rs
+++ b/crates/stairfront-balancer/tests/pool.rs
@@ -5,10 +5,14 @@
 
 use bytes::Bytes;
 use common::{cache, commands, count, hit, ms, run, Log, Seen, Step};
-use stairfront_balancer::caches::{Pool, PoolLimits, Protocol, UpstreamTarget};
-use stairfront_balancer::limits::Memory;
-use stairfront_balancer::messages::{AttemptEnd, AttemptId, Command, Input, Job, PoolNews, Verb};
+use stairfront_balancer::configuration::limits::Memory;
+use stairfront_balancer::messages::{
+    AttemptEnd, AttemptId, Command, EngineEvent, Job, PoolEvent, Verb,
+};
 use stairfront_balancer::transport::{Network, Tcp};
+use stairfront_balancer::upstream::upstream_pool::{
+    PoolSettings, Protocol, UpstreamPool, UpstreamTarget,
+};
 use stairfront_policy::interface::{CacheId, Outcome, RequestId};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -51,20 +55,23 @@
     )
 }
 
-async fn end<N: Network>(pool: &mut Pool<N>, inputs: &mut mpsc::Receiver<Input>) -> AttemptEnd {
+async fn end<N: Network>(
+    pool: &mut UpstreamPool<N>,
+    inputs: &mut mpsc::Receiver<EngineEvent>,
+) -> AttemptEnd {
     ends(pool, inputs).await.remove(0)
 }
 
 /// The next ends of attempts that the pool tells.
 async fn ends<N: Network>(
-    pool: &mut Pool<N>,
-    inputs: &mut mpsc::Receiver<Input>,
+    pool: &mut UpstreamPool<N>,
+    inputs: &mut mpsc::Receiver<EngineEvent>,
 ) -> Vec<AttemptEnd> {
     let mut ends: Vec<AttemptEnd> = Vec::new();
     while ends.is_empty() {
         match inputs.recv().await {
-            Some(Input::Pool(news)) => {
-                let idle = matches!(news, PoolNews::Idle { .. });
+            Some(EngineEvent::UpstreamPool(news)) => {
+                let idle = matches!(news, PoolEvent::Idle { .. });
                 pool.hear(news, &mut ends);
                 assert!(!idle || !ends.is_empty());
             }
@@ -75,7 +82,10 @@
 }
 
 /// A pool of `most` connections and one cache host, and what the pool's connections tell.
-fn pool(address: std::net::SocketAddr, most: usize) -> (Pool<Tcp>, mpsc::Receiver<Input>) {
+fn pool(
+    address: std::net::SocketAddr,
+    most: usize,
+) -> (UpstreamPool<Tcp>, mpsc::Receiver<EngineEvent>) {
     pool_on(Tcp, address, most, ms(10_000))
 }
 
@@ -84,9 +94,9 @@
     address: std::net::SocketAddr,
     most: usize,
     servers_idle_limit: std::time::Duration,
-) -> (Pool<N>, mpsc::Receiver<Input>) {
+) -> (UpstreamPool<N>, mpsc::Receiver<EngineEvent>) {
     let (inbox, inputs) = mpsc::channel(16);
-    let limits = PoolLimits {
+    let limits = PoolSettings {
         connections: most,
         elsewhere: 0,
         connect_timeout: ms(250),
@@ -94,7 +104,7 @@
         stall_limit: ms(10_000),
         memory: Memory::of(64),
     };
-    let mut pool = Pool::new(network, limits, Vec::new(), inbox, Rc::default());
+    let mut pool = UpstreamPool::new(network, limits, Vec::new(), inbox, Rc::default());
     pool.set(
         CACHE,
         UpstreamTarget {
@@ -341,18 +351,19 @@
         let address = cache("cache", &log, twice).await;
         let (mut pool, mut inputs) = pool(address, 4);
         let opened = |log: &Log| count(log, &Seen::Opened("cache"));
-        let serve = async |pool: &mut Pool<Tcp>, inputs: &mut mpsc::Receiver<Input>, id| {
-            let (job, _kept) = job(id);
-            assert!(pool.dispatch(job).is_none());
-            assert_eq!(end(pool, inputs).await.verdict.outcome, Outcome::Served);
-        };
+        let serve =
+            async |pool: &mut UpstreamPool<Tcp>, inputs: &mut mpsc::Receiver<EngineEvent>, id| {
+                let (job, _kept) = job(id);
+                assert!(pool.dispatch(job).is_none());
+                assert_eq!(end(pool, inputs).await.verdict.outcome, Outcome::Served);
+            };
         // Nothing of the kind was seen yet.
         serve(&mut pool, &mut inputs, 1).await;
         serve(&mut pool, &mut inputs, 2).await;
         assert_eq!(opened(&log), 1);
         // The second answer ends its connection, and is told.
         match inputs.recv().await {
-            Some(Input::Pool(news @ PoolNews::Closed { surplus: true, .. })) => {
+            Some(EngineEvent::UpstreamPool(news @ PoolEvent::Closed { surplus: true, .. })) => {
                 pool.hear(news, &mut Vec::new())
             }
             _ => panic!("the surplus is not told"),
@@ -393,7 +404,7 @@
             let mut ended: Vec<AttemptEnd> = Vec::new();
             while ended.is_empty() {
                 match inputs.recv().await {
-                    Some(Input::Pool(news)) => pool.hear(news, &mut ended),
+                    Some(EngineEvent::UpstreamPool(news)) => pool.hear(news, &mut ended),
                     _ => panic!("nothing else is told"),
                 }
             }
--- a/crates/stairfront-balancer/tests/reload.rs
+++ b/crates/stairfront-balancer/tests/reload.rs
@@ -8,7 +8,7 @@
     quiet_agent, run, Balancer, Client, Log, Step,
 };
 use serde_json::{json, Value};
-use stairfront_balancer::config::Config;
+use stairfront_balancer::configuration::config::Config;
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
--- a/crates/stairfront-balancer/tests/shapes.rs
+++ b/crates/stairfront-balancer/tests/shapes.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use serde_json::{json, Value};
-use stairfront_balancer::config::Config;
+use stairfront_balancer::configuration::config::Config;
 use tokio::time::sleep;
 
 /// Caches fetch by themselves, in one place, and the list is asked for.
--- a/crates/stairfront-balancer/tests/shutdown.rs
+++ b/crates/stairfront-balancer/tests/shutdown.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use common::{bulk, cache, get, hit, line, ms, quiet_agent, run, Balancer, Client, Log, Step};
-use stairfront_balancer::shutdown::Phase;
+use stairfront_balancer::lifecycle::shutdown::Phase;
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -4,16 +4,16 @@
 
 use bytes::Bytes;
 use stairfront_balancer::clock::Clock;
-use stairfront_balancer::heartbeat;
-use stairfront_balancer::limits::Memory;
-use stairfront_balancer::load_report::load_report;
+use stairfront_balancer::configuration::limits::Memory;
+use stairfront_balancer::configuration::request_catalog::RequestCatalog;
+use stairfront_balancer::lifecycle::loop_monitor;
 use stairfront_balancer::messages::{
-    Answer, Arrival, AttemptEnd, AttemptId, Command, Given, Verb, Verdict,
+    Answer, Arrival, AttemptEnd, AttemptId, Command, FinalAnswer, Verb, Verdict,
 };
-use stairfront_balancer::stages::admit::{NotAdmitted, Table};
-use stairfront_balancer::stages::send::Sending;
-use stairfront_balancer::stages::take_in::{take_in, Intake, Taken};
-use stairfront_balancer::terms::Terms;
+use stairfront_balancer::stages::admit::{AdmissionError, RequestTable};
+use stairfront_balancer::stages::parse::{parse, Accepted, RequestParser};
+use stairfront_balancer::stages::send::SendDecision;
+use stairfront_balancer::upstream::load_report::load_report;
 use stairfront_policy::interface::{
     CacheId, Class, ClassId, Idempotency, Limits, Outcome, Request, RequestId, Settings, TenantId,
     MS,
@@ -25,7 +25,7 @@
 const CACHE: CacheId = CacheId(1);
 const MOST: u8 = 3;
 
-fn arrive(id: u32, value: usize) -> (Arrival, oneshot::Receiver<Given>) {
+fn arrive(id: u32, value: usize) -> (Arrival, oneshot::Receiver<FinalAnswer>) {
     let (answer, receiver) = oneshot::channel();
     let word = Bytes::from_static(b"w");
     let value = Some(Bytes::from(vec![0; value]));
@@ -77,22 +77,22 @@
     }
 }
 
-fn admitted(table: &mut Table, id: u32) -> oneshot::Receiver<Given> {
+fn admitted(table: &mut RequestTable, id: u32) -> oneshot::Receiver<FinalAnswer> {
     let (arrival, receiver) = arrive(id, 1);
     assert!(table.admit(arrival, MOST).is_ok());
     receiver
 }
 
-fn sent(table: &mut Table, id: u32) -> stairfront_balancer::messages::Job {
+fn sent(table: &mut RequestTable, id: u32) -> stairfront_balancer::messages::Job {
     match table.send(RequestId(id), CACHE, 500 * MS, None) {
-        Sending::Job(job) => job,
+        SendDecision::Job(job) => job,
         _ => panic!("not sent"),
     }
 }
 
 #[test]
 fn one_request_too_many_is_answered_at_once() {
-    let mut table = Table::new(1, Memory::of(64));
+    let mut table = RequestTable::new(1, Memory::of(64));
     let _first = admitted(&mut table, 1);
     let (arrival, mut receiver) = arrive(2, 1);
     assert!(table.admit(arrival, MOST).is_err());
@@ -104,7 +104,7 @@
 
 #[test]
 fn open_requests_hold_no_more_bytes_than_memory_allows_and_give_them_back() {
-    let mut table = Table::new(usize::MAX, Memory::of(64));
+    let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let mut admitted = 0;
     while table.admit(arrive(admitted, 64 * 1024).0, MOST).is_ok() {
         admitted += 1;
@@ -115,14 +115,14 @@
     );
     for id in 0..admitted {
         table.answer(RequestId(id), Answer::Failed);
-        table.book(RequestId(id));
+        table.complete(RequestId(id));
     }
     assert_eq!((table.bytes, table.open.len()), (0, 0));
 }
 
 #[test]
 fn values_on_their_way_to_clients_are_bounded_and_their_room_comes_back() {
-    let mut table = Table::new(usize::MAX, Memory::of(64));
+    let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let large = |id| {
         let mut end = end(id, 0, Outcome::Served);
         end.verdict.value = Some(Bytes::from(vec![0; 64 * 1024]));
@@ -156,7 +156,7 @@
 
 #[test]
 fn the_first_value_is_the_final_answer_and_later_ends_are_closed() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let mut receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
     assert!(!table.relay(&mut end(1, 0, Outcome::Miss)).request_finished);
@@ -171,7 +171,7 @@
         !table.answer(RequestId(1), Answer::Failed),
         "one final answer"
     );
-    table.book(RequestId(1));
+    table.complete(RequestId(1));
     assert!(table.open.is_empty());
     assert!(
         table
@@ -182,14 +182,14 @@
 
 #[test]
 fn an_answered_request_stays_until_its_last_attempt_has_ended_and_is_not_sent_again() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
     assert!(table.answer(RequestId(1), Answer::Busy { after_ms: Some(5) }));
-    table.book(RequestId(1));
+    table.complete(RequestId(1));
     assert_eq!(table.open.len(), 1);
     match table.send(RequestId(1), CACHE, 500 * MS, None) {
-        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
+        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
         _ => panic!("sent after the answer"),
     }
     assert!(
@@ -197,13 +197,13 @@
             .relay(&mut end(1, 0, Outcome::TimedOut))
             .request_finished
     );
-    table.book(RequestId(1));
+    table.complete(RequestId(1));
     assert!(table.open.is_empty());
 }
 
 #[test]
 fn attempts_beyond_the_most_allowed_and_for_unknown_requests_are_moot() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     for number in 0..MOST {
         let _job = sent(&mut table, 1);
@@ -212,14 +212,14 @@
     for id in [1, 7] {
         let sending = table.send(RequestId(id), CACHE, 500 * MS, None);
         assert!(
-            matches!(sending, Sending::Ended(end) if end.verdict.outcome == Outcome::NeverSent)
+            matches!(sending, SendDecision::Ended(end) if end.verdict.outcome == Outcome::NeverSent)
         );
     }
 }
 
 #[test]
 fn a_send_after_a_cancel_waits_for_the_end_of_the_cancelled_attempt() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let mut first = sent(&mut table, 1);
     assert!(first.cancel.try_recv().is_err());
@@ -230,7 +230,7 @@
     );
     assert!(matches!(
         table.send(RequestId(1), CACHE, 500 * MS, None),
-        Sending::Deferred
+        SendDecision::Deferred
     ));
     assert!(
         table.send_deferred(RequestId(1)).is_none(),
@@ -242,25 +242,25 @@
             .request_finished
     );
     match table.send_deferred(RequestId(1)) {
-        Some(Sending::Job(job)) => assert_eq!(job.attempt.number, 1),
+        Some(SendDecision::Job(job)) => assert_eq!(job.attempt.number, 1),
         _ => panic!("not sent"),
     }
 }
 
 #[test]
 fn a_send_that_waited_does_not_go_out_after_the_answer() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
     table.cancel(RequestId(1), 0);
     assert!(matches!(
         table.send(RequestId(1), CACHE, 500 * MS, None),
-        Sending::Deferred
+        SendDecision::Deferred
     ));
     assert!(table.answer(RequestId(1), Answer::Failed));
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     match table.send_deferred(RequestId(1)) {
-        Some(Sending::Ended(end)) => {
+        Some(SendDecision::Ended(end)) => {
             assert_eq!(
                 (end.attempt.number, end.verdict.outcome),
                 (1, Outcome::NeverSent)
@@ -268,7 +268,7 @@
         }
         _ => panic!("sent after the answer"),
     }
-    table.book(RequestId(1));
+    table.complete(RequestId(1));
     assert!(table.open.is_empty());
 }
 
@@ -299,22 +299,25 @@
 
 #[test]
 fn an_id_that_is_open_is_turned_away_until_its_request_is_booked() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
     let (mut again, mut receiver) = arrive(1, 1);
     again.request.id = RequestId(2);
-    assert_eq!(table.admit(again, MOST), Err(NotAdmitted::IdOpen));
+    assert_eq!(table.admit(again, MOST), Err(AdmissionError::IdOpen));
     assert!(matches!(
         receiver.try_recv().unwrap().answer,
         Answer::Error(_)
     ));
     // Answered, it is still out at a server.
     assert!(table.answer(RequestId(1), Answer::Failed));
-    table.book(RequestId(1));
-    assert_eq!(table.admit(arrive(1, 1).0, MOST), Err(NotAdmitted::IdOpen));
+    table.complete(RequestId(1));
+    assert_eq!(
+        table.admit(arrive(1, 1).0, MOST),
+        Err(AdmissionError::IdOpen)
+    );
     table.relay(&mut end(1, 0, Outcome::TimedOut));
-    table.book(RequestId(1));
+    table.complete(RequestId(1));
     assert!(table.admit(arrive(1, 1).0, MOST).is_ok());
 }
 
@@ -350,10 +353,10 @@
         host,
     };
     let (_ready, is_ready) = watch::channel(true);
-    let door = heartbeat::door(&settings, clock, 1);
-    let intake = Intake {
+    let door = loop_monitor::door(&settings, clock, 1);
+    let intake = RequestParser {
         keeper: Default::default(),
-        terms: Rc::new(RefCell::new(Terms::of(&start))),
+        terms: Rc::new(RefCell::new(RequestCatalog::of(&start))),
         clock,
         counters: Rc::default(),
         door: Rc::clone(&door),
@@ -365,16 +368,16 @@
             .map(|word| Bytes::copy_from_slice(word.as_bytes()))
             .collect()
     };
-    let get = || take_in(words("C.GET k 1 c=read,d=900"), &intake);
-    assert!(matches!(get(), Taken::Request { .. }));
+    let get = || parse(words("C.GET k 1 c=read,d=900"), &intake);
+    assert!(matches!(get(), Accepted::Request { .. }));
     // A second in which every beat is later than the one before: it gets behind by half as fast as time passes.
     for beat in 1..100 {
         door.borrow_mut().timer(beat * 10 * MS, beat * 5 * MS);
     }
-    let turned_away = |taken: &Taken| {
+    let turned_away = |taken: &Accepted| {
         matches!(
             taken,
-            Taken::Answered(Answer::Busy {
+            Accepted::Answered(Answer::Busy {
                 after_ms: Some(50..=1500)
             })
         )
@@ -387,7 +390,7 @@
         ("C.GET k 1 c=other", Answer::Error("ERR unknown class")),
     ] {
         assert!(
-            matches!(take_in(words(command), &intake), Taken::Answered(told) if told == answer),
+            matches!(parse(words(command), &intake), Accepted::Answered(told) if told == answer),
             "{command}"
         );
     }
@@ -401,7 +404,7 @@
 /// Danger: a client leaves, and the engine has not heard of it yet.
 #[test]
 fn nothing_is_sent_for_a_client_that_has_left_whoever_knows_of_it() {
-    let mut table = Table::new(10, Memory::of(64));
+    let mut table = RequestTable::new(10, Memory::of(64));
     let (arrival, _receiver) = arrive(1, 1);
     let over = Rc::clone(&arrival.over);
     assert!(table.admit(arrival, MOST).is_ok());
@@ -409,12 +412,12 @@
     table.cancel(RequestId(1), 0);
     assert!(matches!(
         table.send(RequestId(1), CACHE, 500 * MS, None),
-        Sending::Deferred
+        SendDecision::Deferred
     ));
     over.set(true);
     table.relay(&mut end(1, 0, Outcome::Cancelled));
-    let moot = |sending: Sending| match sending {
-        Sending::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
+    let moot = |sending: SendDecision| match sending {
+        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
         _ => panic!("sent on"),
     };
     moot(
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -8,12 +8,14 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
-use stairfront_balancer::config::Config;
-use stairfront_balancer::cordon_record::CordonRecord;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::control::cordon_record::CordonRecord;
+use stairfront_balancer::control::maintenance::{
+    CommittedCommand, DryRun, PublishedView, SideEvent,
+};
 use stairfront_balancer::counters::Counters;
-use stairfront_balancer::handover_socket;
-use stairfront_balancer::handover_state::HandoverState;
-use stairfront_balancer::maintenance::{Aside, DryRun, Settled, Shown};
+use stairfront_balancer::lifecycle::handover_socket;
+use stairfront_balancer::lifecycle::handover_state::HandoverState;
 use stairfront_maintenance::Balancer as FleetBalancer;
 use stairfront_maintenance::{
     AvailabilityBudget, BlockedMachine, Command, CommandKind, DoneBy, Fleet, Host, Maintenance,
@@ -286,14 +288,14 @@
         machine: text("s-0"),
         why: text("b-2 has not confirmed"),
     }];
-    let full = Shown {
+    let full = PublishedView {
         me: text("b-1"),
         agreement,
         view: view(),
         waits,
     };
     // As a state machine shows itself that has settled nothing.
-    let none = Shown {
+    let none = PublishedView {
         me: text("b-1"),
         agreement: Status::default(),
         view: Maintenance::default().view(),
@@ -396,7 +398,7 @@
 /// The answer to what operators have settled, and to a plan that is only tried.
 #[test]
 fn answers_to_plans_are_as_pinned() {
-    let settled = Settled {
+    let settled = CommittedCommand {
         via: text("b-2"),
         leader: Some(text("b-1")),
         index: 61,
@@ -423,20 +425,20 @@
     let cases = [
         (
             "is quiet",
-            Aside::IsQuiet {
+            SideEvent::IsQuiet {
                 host: host(),
                 told: 129,
             },
         ),
         (
             "quiet",
-            Aside::Quiet {
+            SideEvent::Quiet {
                 host: host(),
                 told: u64::MAX,
             },
         ),
-        ("no waits", Aside::Waits(Vec::new())),
-        ("waits", Aside::Waits(vec![blocked])),
+        ("no waits", SideEvent::Waits(Vec::new())),
+        ("waits", SideEvent::Waits(vec![blocked])),
     ];
     golden_files().assert_postcard("side_messages.hex", &cases);
 }
--- a/crates/stairfront-balancer/tests/trouble.rs
+++ b/crates/stairfront-balancer/tests/trouble.rs
@@ -1,22 +1,22 @@
 //! What keeps plans of maintenance from taking out more.
-use stairfront_balancer::maintenance::Counted;
+use stairfront_balancer::control::maintenance::ServiceCounts;
 
 /// Danger: hosts taken out one after another while the origin already refuses what their misses ask of it.
 #[test]
 fn a_pressed_origin_or_service_below_its_mark_is_trouble_and_few_cases_are_none() {
-    let before = Counted {
+    let before = ServiceCounts {
         served: 1_000,
         all: 1_000,
         at_origin: 500,
         unserved_at_origin: 10,
     };
-    let after = |served, all, at_origin, unserved| Counted {
+    let after = |served, all, at_origin, unserved| ServiceCounts {
         served: before.served + served,
         all: before.all + all,
         at_origin: before.at_origin + at_origin,
         unserved_at_origin: before.unserved_at_origin + unserved,
     };
-    let trouble = |now: Counted| now.trouble_since(before, "b1").unwrap_or_default();
+    let trouble = |now: ServiceCounts| now.trouble_since(before, "b1").unwrap_or_default();
     assert_eq!(trouble(after(990, 1_000, 100, 5)), "");
     assert!(trouble(after(960, 1_000, 100, 5)).contains("requests are served at b1"));
     assert!(trouble(after(990, 1_000, 100, 11)).contains("origin is pressed"));
--- a/crates/stairfront-balancer/tests/virtual_network.rs
+++ b/crates/stairfront-balancer/tests/virtual_network.rs
@@ -13,9 +13,9 @@
 use common::{command, config, get, hit, line, Step};
 use rustc_hash::FxHashMap;
 use stairfront_balancer::clock::{sleep, Clock, Instant};
-use stairfront_balancer::config::Config;
-use stairfront_balancer::server::{serve, Around};
-use stairfront_balancer::shutdown::Phase;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::lifecycle::server::{serve, ServerDependencies};
+use stairfront_balancer::lifecycle::shutdown::Phase;
 use stairfront_balancer::transport::{Listener, Network, Stream, Unread};
 use stairfront_policy::Policy;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
@@ -208,7 +208,7 @@
             Config::from_text("test", &config(at(1), at(9), &lines, 1024).to_string()).unwrap();
         let (phase, phases) = watch::channel(Phase::Running);
         let (_hangups, rings) = mpsc::channel(1);
-        let around = Around {
+        let around = ServerDependencies {
             network: network.clone(),
             listener: network.listen(at(1)),
             operators: None,
--- a/crates/stairfront-baselines/src/main.rs
+++ b/crates/stairfront-baselines/src/main.rs
@@ -2,8 +2,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, ValueEnum};
-use stairfront_balancer::config::Config;
-use stairfront_balancer::server;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::lifecycle::server;
 use stairfront_baselines::{Baseline, Choice};
 use tracing::error;
 
--- a/crates/stairfront/src/check.rs
+++ b/crates/stairfront/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use stairfront_balancer::config::Config;
+use stairfront_balancer::configuration::config::Config;
 
 use crate::FAULTY;
 
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stairfront_balancer::maintenance::{DryRun, Settled, Shown};
+use stairfront_balancer::control::maintenance::{CommittedCommand, DryRun, PublishedView};
 use tokio::time::sleep;
 
 use crate::command_line::{MaintenanceArguments, MaintenanceCommand};
@@ -129,7 +129,7 @@
     if status != 200 || json {
         return said(status, &answer);
     }
-    let Settled {
+    let CommittedCommand {
         via,
         leader,
         index,
@@ -179,7 +179,7 @@
         writeln!(out, "{}", String::from_utf8_lossy(&answer).trim())?;
         return out.flush();
     }
-    let shown: Shown = serde_json::from_slice(&answer).map_err(io::Error::other)?;
+    let shown: PublishedView = serde_json::from_slice(&answer).map_err(io::Error::other)?;
     let now_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -189,8 +189,8 @@
 }
 
 /// Each machine's step, since when, and why it waits.
-pub fn table(shown: &Shown, now_ms: u64) -> String {
-    let Shown {
+pub fn table(shown: &PublishedView, now_ms: u64) -> String {
+    let PublishedView {
         me,
         agreement,
         view,
--- a/crates/stairfront/src/serve.rs
+++ b/crates/stairfront/src/serve.rs
@@ -2,8 +2,8 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use stairfront_balancer::config::Config;
-use stairfront_balancer::server;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::lifecycle::server;
 use stairfront_policy::Policy;
 use tracing::{error, Level};
 
