--- a/crates/stairfront-raft-node/src/driver.rs
+++ b/crates/stairfront-raft-node/src/driver.rs
@@ -18,6 +18,7 @@
 use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
 
+use crate::parcel::Parcel;
 use crate::store::{Store, StoreError};
 
 /// Half of a leader's heartbeat.
@@ -51,14 +52,6 @@
     pub not_in: Vec<String>,
 }
 
-/// What travels over the membership.
-#[derive(Serialize, serde::Deserialize)]
-enum Parcel {
-    Agreement(Envelope),
-    /// Of whoever uses the agreement.
-    Aside(Vec<u8>),
-}
-
 /// Asides not taken yet; the oldest is worth least.
 const MOST_ASIDES: usize = 512;
 
--- a/crates/stairfront-raft-node/src/lib.rs
+++ b/crates/stairfront-raft-node/src/lib.rs
@@ -4,6 +4,7 @@
 //! It owns the store's file and thread. A stalled disk stalls the voter's words, never the balancer's requests.
 mod config;
 mod driver;
+pub mod parcel;
 mod store;
 
 /// Descriptors that a voter's store holds.
