--- a/crates/stairfront-balancer/src/config.rs
+++ b/crates/stairfront-balancer/src/config.rs
@@ -223,11 +223,11 @@
                 .membership
                 .as_ref()
                 .map(|membership| &membership.roster[..]);
-            let faults = agreement.faults(roster);
+            let errors = agreement.errors(roster);
             problems.extend(
-                faults
-                    .into_iter()
-                    .map(|(key, problem)| (format!("agreement.{key}"), problem)),
+                errors
+                    .iter()
+                    .map(|error| (format!("agreement.{}", error.key()), error.to_string())),
             );
         }
         let aside = raw.aside();
--- a/crates/stairfront-balancer/src/maintenance.rs
+++ b/crates/stairfront-balancer/src/maintenance.rs
@@ -209,26 +209,28 @@
                     self.follow();
                     self.look().await;
                 }
-                () = self.of.voters.next_settled() => self.follow(),
-                (from, bytes) = self.of.voters.next_aside() => self.hear(&from, &bytes).await,
+                () = self.of.voters.next_commit() => self.follow(),
+                aside = self.of.voters.next_side_message() => self.hear(&aside.from, &aside.bytes).await,
             }
         }
     }
 
     /// Has the group's ledger follow what is agreed.
     fn follow(&self) {
-        let (founding, upto) = self.of.voters.committed_up_to();
-        if founding == 0 {
+        let applied = self.of.voters.applied();
+        if applied.cluster_id == 0 {
             return;
         }
-        let machine = self.of.voters.machine();
+        let machine = self.of.voters.state_machine();
         let held: Vec<(String, u64)> = machine
             .0
             .held()
             .into_iter()
             .map(|held| (held.host, held.told))
             .collect();
-        self.of.members.follow(founding, &held, upto);
+        self.of
+            .members
+            .follow(applied.cluster_id, &held, applied.index);
         let turn = machine.0.turn_of(&self.of.me);
         if turn != *self.told.borrow() {
             match turn {
@@ -306,7 +308,7 @@
     // --- leading ---
 
     async fn look(&self) {
-        let turn = self.of.voters.machine().0.turn_of(&self.of.me);
+        let turn = self.of.voters.state_machine().0.turn_of(&self.of.me);
         let Some(term) = self.of.voters.leader_term() else {
             *self.leading.borrow_mut() = Leading::default();
             return;
@@ -318,7 +320,7 @@
             return;
         };
         self.ask(&mut seen);
-        let (due, waits) = self.of.voters.machine().0.next_commands(&seen);
+        let (due, waits) = self.of.voters.state_machine().0.next_commands(&seen);
         if self.of.voters.leader_term() != Some(term) {
             return;
         }
@@ -371,7 +373,7 @@
         let at_ms = unix_ms();
         let (via, author) = (self.of.me.clone(), author.to_string());
         Command {
-            id: self.of.voters.next_id(),
+            id: self.of.voters.next_proposal_id(),
             at_ms,
             term: 0,
             via,
@@ -458,7 +460,7 @@
 
     async fn warm(&self, hosts: &[Host], balancers: &[Balancer]) -> Vec<String> {
         let warming: Vec<String> = {
-            let machine = self.of.voters.machine();
+            let machine = self.of.voters.state_machine();
             machine
                 .0
                 .at(Stage::Warming)
@@ -514,7 +516,7 @@
     /// Has members confirm what is held, and say when nothing is open there any more.
     fn ask(&self, seen: &mut LeaderObservation) {
         let (told, held) = {
-            let machine = self.of.voters.machine();
+            let machine = self.of.voters.state_machine();
             let caches = |stage| machine.0.held_at(stage).collect::<Vec<_>>();
             (caches(Stage::Told), caches(Stage::Held))
         };
@@ -577,14 +579,14 @@
         Shown {
             me: self.of.me.clone(),
             agreement: self.of.voters.status(),
-            view: self.of.voters.machine().0.view(),
+            view: self.of.voters.state_machine().0.view(),
             waits: waits.map_or(Vec::new(), |(_, waits)| waits.clone()),
         }
     }
 
     pub fn figures(&self) -> String {
         let mut text = self.of.voters.metrics_text();
-        for (stage, count) in self.of.voters.machine().0.count() {
+        for (stage, count) in self.of.voters.state_machine().0.count() {
             text += &format!("maintenance_{stage}:{count}\r\n");
         }
         text
@@ -592,7 +594,7 @@
 
     /// What a plan would take out, in order, by what is agreed now.
     pub fn dry_run(&self, plan: &Plan) -> Result<DryRun, Problem> {
-        let machine = self.of.voters.machine();
+        let machine = self.of.voters.state_machine();
         // Danger: just founded, or just started, each name would be refused as one that nobody knows.
         if machine.0.fleet().hosts.is_empty() {
             return Err(Problem::Unsettled(
@@ -624,10 +626,10 @@
         let settled = self
             .of
             .voters
-            .order(id, command.write(), COMMAND_LIMIT)
+            .propose_and_wait(id, command.write(), COMMAND_LIMIT)
             .await;
         let status = self.of.voters.status();
-        let outcome: Option<Outcome> = self.of.voters.machine().0.outcome(id).cloned();
+        let outcome: Option<Outcome> = self.of.voters.state_machine().0.outcome(id).cloned();
         match (settled, outcome) {
             (Err(refusal), _) => Err(Problem::Refused(refusal.to_string())),
             (Ok(_), Some(Outcome { index, term, result: Ok(_) })) => {
--- a/crates/stairfront-balancer/src/server.rs
+++ b/crates/stairfront-balancer/src/server.rs
@@ -8,7 +8,7 @@
 use stairfront_codec::budget::Budget;
 use stairfront_membership_agent::{CordonSetFile, MembershipAgent};
 use stairfront_policy::interface::Settings;
-use stairfront_raft_node::{AgreementSection, RaftNode};
+use stairfront_raft_node::{AgreementSection, RaftNode, RaftNodeSettings};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
@@ -290,15 +290,14 @@
             }),
         ) => {
             let group = members.report().group;
-            let of = (name.as_str(), group.as_str());
-            let voters = RaftNode::new(
-                Rc::clone(members),
-                of,
-                &names,
-                store,
+            let settings = RaftNodeSettings {
+                name: name.clone(),
+                group,
+                voter_names: names.clone(),
+                store_path: store,
                 seed,
-                Plans::default(),
-            );
+            };
+            let voters = RaftNode::new(Rc::clone(members), settings, Plans::default());
             let keeper = Keeper::new(Parts {
                 voters,
                 members: Rc::clone(members),
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -274,7 +274,7 @@
         term: 41,
         committed: 42,
         voters: vec![text("b-1"), text("b-2")],
-        not_in: vec![text("b-3")],
+        missing_voters: vec![text("b-3")],
     };
     let waits = vec![BlockedMachine {
         plan: 17,
--- a/crates/stairfront-raft-node/src/store.rs
+++ b/crates/stairfront-raft-node/src/store.rs
@@ -1,291 +1,322 @@
-//! Where a voter keeps its term, its vote and its log: an embedded store (redb), synced before `save` returns. A tail that a
-//! crash tore is cut by the store; what was kept and has changed since is refused, with the way out.
+//! The store of a voter's term, vote and log: an embedded database (redb), synced before `save`
+//! returns. The database removes an incomplete transaction that a crash has left; content that has
+//! changed since it was written is refused.
+mod checksum;
+mod error;
+
+use std::io;
 use std::path::{Path, PathBuf};
 
-use postcard::{from_bytes, to_stdvec};
-use redb::{Database, ReadableTable, StorageBackend, TableDefinition};
+use redb::{
+    Database, ReadOnlyTable, ReadableTable, StorageBackend, StorageError, Table, TableDefinition,
+    TableError,
+};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use stairfront_raft::{Entry, HardState, Log, LogIndex, Ready, Recovered, Snapshot, Voter};
-use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// By name: who this is, what must not be forgotten, the snapshot.
+use self::checksum::{seal, unseal, Key};
+pub use self::error::{Corruption, DatabaseError, StoreError};
+
+/// Single values by name: the owner, the hard state, the snapshot.
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
+/// Entries of the log by index.
 const ENTRIES: TableDefinition<LogIndex, &[u8]> = TableDefinition::new("entries");
 const OWNER: &str = "owner";
-const HARD: &str = "hard";
+const HARD_STATE: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
-/// Raised when an older program would misread it.
-const FORM: u32 = 1;
-/// Of a sum in front of each value.
-const SUM: usize = 8;
-/// Pages that the store keeps in memory. A log is some hundred kilobytes.
+/// Version of the format; raised when an older program would misread it.
+const FORMAT_VERSION: u32 = 1;
+/// Pages that the database keeps in memory. A log is some hundred kilobytes.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// Whose store it is.
+type HeadTable = ReadOnlyTable<&'static str, &'static [u8]>;
+type EntryTable = ReadOnlyTable<LogIndex, &'static [u8]>;
+
+/// The member that a store belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
-    form: u32,
+    format_version: u32,
     group: String,
     voter: Voter,
 }
 
-#[derive(Debug, thiserror::Error)]
-pub enum StoreError {
-    #[error("{path}: {problem}; another process may have it open, or the disk is full or gone")]
-    Disk { path: String, problem: String },
-    #[error(
-        "{path} is spoilt ({what}): what this voter has promised is not known. Move the file away and start again: it \
-         comes back as a new voter, which the others take in"
-    )]
-    Spoilt { path: String, what: String },
-    #[error("{path} belongs to {owner}, not to {me}; name another file, or move it away")]
-    Foreign {
-        path: String,
-        owner: String,
-        me: String,
-    },
-    #[error("{path} has form {form}, and {FORM} is known here: written by a newer program")]
-    Form { path: String, form: u32 },
-}
-
+/// A voter's store.
 pub struct Store {
     path: PathBuf,
-    db: Database,
+    database: Database,
     voter: Voter,
 }
 
-/// A value behind its sum. Danger: a bit that a disk has turned would be taken for a vote.
-fn seal<T: Serialize>(key: u64, value: &T) -> Vec<u8> {
-    // Numbers, texts and lists of them alone, which cannot fail.
-    let body = to_stdvec(value).unwrap_or_default();
-    let mut sealed = xxh3_64_with_seed(&body, key).to_le_bytes().to_vec();
-    sealed.extend(body);
-    sealed
-}
-
-fn unseal<T: DeserializeOwned>(key: u64, sealed: &[u8]) -> Option<T> {
-    let (sum, body) = sealed.split_at_checked(SUM)?;
-    (sum == xxh3_64_with_seed(body, key).to_le_bytes())
-        .then(|| from_bytes(body).ok())
-        .flatten()
-}
-
-/// Of a value in `HEAD`; entries go by their index, so that none stands for another.
-fn key(name: &str) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), u64::from(FORM))
-}
-
 impl Store {
-    /// Opens the store of this voter, or makes one with the life that is given.
-    pub fn open(path: &Path, group: &str, new: Voter) -> Result<(Store, Recovered), StoreError> {
-        let db = Database::builder().set_cache_size(CACHE_BYTES).create(path);
-        Store::of(path, db, group, new)
+    /// Opens the store of a voter, or creates it. An existing store keeps the incarnation with
+    /// which it was created; the given one is that of a new store.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError`] for a store that cannot be opened, is damaged, or is another's.
+    pub fn open(
+        path: &Path,
+        group: &str,
+        new_voter: Voter,
+    ) -> Result<(Store, Recovered), StoreError> {
+        let database = Database::builder().set_cache_size(CACHE_BYTES).create(path);
+        Store::with_database(path, database, group, new_voter)
     }
 
-    /// On anything that stores bytes: for tests of what a crash leaves behind.
+    /// Opens a store on anything that stores bytes, for tests of what a crash leaves.
+    ///
+    /// # Errors
+    ///
+    /// As [`Store::open`].
     pub fn open_on(
         backend: impl StorageBackend,
         group: &str,
-        new: Voter,
+        new_voter: Voter,
     ) -> Result<(Store, Recovered), StoreError> {
-        let db = Database::builder()
+        let database = Database::builder()
             .set_cache_size(CACHE_BYTES)
             .create_with_backend(backend);
-        Store::of(Path::new("memory"), db, group, new)
+        Store::with_database(Path::new("memory"), database, group, new_voter)
     }
 
-    fn of(
+    fn with_database(
         path: &Path,
-        db: Result<Database, redb::DatabaseError>,
+        database: Result<Database, redb::DatabaseError>,
         group: &str,
-        new: Voter,
+        new_voter: Voter,
     ) -> Result<(Store, Recovered), StoreError> {
-        use redb::{DatabaseError, StorageError};
-        let text = path.display().to_string();
-        let db = db.map_err(|problem| match problem {
-            DatabaseError::Storage(StorageError::Corrupted(what)) => StoreError::Spoilt {
-                path: text.clone(),
-                what,
-            },
-            DatabaseError::Storage(StorageError::Io(io)) if is_form(&io) => StoreError::Spoilt {
-                path: text.clone(),
-                what: io.to_string(),
-            },
-            other => StoreError::Disk {
-                path: text.clone(),
-                problem: other.to_string(),
-            },
-        })?;
         let mut store = Store {
             path: path.to_path_buf(),
-            db,
-            voter: new,
+            database: database.map_err(|error| open_error(path, error))?,
+            voter: new_voter,
         };
         let recovered = store.recover(group)?;
         Ok((store, recovered))
     }
 
+    /// The identity of the voter, with the incarnation of this store.
+    #[must_use]
     pub fn voter(&self) -> &Voter {
         &self.voter
     }
 
-    fn disk(&self, problem: &dyn std::fmt::Display) -> StoreError {
+    fn path_text(&self) -> String {
+        self.path.display().to_string()
+    }
+
+    fn disk_error(&self, error: impl Into<DatabaseError>) -> StoreError {
         StoreError::Disk {
-            path: self.path.display().to_string(),
-            problem: problem.to_string(),
+            path: self.path_text(),
+            source: error.into(),
         }
     }
 
-    fn spoilt(&self, what: impl Into<String>) -> StoreError {
-        StoreError::Spoilt {
-            path: self.path.display().to_string(),
-            what: what.into(),
+    fn corrupt(&self, corruption: Corruption) -> StoreError {
+        StoreError::Corrupt {
+            path: self.path_text(),
+            corruption,
         }
     }
 
+    fn table_error(&self, error: impl Into<DatabaseError>) -> StoreError {
+        self.corrupt(Corruption::Table(error.into()))
+    }
+
     fn recover(&mut self, group: &str) -> Result<Recovered, StoreError> {
-        let disk = |problem: redb::Error| self.disk(&problem);
         let read = self
-            .db
+            .database
             .begin_read()
-            .map_err(|problem| disk(problem.into()))?;
+            .map_err(|error| self.disk_error(error))?;
         let head = match read.open_table(HEAD) {
             Ok(head) => head,
-            Err(redb::TableError::TableDoesNotExist(_)) => {
+            Err(TableError::TableDoesNotExist(_)) => {
                 drop(read);
-                self.found(group)?;
+                self.create(group)?;
                 return Ok(Recovered::default());
             }
-            Err(problem) => return Err(self.spoilt(problem.to_string())),
+            Err(error) => return Err(self.table_error(error)),
         };
         let entries = read
             .open_table(ENTRIES)
-            .map_err(|problem| self.spoilt(problem.to_string()))?;
-        let value = |name: &str| {
-            head.get(name)
-                .map_err(|problem| self.spoilt(problem.to_string()))
-        };
-        let owner = value(OWNER)?.and_then(|found| unseal::<Owner>(key(OWNER), found.value()));
-        let owner = owner.ok_or_else(|| self.spoilt("whose it is cannot be read"))?;
-        let path = self.path.display().to_string();
-        if owner.form != FORM {
-            return Err(StoreError::Form {
-                path,
-                form: owner.form,
+            .map_err(|error| self.table_error(error))?;
+        let owner = self.read_owner(&head, group)?;
+        let recovered = self.read_state(&head, &entries)?;
+        self.voter = owner;
+        Ok(recovered)
+    }
+
+    /// The owner, if it is this member of this group.
+    fn read_owner(&self, head: &HeadTable, group: &str) -> Result<Voter, StoreError> {
+        let owner: Owner = self
+            .read_head(head, OWNER, Corruption::Owner)?
+            .ok_or_else(|| self.corrupt(Corruption::Owner))?;
+        if owner.format_version != FORMAT_VERSION {
+            return Err(StoreError::UnsupportedVersion {
+                path: self.path_text(),
+                version: owner.format_version,
             });
         }
-        if (&*owner.group, &owner.voter.name) != (group, &self.voter.name) {
-            let (owner, me) = (
-                format!("{} of {}", owner.voter.name, owner.group),
-                format!("{} of {group}", self.voter.name),
-            );
-            return Err(StoreError::Foreign { path, owner, me });
+        if owner.group != group || owner.voter.name != self.voter.name {
+            return Err(StoreError::WrongOwner {
+                path: self.path_text(),
+                owner: format!("{} of {}", owner.voter.name, owner.group),
+                local: format!("{} of {group}", self.voter.name),
+            });
         }
-        let hard = match value(HARD)? {
-            None => HardState::default(),
-            Some(found) => unseal(key(HARD), found.value())
-                .ok_or_else(|| self.spoilt("its term and vote cannot be read"))?,
-        };
-        let snapshot: Snapshot = match value(SNAPSHOT)? {
-            None => Snapshot::default(),
-            Some(found) => unseal(key(SNAPSHOT), found.value())
-                .ok_or_else(|| self.spoilt("its snapshot cannot be read"))?,
+        Ok(owner.voter)
+    }
+
+    fn read_state(&self, head: &HeadTable, entries: &EntryTable) -> Result<Recovered, StoreError> {
+        let hard_state: HardState = self
+            .read_head(head, HARD_STATE, Corruption::HardState)?
+            .unwrap_or_default();
+        let snapshot: Snapshot = self
+            .read_head(head, SNAPSHOT, Corruption::Snapshot)?
+            .unwrap_or_default();
+        let entries = self.read_entries(entries, snapshot.index)?;
+        let log = Log::new(snapshot, entries);
+        if hard_state.term < log.last_term() {
+            return Err(self.corrupt(Corruption::OutdatedHardState {
+                entry: log.last_term(),
+                vote: hard_state.term,
+            }));
+        }
+        Ok(Recovered { hard_state, log })
+    }
+
+    /// A single value; none if it was never written.
+    fn read_head<T: DeserializeOwned>(
+        &self,
+        head: &HeadTable,
+        name: &str,
+        corruption: Corruption,
+    ) -> Result<Option<T>, StoreError> {
+        let Some(sealed) = head.get(name).map_err(|error| self.table_error(error))? else {
+            return Ok(None);
         };
-        let mut log: Vec<Entry> = Vec::new();
-        for found in entries
-            .iter()
-            .map_err(|problem| self.spoilt(problem.to_string()))?
-        {
-            let (index, sealed) = found.map_err(|problem| self.spoilt(problem.to_string()))?;
-            let expected = snapshot.index + 1 + log.len() as LogIndex;
-            if index.value() != expected {
-                return Err(self.spoilt(format!(
-                    "entry {expected} is not there, {} is",
-                    index.value()
-                )));
-            }
-            let entry = unseal(index.value(), sealed.value());
-            log.push(entry.ok_or_else(|| self.spoilt(format!("entry {expected} cannot be read")))?);
+        match unseal(Key::of_name(name), sealed.value()) {
+            Some(value) => Ok(Some(value)),
+            None => Err(self.corrupt(corruption)),
         }
-        let newest = log.last().map_or(snapshot.term, |entry| entry.term);
-        if hard.term < newest {
-            return Err(self.spoilt(format!(
-                "an entry of term {newest}, and a vote of term {}",
-                hard.term
-            )));
+    }
+
+    fn read_entries(
+        &self,
+        table: &EntryTable,
+        snapshot_index: LogIndex,
+    ) -> Result<Vec<Entry>, StoreError> {
+        let rows = table.iter().map_err(|error| self.table_error(error))?;
+        let mut entries = Vec::new();
+        for (expected, row) in (snapshot_index + 1..).zip(rows) {
+            let (index, sealed) = row.map_err(|error| self.table_error(error))?;
+            let found = index.value();
+            if found != expected {
+                return Err(self.corrupt(Corruption::MissingEntry { expected, found }));
+            }
+            let entry = unseal(Key::of_entry(found), sealed.value());
+            entries.push(entry.ok_or_else(|| self.corrupt(Corruption::Entry(expected)))?);
         }
-        self.voter = owner.voter;
-        Ok(Recovered {
-            hard_state: hard,
-            log: Log::new(snapshot, log),
-        })
+        Ok(entries)
     }
 
-    fn found(&self, group: &str) -> Result<(), StoreError> {
+    /// Writes the owner into an empty database.
+    fn create(&self, group: &str) -> Result<(), StoreError> {
         let owner = Owner {
-            form: FORM,
+            format_version: FORMAT_VERSION,
             group: group.to_string(),
             voter: self.voter.clone(),
         };
-        let write = || -> Result<(), Box<dyn std::error::Error>> {
-            let transaction = self.db.begin_write()?;
-            transaction
-                .open_table(HEAD)?
-                .insert(OWNER, &*seal(key(OWNER), &owner))?;
-            transaction.open_table(ENTRIES)?;
-            Ok(transaction.commit()?)
-        };
-        write().map_err(|problem| self.disk(&problem))
+        self.write(|head, _| {
+            head.insert(OWNER, &*seal(Key::of_name(OWNER), &owner))?;
+            Ok(())
+        })
     }
 
-    /// Keeps all that a `Ready` names. It is on the disk when this returns without a fault; after one, nothing of it
-    /// counts, and the store has to be opened anew.
+    /// Makes a batch durable. It is on the disk when this returns without an error; after an error
+    /// nothing of it counts, and the store has to be opened again.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Disk`].
     pub fn save(&self, ready: &Ready) -> Result<(), StoreError> {
         if !ready.must_persist() {
             return Ok(());
         }
-        let Ready {
-            hard_state,
-            snapshot,
-            truncate_from,
-            append,
-            ..
-        } = ready;
-        let write = || -> Result<(), Box<dyn std::error::Error>> {
-            let transaction = self.db.begin_write()?;
-            {
-                let mut head = transaction.open_table(HEAD)?;
-                let mut entries = transaction.open_table(ENTRIES)?;
-                if let Some(hard_state) = hard_state {
-                    head.insert(HARD, &*seal(key(HARD), hard_state))?;
-                }
-                if let Some(snapshot) = snapshot {
-                    head.insert(SNAPSHOT, &*seal(key(SNAPSHOT), snapshot))?;
-                    // What stands behind it stays where it is the same history.
-                    let same = match entries.get(snapshot.index)? {
-                        Some(found) => unseal::<Entry>(snapshot.index, found.value())
-                            .is_some_and(|entry| entry.term == snapshot.term),
-                        None => false,
-                    };
-                    entries.retain(|index, _| same && index > snapshot.index)?;
-                }
-                if let Some(from) = truncate_from {
-                    entries.retain(|index, _| index < *from)?;
-                }
-                for appended in append {
-                    let index = appended.index;
-                    entries.insert(index, &*seal(index, &appended.entry))?;
-                }
+        self.write(|head, entries| {
+            if let Some(hard_state) = &ready.hard_state {
+                head.insert(HARD_STATE, &*seal(Key::of_name(HARD_STATE), hard_state))?;
+            }
+            if let Some(snapshot) = &ready.snapshot {
+                head.insert(SNAPSHOT, &*seal(Key::of_name(SNAPSHOT), snapshot))?;
+                remove_covered(entries, snapshot)?;
             }
+            if let Some(from) = ready.truncate_from {
+                entries.retain(|index, _| index < from)?;
+            }
+            for appended in &ready.append {
+                let sealed = seal(Key::of_entry(appended.index), &appended.entry);
+                entries.insert(appended.index, &*sealed)?;
+            }
+            Ok(())
+        })
+    }
+
+    /// Changes both tables in one transaction.
+    fn write(
+        &self,
+        change: impl FnOnce(
+            &mut Table<&str, &[u8]>,
+            &mut Table<LogIndex, &[u8]>,
+        ) -> Result<(), DatabaseError>,
+    ) -> Result<(), StoreError> {
+        let transact = || -> Result<(), DatabaseError> {
+            let transaction = self.database.begin_write()?;
+            let mut head = transaction.open_table(HEAD)?;
+            let mut entries = transaction.open_table(ENTRIES)?;
+            change(&mut head, &mut entries)?;
+            drop((head, entries));
             Ok(transaction.commit()?)
         };
-        write().map_err(|problem| self.disk(&problem))
+        transact().map_err(|error| self.disk_error(error))
     }
 }
 
-/// A file that is none of the store's, or cut short.
-fn is_form(problem: &std::io::Error) -> bool {
-    use std::io::ErrorKind::{InvalidData, UnexpectedEof};
-    matches!(problem.kind(), InvalidData | UnexpectedEof)
+/// Removes the entries that a snapshot covers, and those behind it if they are of another history.
+fn remove_covered(
+    entries: &mut Table<LogIndex, &[u8]>,
+    snapshot: &Snapshot,
+) -> Result<(), DatabaseError> {
+    let last_covered: Option<Entry> = entries
+        .get(snapshot.index)?
+        .and_then(|sealed| unseal(Key::of_entry(snapshot.index), sealed.value()));
+    let same_history = last_covered.is_some_and(|entry| entry.term == snapshot.term);
+    entries.retain(|index, _| same_history && index > snapshot.index)?;
+    Ok(())
+}
+
+/// The error of a database that cannot be opened.
+fn open_error(path: &Path, error: redb::DatabaseError) -> StoreError {
+    let path = path.display().to_string();
+    let corruption = match error {
+        redb::DatabaseError::Storage(StorageError::Corrupted(damage)) => {
+            Corruption::Database(damage)
+        }
+        redb::DatabaseError::Storage(StorageError::Io(io)) if is_malformed(&io) => {
+            Corruption::NotADatabase(io)
+        }
+        other => {
+            let source = other.into();
+            return StoreError::Disk { path, source };
+        }
+    };
+    StoreError::Corrupt { path, corruption }
+}
+
+/// Whether a file is not one of the database, or is cut short.
+fn is_malformed(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof
+    )
 }
--- a/crates/stairfront-raft-node/tests/exchanged_forms.rs
+++ b/crates/stairfront-raft-node/tests/exchanged_forms.rs
@@ -1,6 +1,6 @@
 //! The frames between members, as a golden file: a change of names must not change a byte.
 use stairfront_raft::{ClusterMessage, Envelope, Message, MessageBody, Voter};
-use stairfront_raft_node::parcel::Parcel;
+use stairfront_raft_node::frame::Frame;
 use stairfront_test_support::golden::GoldenFiles;
 
 fn voter(name: &str, incarnation: u64) -> Voter {
@@ -29,14 +29,14 @@
     let cases = [
         (
             "heartbeat",
-            Parcel::Agreement(envelope(None, ClusterMessage::Heartbeat)),
+            Frame::Raft(envelope(None, ClusterMessage::Heartbeat)),
         ),
         (
             "vote",
-            Parcel::Agreement(envelope(to, ClusterMessage::Raft(message))),
+            Frame::Raft(envelope(to, ClusterMessage::Raft(message))),
         ),
-        ("side message", Parcel::Aside(vec![45, 46, 200])),
-        ("empty side message", Parcel::Aside(Vec::new())),
+        ("side message", Frame::SideMessage(vec![45, 46, 200])),
+        ("empty side message", Frame::SideMessage(Vec::new())),
     ];
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR")).assert_postcard("frames.hex", &cases);
 }
--- a/crates/stairfront-raft-node/tests/stored_forms.rs
+++ b/crates/stairfront-raft-node/tests/stored_forms.rs
@@ -1,6 +1,5 @@
-//! A voter's store as former code left it, and what operators write and are shown, as golden files: a change of names must
-//! not change a byte.
-mod golden;
+//! A voter's store as earlier code left it, and the JSON that operators write and read, as golden
+//! files: a change of names must not change a byte.
 
 use std::path::Path;
 
@@ -9,16 +8,21 @@
     Entry, HardState, IndexedEntry, Log, Payload, Ready, Recovered, Snapshot, Voter,
 };
 use stairfront_raft_node::{AgreementSection, Status, Store};
+use stairfront_test_support::golden::GoldenFiles;
 
 /// The tables by their names on the disk.
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const GROUP: &str = "grove";
 
-fn voter(name: &str, life: u64) -> Voter {
+fn golden() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn voter(name: &str, incarnation: u64) -> Voter {
     Voter {
         name: name.to_string(),
-        incarnation: life,
+        incarnation,
     }
 }
 
@@ -26,7 +30,7 @@
     voter("ash", 1001)
 }
 
-fn hard() -> HardState {
+fn hard_state() -> HardState {
     HardState {
         term: 38,
         vote: Some(voter("birch", 1002)),
@@ -71,7 +75,7 @@
         .map(|(index, entry)| IndexedEntry { index, entry })
         .collect();
     let ready = Ready {
-        hard_state: Some(hard()),
+        hard_state: Some(hard_state()),
         snapshot: Some(snapshot()),
         append,
         ..Ready::default()
@@ -126,29 +130,20 @@
     write.commit().unwrap();
 }
 
-/// A store's file is 3 MB, whatever is in it, so its rows are kept here by table and key.
+/// A store's file has 3 MB, whatever its content, so the golden file has its rows by table and key.
 #[test]
-fn the_store_of_former_code() {
+fn the_store_of_earlier_code() {
     let dir = tempfile::tempdir().unwrap();
     let new = dir.path().join("new.redb");
     write_store(&new);
-    let now = rows(&new);
-    let text =
-        String::from_utf8(golden::read("store.hex", golden::to_hex(&now).as_bytes())).unwrap();
-    let old = golden::from_hex(&text);
-    assert_eq!(now, old, "a new store keeps other rows");
+    let pinned = golden().assert_hex("store.hex", &rows(&new));
 
     let path = dir.path().join("old.redb");
-    write_rows(&path, &old);
-    let (
-        store,
-        Recovered {
-            hard_state: found,
-            log,
-        },
-    ) = Store::open(&path, GROUP, voter("ash", 9)).unwrap();
-    assert_eq!(store.voter(), &owner(), "another life of the owner");
-    assert_eq!(found, hard());
+    write_rows(&path, &pinned);
+    let (store, recovered) = Store::open(&path, GROUP, voter("ash", 9)).unwrap();
+    let Recovered { hard_state, log } = recovered;
+    assert_eq!(store.voter(), &owner(), "another incarnation of the owner");
+    assert_eq!(hard_state, self::hard_state());
     assert_eq!(log, Log::new(snapshot(), entries()));
 }
 
@@ -161,15 +156,15 @@
         term: 71,
         committed: 72,
         voters: texts(&["birch", "cedar"]),
-        not_in: texts(&["doum"]),
+        missing_voters: texts(&["doum"]),
     };
-    golden::json("status.json", &status);
+    golden().assert_json("status.json", &status);
 }
 
 #[test]
 fn agreement_in_a_configuration() {
     let voters = ["ash", "birch", "cedar"].map(str::to_string).to_vec();
-    golden::json(
+    golden().assert_json(
         "configuration.json",
         &AgreementSection {
             voters,
--- a/crates/stairfront-raft/src/cluster_manager.rs
+++ b/crates/stairfront-raft/src/cluster_manager.rs
@@ -1,7 +1,8 @@
-//! A member of a group: who founds the group, which members vote, and how a proposal of any member gets to the leader.
+//! A member of a group: who founds the group, which members vote, and how a proposal of any member
+//! gets to the leader.
 //!
-//! [`ClusterManager`] wraps a [`Node`] and, like it, has neither a socket nor a disk. Its concerns are in modules of their
-//! own: [`bootstrap`], [`voter_changes`] and [`proposal_forwarding`].
+//! [`ClusterManager`] wraps a [`Node`] and, like it, has neither a socket nor a disk. Its concerns
+//! are in modules of their own: [`bootstrap`], [`voter_changes`] and [`proposal_forwarding`].
 mod bootstrap;
 mod proposal_forwarding;
 mod voter_changes;
@@ -23,10 +24,11 @@
 
 /// Time between two heartbeats of a member that does not lead.
 const HEARTBEAT_INTERVAL: Micros = SECOND;
-/// Time after its last message for which a member counts as present. Three heartbeats, so that single losses make no
-/// member absent.
+/// Time after its last message for which a member counts as present. Three heartbeats, so that
+/// single losses make no member absent.
 const PRESENCE_TIMEOUT: Micros = 3 * SECOND + 500 * MS;
-/// A voter that has been silent for so long, while another incarnation of its name is present, has lost its storage.
+/// A voter that has been silent for so long, while another incarnation of its name is present, has
+/// lost its storage.
 const LOST_VOTER_TIMEOUT: Micros = 5 * SECOND;
 /// Time after which a member that was heard of is forgotten.
 const PEER_TTL: Micros = 2 * LOST_VOTER_TIMEOUT;
@@ -37,7 +39,8 @@
 /// Identities of members that are remembered: two incarnations of each of some hundred members.
 const MAX_PEERS: usize = 1024;
 
-/// A message between members of a group. Its form is postcard's and depends on the order of fields and variants.
+/// A message between members of a group. Its form is postcard's and depends on the order of fields
+/// and variants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClusterMessage {
     /// The sender is present.
@@ -113,7 +116,8 @@
 }
 
 impl ClusterManager {
-    /// A member with the names of the configured voters, the founder first, and the state that its store held.
+    /// A member with the names of the configured voters, the founder first, and the state that its
+    /// store held.
     #[must_use]
     pub fn new(
         now: Micros,
@@ -153,14 +157,15 @@
         self.counters
     }
 
-    /// The identity of the group: the incarnation of the member that bootstrapped it; 0 before this member is in one.
+    /// The identity of the group: the incarnation of the member that bootstrapped it; 0 before this
+    /// member is in one.
     #[must_use]
     pub fn cluster_id(&self) -> u64 {
         self.node.log().snapshot.cluster_id
     }
 
-    /// Whether proposals are accepted: a majority of the configured voters votes. A decision of fewer could be lost with one
-    /// disk.
+    /// Whether proposals are accepted: a majority of the configured voters votes. A decision of
+    /// fewer could be lost with one disk.
     #[must_use]
     pub fn may_commit(&self) -> bool {
         let voters = self.node.voters();
@@ -187,8 +192,8 @@
         self.forward_proposals(now);
     }
 
-    /// Reports the presence of this member to the leader, or to all configured voters while none is known. A leader needs
-    /// no heartbeat, since its appends show its presence.
+    /// Reports the presence of this member to the leader, or to all configured voters while none is
+    /// known. A leader needs no heartbeat, since its appends show its presence.
     fn send_heartbeats(&mut self) {
         if self.node.is_leader() {
             return;
@@ -221,11 +226,13 @@
         }
     }
 
-    /// Transfers the leadership to another voter: of those that have answered lately the first by identity.
+    /// Transfers the leadership to another voter: of those that have answered lately the first by
+    /// identity.
     ///
     /// # Errors
     ///
-    /// [`RaftError::NoTransferTarget`] if no other voter has answered lately; so at a member that does not lead.
+    /// [`RaftError::NoTransferTarget`] if no other voter has answered lately; so at a member that
+    /// does not lead.
     pub fn transfer_leadership(&mut self, now: Micros) -> Result<(), RaftError> {
         let in_contact = |voter: &&Voter| {
             **voter != self.local
@@ -259,8 +266,8 @@
         }
     }
 
-    /// Whether a message is for this incarnation, and of this group or of a member that is in none: the voters of two
-    /// groups must not count for each other.
+    /// Whether a message is for this incarnation, and of this group or of a member that is in none:
+    /// the voters of two groups must not count for each other.
     fn is_addressed_here(&mut self, envelope: &Envelope) -> bool {
         let own_cluster = self.cluster_id();
         if envelope.to.as_ref().is_some_and(|to| *to != self.local) {
--- a/crates/stairfront-raft/src/cluster_manager/bootstrap.rs
+++ b/crates/stairfront-raft/src/cluster_manager/bootstrap.rs
@@ -5,12 +5,12 @@
 use crate::log::Voter;
 
 impl ClusterManager {
-    /// Bootstraps the group, if this member is the first of the configured voters and all the others report that they are
-    /// in none.
+    /// Bootstraps the group, if this member is the first of the configured voters and all the
+    /// others report that they are in none.
     ///
-    /// A founder that has lost its storage must not found a second group beside the first. Any voter of the first one
-    /// prevents that: if present, it reports its group, and if absent, not all have reported. If all voters have lost
-    /// their storage, there is no first group any more.
+    /// A founder that has lost its storage must not found a second group beside the first. Any
+    /// voter of the first one prevents that: if present, it reports its group, and if absent, not
+    /// all have reported. If all voters have lost their storage, there is no first group any more.
     pub(super) fn bootstrap_if_first(&mut self, now: Micros) {
         if self.voter_names.first() != Some(&self.local.name) || !self.node.is_new() {
             return;
@@ -27,8 +27,9 @@
         self.node.bootstrap(now, voters, cluster_id);
     }
 
-    /// The one present incarnation of a name, if it is in no group. Two incarnations at once mean that one has just ended
-    /// or that two processes have one name; none is returned until that is clear.
+    /// The one present incarnation of a name, if it is in no group. Two incarnations at once mean
+    /// that one has just ended or that two processes have one name; none is returned until that is
+    /// clear.
     fn unaffiliated_peer(&self, now: Micros, name: &str) -> Option<Voter> {
         let mut present = self.peers.iter().filter(|(voter, peer)| {
             voter.name == name && now - peer.last_message <= PRESENCE_TIMEOUT
--- a/crates/stairfront-raft/src/cluster_manager/proposal_forwarding.rs
+++ b/crates/stairfront-raft/src/cluster_manager/proposal_forwarding.rs
@@ -1,4 +1,5 @@
-//! Proposals of any member, forwarded to the leader until they are committed or their time has passed.
+//! Proposals of any member, forwarded to the leader until they are committed or their time has
+//! passed.
 use stairfront_common::time::{Micros, MS};
 
 use super::{ClusterManager, ClusterMessage};
@@ -29,13 +30,13 @@
 }
 
 impl ClusterManager {
-    /// Proposes a command: it is forwarded to the leader until [`ClusterManager::committed`] is called for it or the
-    /// time limit has passed. The id must be of no other proposal.
+    /// Proposes a command: it is forwarded to the leader until [`ClusterManager::committed`] is
+    /// called for it or the time limit has passed. The id must be of no other proposal.
     ///
     /// # Errors
     ///
-    /// [`ProposalError::TooLarge`] above [`MAX_PROPOSAL_BYTES`], [`ProposalError::TooManyPending`] beyond
-    /// [`MAX_PENDING_PROPOSALS`].
+    /// [`ProposalError::TooLarge`] above [`MAX_PROPOSAL_BYTES`], [`ProposalError::TooManyPending`]
+    /// beyond [`MAX_PENDING_PROPOSALS`].
     pub fn propose(
         &mut self,
         now: Micros,
@@ -105,8 +106,9 @@
         }
     }
 
-    /// Appends a proposal to the log of this leader, once in a term. After a change of the leader it can be appended a
-    /// second time, so the state machine has to recognize applied commands by their ids.
+    /// Appends a proposal to the log of this leader, once in a term. After a change of the leader
+    /// it can be appended a second time, so the state machine has to recognize applied commands by
+    /// their ids.
     fn append_proposal(&mut self, now: Micros, id: u64, bytes: Vec<u8>) {
         let term = self.node.term();
         let earlier = self.accepted.get(&id);
--- a/crates/stairfront-raft/src/cluster_manager/voter_changes.rs
+++ b/crates/stairfront-raft/src/cluster_manager/voter_changes.rs
@@ -1,5 +1,6 @@
-//! The leader's choice of voters: a member that has lost its storage is replaced by its new incarnation, a learner with a
-//! configured name is promoted to a voter, and a voter that is not configured any more is removed. One change at a time.
+//! The leader's choice of voters: a member that has lost its storage is replaced by its new
+//! incarnation, a learner with a configured name is promoted to a voter, and a voter that is not
+//! configured any more is removed. One change at a time.
 use std::collections::BTreeSet;
 
 use stairfront_common::time::Micros;
@@ -14,8 +15,8 @@
 }
 
 impl ClusterManager {
-    /// Updates the learners and proposes the next change of voters, if one is due. One that the node refuses is proposed
-    /// again at the next check.
+    /// Updates the learners and proposes the next change of voters, if one is due. One that the
+    /// node refuses is proposed again at the next check.
     pub(super) fn check_voters(&mut self, now: Micros) {
         let voters: BTreeSet<Voter> = self.node.voters().iter().cloned().collect();
         let learners = self.present_learners(now, &voters);
@@ -53,7 +54,8 @@
             .collect()
     }
 
-    /// The first change that is due: by the configured names in their order, then a voter that is not configured.
+    /// The first change that is due: by the configured names in their order, then a voter that is
+    /// not configured.
     fn next_voter_change(
         &self,
         now: Micros,
@@ -67,8 +69,8 @@
         by_name.or_else(|| self.remove_unconfigured(voters))
     }
 
-    /// The change for a configured name that has one present learner: the removal of its former incarnation, once that is
-    /// silent for long enough, or else its promotion.
+    /// The change for a configured name that has one present learner: the removal of its former
+    /// incarnation, once that is silent for long enough, or else its promotion.
     fn change_for_name(
         &self,
         now: Micros,
--- a/crates/stairfront-raft/src/error.rs
+++ b/crates/stairfront-raft/src/error.rs
@@ -22,7 +22,8 @@
     /// The voter to be added does not have all committed entries yet.
     #[error("the new voter lacks committed entries; retry")]
     LearnerBehind,
-    /// The requested set of voters differs from the current one by other than one server, or is empty.
+    /// The requested set of voters differs from the current one by other than one server, or is
+    /// empty.
     #[error("one voter at a time can be added or removed, and one has to remain")]
     InvalidChange,
     /// The leadership cannot go to this member, or no other voter has been in contact lately.
@@ -30,14 +31,15 @@
     NoTransferTarget,
 }
 
-/// Why a [`ClusterManager`](crate::ClusterManager) refuses a proposal at the member where it is made. The texts are given
-/// to operators as answers of the admin API, and do not change.
+/// Why a [`ClusterManager`](crate::ClusterManager) refuses a proposal at the member where it is
+/// made. The texts are given to operators as answers of the admin API, and do not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
     /// This member has [`MAX_PENDING_PROPOSALS`](crate::MAX_PENDING_PROPOSALS) proposals pending.
     #[error("too many orders of this member are under way; ask again")]
     TooManyPending,
-    /// The proposal, of this many bytes, is above [`MAX_PROPOSAL_BYTES`](crate::MAX_PROPOSAL_BYTES).
+    /// The proposal, of this many bytes, is above
+    /// [`MAX_PROPOSAL_BYTES`](crate::MAX_PROPOSAL_BYTES).
     #[error("a proposal of {0} bytes, and {MAX_PROPOSAL_BYTES} are the most")]
     TooLarge(usize),
 }
--- a/crates/stairfront-raft/src/log.rs
+++ b/crates/stairfront-raft/src/log.rs
@@ -1,17 +1,18 @@
-//! The replicated log: entries behind a snapshot of what came before them (Raft sections 5.3 and 7).
+//! The replicated log: entries behind a snapshot of what came before them (Raft sections 5.3 and
+//! 7).
 use serde::{Deserialize, Serialize};
 
-/// A term of Raft: each has one leader at most (Raft section 5.1). A plain number, since terms are compared and counted
-/// in every rule and are a bare integer in the stored and the exchanged forms.
+/// A term of Raft: each has one leader at most (Raft section 5.1). A plain number, since terms are
+/// compared and counted in every rule and are a bare integer in the stored and the exchanged forms.
 pub type Term = u64;
-/// The position of an entry in the log; the first is 1, and 0 is before all. A plain number, since positions are computed
-/// with in every rule and are the keys of a store.
+/// The position of an entry in the log; the first is 1, and 0 is before all. A plain number, since
+/// positions are computed with in every rule and are the keys of a store.
 pub type LogIndex = u64;
 
 /// The identity of a voter or a learner: a name and the incarnation of its storage.
 ///
-/// A member that restarts with empty storage no longer knows for whom it has voted. It therefore has a new incarnation, is
-/// another voter, and counts towards a majority only after it was added.
+/// A member that restarts with empty storage no longer knows for whom it has voted. It therefore
+/// has a new incarnation, is another voter, and counts towards a majority only after it was added.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The configured name of the member.
@@ -23,7 +24,8 @@
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// The first entry of a leader's term: entries of earlier terms can be committed with it (Raft section 8).
+    /// The first entry of a leader's term: entries of earlier terms can be committed with it (Raft
+    /// section 8).
     Noop,
     /// A command for the state machine, in its own form.
     Command(Vec<u8>),
@@ -69,7 +71,8 @@
     pub term: Term,
     /// The voters as of that entry.
     pub voters: Vec<Voter>,
-    /// The identity of the group, which is the incarnation of the member that bootstrapped it; 0 before there is one.
+    /// The identity of the group, which is the incarnation of the member that bootstrapped it; 0
+    /// before there is one.
     pub cluster_id: u64,
     /// The state machine's own form of its state.
     pub data: Vec<u8>,
@@ -160,8 +163,8 @@
         batch
     }
 
-    /// Replaces the entries that a snapshot covers by it. The entries behind it stay if the log has the snapshot's last
-    /// entry, and are removed otherwise (Raft section 7).
+    /// Replaces the entries that a snapshot covers by it. The entries behind it stay if the log has
+    /// the snapshot's last entry, and are removed otherwise (Raft section 7).
     pub fn compact(&mut self, snapshot: Snapshot) {
         if self.term(snapshot.index) == Some(snapshot.term) {
             let covered = snapshot.index.saturating_sub(self.snapshot.index);
--- a/crates/stairfront-raft/src/message.rs
+++ b/crates/stairfront-raft/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between servers (Raft figure 2). They are exchanged in postcard's form, which depends on the order of
-//! fields and variants and not on their names.
+//! The messages between servers (Raft figure 2). They are exchanged in postcard's form, which
+//! depends on the order of fields and variants and not on their names.
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Entry, LogIndex, Snapshot, Term};
@@ -16,7 +16,8 @@
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether the receiver would vote for the sender in a term that has not begun yet (Diss. section 9.6).
+    /// Asks whether the receiver would vote for the sender in a term that has not begun yet (Diss.
+    /// section 9.6).
     RequestPreVote {
         /// Index of the last entry of the sender's log.
         last_log_index: LogIndex,
@@ -34,8 +35,8 @@
         last_log_index: LogIndex,
         /// Term of that entry.
         last_log_term: Term,
-        /// Whether the leader itself has asked for this election, so that its presence is no reason to refuse (Diss.
-        /// section 3.10).
+        /// Whether the leader itself has asked for this election, so that its presence is no reason
+        /// to refuse (Diss. section 3.10).
         leadership_transfer: bool,
     },
     /// Answer to a request for a vote.
@@ -47,7 +48,8 @@
     AppendEntries(AppendEntries),
     /// Answer to entries and to a snapshot.
     AppendResponse {
-        /// The index up to which the receiver's log is the leader's; none if the preceding entry did not match.
+        /// The index up to which the receiver's log is the leader's; none if the preceding entry
+        /// did not match.
         match_index: Option<LogIndex>,
         /// If it did not match, the index that the leader should try next.
         next_index_hint: LogIndex,
--- a/crates/stairfront-raft/src/node.rs
+++ b/crates/stairfront-raft/src/node.rs
@@ -1,7 +1,8 @@
-//! The Raft state of one member, voter or learner, and the dispatch of time and messages to its rules.
+//! The Raft state of one member, voter or learner, and the dispatch of time and messages to its
+//! rules.
 //!
-//! The rules are in modules named by the sections of the paper: [`election`], [`replication`], [`snapshot`],
-//! [`membership_change`] and [`leadership_transfer`].
+//! The rules are in modules named by the sections of the paper: [`election`], [`replication`],
+//! [`snapshot`], [`membership_change`] and [`leadership_transfer`].
 mod election;
 mod leadership_transfer;
 mod membership_change;
@@ -168,7 +169,8 @@
 
     /// Notes that all batches up to this number are durable.
     ///
-    /// Only now does a leader count its own log: counted before, a crash could undo an entry that is committed.
+    /// Only now does a leader count its own log: counted before, a crash could undo an entry that
+    /// is committed.
     pub fn persisted(&mut self, now: Micros, number: u64) {
         let durable = self
             .unpersisted
@@ -208,7 +210,8 @@
         if heartbeat_due {
             state.next_heartbeat = now + self.settings.heartbeat_interval;
         }
-        // A leader that is cut off would accept proposals that are never committed (Diss. section 6.2).
+        // A leader that is cut off would accept proposals that are never committed (Diss. section
+        // 6.2).
         if !self.has_quorum_contact(now) {
             self.become_follower(now, self.hard_state.term, None);
         } else if heartbeat_due {
--- a/crates/stairfront-raft/src/node/election.rs
+++ b/crates/stairfront-raft/src/node/election.rs
@@ -10,7 +10,8 @@
 use crate::ready::HardState;
 
 impl Node {
-    /// Draws a new election timeout. Its random part makes it unlikely that two voters stand at once (Raft section 5.2).
+    /// Draws a new election timeout. Its random part makes it unlikely that two voters stand at
+    /// once (Raft section 5.2).
     pub(super) fn reset_election_deadline(&mut self, now: Micros) {
         let timeout = self.settings.election_timeout;
         self.election_deadline = now + timeout + self.rng.below(timeout);
@@ -34,18 +35,19 @@
         self.is_majority(self.voters().iter().filter(in_contact).count())
     }
 
-    /// Whether a leader was in contact within an election timeout. It is then not replaced, unless it has asked for that
-    /// itself (Diss. section 4.2.3).
+    /// Whether a leader was in contact within an election timeout. It is then not replaced, unless
+    /// it has asked for that itself (Diss. section 4.2.3).
     pub(super) fn has_recent_leader(&self, now: Micros) -> bool {
         let in_contact = now - self.last_leader_contact < self.settings.election_timeout;
         self.leader.is_some() && (self.is_leader() || in_contact)
     }
 
-    /// Asks the voters whether they would elect this node, before it raises its term: a voter that was cut off does not
-    /// end a leader that the others follow.
+    /// Asks the voters whether they would elect this node, before it raises its term: a voter that
+    /// was cut off does not end a leader that the others follow.
     pub(super) fn start_pre_vote(&mut self, now: Micros) {
         self.reset_election_deadline(now);
-        // A learner forgets its leader, too: it would otherwise report to a dead one for ever, and be unknown to the next.
+        // A learner forgets its leader, too: it would otherwise report to a dead one for ever, and
+        // be unknown to the next.
         self.leader = None;
         if !self.is_voter() {
             return;
@@ -73,8 +75,8 @@
         self.request_votes(now);
     }
 
-    /// Asks the voters that have not answered. It is repeated, because on links with losses two of three voters would
-    /// otherwise elect nobody for many rounds (Raft section 5.1).
+    /// Asks the voters that have not answered. It is repeated, because on links with losses two of
+    /// three voters would otherwise elect nobody for many rounds (Raft section 5.1).
     pub(super) fn request_votes(&mut self, now: Micros) {
         let last_log_index = self.log.last_index();
         let last_log_term = self.log.last_term();
@@ -143,7 +145,8 @@
         self.ready.hard_state = Some(self.hard_state.clone());
     }
 
-    /// Whether a log lacks nothing that this node's has: only then does it get a vote (Raft section 5.4.1).
+    /// Whether a log lacks nothing that this node's has: only then does it get a vote (Raft section
+    /// 5.4.1).
     fn is_up_to_date(&self, last_log_index: LogIndex, last_log_term: Term) -> bool {
         (last_log_term, last_log_index) >= (self.log.last_term(), self.log.last_index())
     }
@@ -181,8 +184,9 @@
         }
     }
 
-    /// Answers a request for a vote. Whether the sender is a voter by this node's own log does not matter (Diss. section
-    /// 4.1). A member with empty storage has a new incarnation, so there is no vote that it could have forgotten.
+    /// Answers a request for a vote. Whether the sender is a voter by this node's own log does not
+    /// matter (Diss. section 4.1). A member with empty storage has a new incarnation, so there is
+    /// no vote that it could have forgotten.
     pub(super) fn handle_request_vote(
         &mut self,
         now: Micros,
--- a/crates/stairfront-raft/src/node/leadership_transfer.rs
+++ b/crates/stairfront-raft/src/node/leadership_transfer.rs
@@ -1,4 +1,5 @@
-//! Leadership transfer (Diss. section 3.10): the target is brought the whole log and then told to start an election.
+//! Leadership transfer (Diss. section 3.10): the target is brought the whole log and then told to
+//! start an election.
 use stairfront_common::time::Micros;
 
 use super::role::{LeadershipTransfer, Role};
@@ -12,7 +13,8 @@
     ///
     /// # Errors
     ///
-    /// [`RaftError::NotLeader`], or [`RaftError::NoTransferTarget`] if the target is no voter or this node itself.
+    /// [`RaftError::NotLeader`], or [`RaftError::NoTransferTarget`] if the target is no voter or
+    /// this node itself.
     pub fn transfer_leadership(&mut self, now: Micros, target: &Voter) -> Result<(), RaftError> {
         let is_other_voter = self.voters().contains(target) && *target != self.settings.local;
         let last_index = self.log.last_index();
--- a/crates/stairfront-raft/src/node/membership_change.rs
+++ b/crates/stairfront-raft/src/node/membership_change.rs
@@ -1,5 +1,5 @@
-//! Cluster membership: the first voters, changes of one server at a time (Diss. section 4.1), and learners (section
-//! 4.2.1).
+//! Cluster membership: the first voters, changes of one server at a time (Diss. section 4.1), and
+//! learners (section 4.2.1).
 use stairfront_common::time::Micros;
 
 use super::role::Role;
@@ -12,8 +12,8 @@
 const MAX_LEARNERS: usize = 512;
 
 impl Node {
-    /// Begins a group: its voters are its first committed fact. It does nothing at a node that is not new, and must be
-    /// called at one member only.
+    /// Begins a group: its voters are its first committed fact. It does nothing at a node that is
+    /// not new, and must be called at one member only.
     pub fn bootstrap(&mut self, now: Micros, voters: Vec<Voter>, cluster_id: u64) {
         if !self.is_new() {
             return;
@@ -43,16 +43,17 @@
         self.learners = learners.take(MAX_LEARNERS).collect();
     }
 
-    /// Adds a voter or removes one: the majorities before and after share a voter (Diss. section 4.1). Returns the index
-    /// of the entry.
+    /// Adds a voter or removes one: the majorities before and after share a voter (Diss. section
+    /// 4.1). Returns the index of the entry.
     ///
     /// # Errors
     ///
     /// - [`RaftError::NotLeader`] and [`RaftError::TransferInProgress`].
-    /// - [`RaftError::LearnerBehind`]: a voter that counted before it has the log would, with one more loss, leave no
-    ///   majority that has it (Diss. section 4.2.1).
-    /// - [`RaftError::ChangeInProgress`], also until the leader has committed an entry of its own term: the changes of
-    ///   two leaders could overlap before that (the error in the dissertation that was found in 2015).
+    /// - [`RaftError::LearnerBehind`]: a voter that counted before it has the log would, with one
+    ///   more loss, leave no majority that has it (Diss. section 4.2.1).
+    /// - [`RaftError::ChangeInProgress`], also until the leader has committed an entry of its own
+    ///   term: the changes of two leaders could overlap before that (the error in the dissertation
+    ///   that was found in 2015).
     /// - [`RaftError::InvalidChange`] for anything but one voter more or less.
     pub fn change_voters(
         &mut self,
--- a/crates/stairfront-raft/src/node/replication.rs
+++ b/crates/stairfront-raft/src/node/replication.rs
@@ -23,13 +23,13 @@
 
 // The leader's side.
 impl Node {
-    /// Appends a command to the log and returns its index. It is committed once an entry with this index and this
-    /// leader's term comes out of [`Ready::committed`](crate::Ready::committed).
+    /// Appends a command to the log and returns its index. It is committed once an entry with this
+    /// index and this leader's term comes out of [`Ready::committed`](crate::Ready::committed).
     ///
     /// # Errors
     ///
-    /// [`RaftError::NotLeader`], [`RaftError::TransferInProgress`], or [`RaftError::TooManyUncommitted`] beyond
-    /// [`MAX_UNCOMMITTED_ENTRIES`].
+    /// [`RaftError::NotLeader`], [`RaftError::TransferInProgress`], or
+    /// [`RaftError::TooManyUncommitted`] beyond [`MAX_UNCOMMITTED_ENTRIES`].
     pub fn propose(&mut self, now: Micros, command: Vec<u8>) -> Result<LogIndex, RaftError> {
         let Role::Leader(state) = &self.role else {
             return Err(RaftError::NotLeader(self.leader.clone()));
@@ -59,8 +59,8 @@
         index
     }
 
-    /// Time since a member last answered this leader; the longest possible where this node does not lead or knows no such
-    /// member.
+    /// Time since a member last answered this leader; the longest possible where this node does not
+    /// lead or knows no such member.
     #[must_use]
     pub fn time_since_response(&self, now: Micros, voter: &Voter) -> Micros {
         let Role::Leader(state) = &self.role else {
@@ -104,7 +104,8 @@
             .collect()
     }
 
-    /// Keeps progress for this node and the others, and for nobody else. A new member counts as not in contact.
+    /// Keeps progress for this node and the others, and for nobody else. A new member counts as not
+    /// in contact.
     fn track_members(&mut self, now: Micros, others: &BTreeSet<Voter>) {
         let last_index = self.log.last_index();
         let long_ago = now - self.settings.election_timeout;
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Sends a member its next entries, or a snapshot where they were compacted; a heartbeat if it lacks nothing.
+    /// Sends a member its next entries, or a snapshot where they were compacted; a heartbeat if it
+    /// lacks nothing.
     fn send_append(&mut self, now: Micros, to: &Voter) {
         let Role::Leader(state) = &mut self.role else {
             return;
@@ -170,8 +172,9 @@
         };
         progress.last_response = now;
         progress.unanswered_since = None;
-        // Only an answer that brings news is followed by further entries: on a link that duplicates, two answers to each
-        // message would otherwise grow without end. A heartbeat resends what was lost.
+        // Only an answer that brings news is followed by further entries: on a link that
+        // duplicates, two answers to each message would otherwise grow without end. A heartbeat
+        // resends what was lost.
         let brings_news = progress.update(match_index, next_index_hint, last_index);
         let lacks_entries = progress.next_index <= last_index;
         let has_all_entries = progress.match_index == last_index;
@@ -186,8 +189,8 @@
         }
     }
 
-    /// Commits what a majority has: only entries of the leader's own term by counting, and with them all that precede
-    /// (Raft section 5.4.2).
+    /// Commits what a majority has: only entries of the leader's own term by counting, and with
+    /// them all that precede (Raft section 5.4.2).
     pub(super) fn advance_commit_index(&mut self) {
         let Role::Leader(state) = &self.role else {
             return;
@@ -258,7 +261,8 @@
         }
         let match_index = prev_log_index + entries.len() as LogIndex;
         self.reconcile_entries(prev_log_index, entries);
-        // Only up to the last entry of this message: what is behind it may be of another history (Raft section 5.3).
+        // Only up to the last entry of this message: what is behind it may be of another history
+        // (Raft section 5.3).
         self.commit_index = self.commit_index.max(leader_commit.min(match_index));
         self.respond(
             from,
@@ -284,7 +288,8 @@
         }
     }
 
-    /// The index that a leader should try next: the first of the term of the entry that did not match (Raft section 5.3).
+    /// The index that a leader should try next: the first of the term of the entry that did not
+    /// match (Raft section 5.3).
     fn next_index_hint(&self, prev_log_index: LogIndex) -> LogIndex {
         let mut index = prev_log_index.min(self.log.last_index() + 1);
         let Some(term) = self.log.term(index) else {
--- a/crates/stairfront-raft/src/ready.rs
+++ b/crates/stairfront-raft/src/ready.rs
@@ -31,9 +31,9 @@
     pub message: Message,
 }
 
-/// A batch of work for the driver, to be done in this order: make `hard_state`, `snapshot`, `truncate_from` and `append`
-/// durable, as a whole; send `messages`; call [`Node::persisted`](crate::Node::persisted). Committed entries may be
-/// applied at any time.
+/// A batch of work for the driver, to be done in this order: make `hard_state`, `snapshot`,
+/// `truncate_from` and `append` durable, as a whole; send `messages`; call
+/// [`Node::persisted`](crate::Node::persisted). Committed entries may be applied at any time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
     /// The number of this batch; each batch of a node has a higher one.
@@ -48,7 +48,8 @@
     pub append: Vec<IndexedEntry>,
     /// Messages that depend on the state above.
     pub messages: Vec<OutgoingMessage>,
-    /// A snapshot that replaces the state machine's state, before the committed entries are applied.
+    /// A snapshot that replaces the state machine's state, before the committed entries are
+    /// applied.
     pub restored: Option<Snapshot>,
     /// Committed entries, in order.
     pub committed: Vec<IndexedEntry>,
--- a/crates/stairfront-raft/src/settings.rs
+++ b/crates/stairfront-raft/src/settings.rs
@@ -10,8 +10,8 @@
     pub local: Voter,
     /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Micros,
-    /// Time without contact to a leader after which a voter starts an election; a random part of up to as much again is
-    /// added. Ten heartbeats, so that single losses start no election.
+    /// Time without contact to a leader after which a voter starts an election; a random part of up
+    /// to as much again is added. Ten heartbeats, so that single losses start no election.
     pub election_timeout: Micros,
     /// Bytes of entries in one message, at most; one entry is always sent, whatever its size.
     pub max_batch_bytes: usize,
--- a/crates/stairfront-raft/tests/cluster_manager.rs
+++ b/crates/stairfront-raft/tests/cluster_manager.rs
@@ -1,5 +1,6 @@
-//! Cluster managers on a virtual clock: a group is bootstrapped once, learners follow whoever leads, a voter without its
-//! storage comes back as another, proposals of any member are committed once.
+//! Cluster managers on a virtual clock: a group is bootstrapped once, learners follow whoever
+//! leads, a voter without its storage comes back as another, proposals of any member are committed
+//! once.
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use stairfront_common::random::SeededRng;
@@ -19,7 +20,7 @@
 struct Member {
     name: String,
     manager: Option<ClusterManager>,
-    /// What its disk holds; none for an empty one.
+    /// The content of its disk; none for an empty one.
     disk: Option<MemoryStore>,
     has_disk: bool,
     incarnation: u64,
@@ -32,7 +33,7 @@
     outgoing: OutgoingEnvelope,
 }
 
-/// What a member has, to be printed.
+/// The state of a member, to be printed.
 #[derive(Debug)]
 #[allow(dead_code)] // Read by Debug alone.
 struct MemberState {
@@ -235,7 +236,8 @@
         if let Payload::Command(bytes) = &committed.entry.payload {
             let id = u64::from_le_bytes(bytes[..].try_into().unwrap());
             manager.committed(id);
-            // A command can be in the log twice after a change of leader; it is recognized by its id.
+            // A command can be in the log twice after a change of leader; it is recognized by its
+            // id.
             if !applied.contains(&id) {
                 applied.push(id);
             }
@@ -278,7 +280,8 @@
         let second = world.propose(3);
         world.run(4 * SECOND);
         world.assert_applied_everywhere(second, seed);
-        // It comes back without its disk: another incarnation, which is added once the old one is silent for long enough.
+        // It comes back without its disk: another incarnation, which is added once the old one is
+        // silent for long enough.
         world.lose_disk(leader);
         world.start(leader);
         world.run(14 * SECOND);
@@ -292,8 +295,8 @@
     }
 }
 
-/// The first of the configured voters, back with an empty disk while it is cut off or the others are present, would
-/// otherwise bootstrap a second group beside the first.
+/// The first of the configured voters, back with an empty disk while it is cut off or the others
+/// are present, would otherwise bootstrap a second group beside the first.
 #[test]
 fn no_second_group_is_bootstrapped_beside_the_first() {
     for seed in 0..20 {
@@ -324,7 +327,8 @@
     }
 }
 
-/// What was sent to the incarnation of a lost disk would otherwise be answered from another one.
+/// A message to the incarnation of a lost disk must not be answered by the next one, and the voters
+/// of another group must not count here.
 #[test]
 fn messages_for_an_older_incarnation_and_of_another_group_are_dropped() {
     let mut world = World::new(3, 3, 0, true);
--- a/crates/stairfront-raft/tests/exchanged_forms.rs
+++ b/crates/stairfront-raft/tests/exchanged_forms.rs
@@ -1,4 +1,5 @@
-//! The messages between voters and what they store, as golden files: a change of names must not change a byte.
+//! The messages between voters and what they store, as golden files: a change of names must not
+//! change a byte.
 use stairfront_raft::{
     AppendEntries, ClusterMessage, Entry, Envelope, HardState, Message, MessageBody, Payload,
     Snapshot, Voter,
--- a/crates/stairfront-raft/tests/interleavings.rs
+++ b/crates/stairfront-raft/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Every order in which messages arrive, election timeouts pass and voters crash, for three voters to a stated depth. Drawn
-//! schedules meet a case by chance; this meets all that are short enough.
+//! Every order in which messages arrive, election timeouts pass and voters crash, for three voters
+//! to a stated depth. Drawn schedules meet a case by chance; this meets all that are short enough.
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -21,7 +21,8 @@
     now: Micros,
     node: Node,
     disk: MemoryStore,
-    /// Taken from the node and not durable yet: a crash loses it, and its messages have not been sent.
+    /// Taken from the node and not durable yet: a crash loses it, and its messages have not been
+    /// sent.
     ready: Option<Ready>,
 }
 
@@ -32,7 +33,7 @@
     message: Message,
 }
 
-/// What may happen yet, of each kind.
+/// The number of events that may still happen, by kind.
 #[derive(Clone, Debug)]
 struct Budget {
     timeouts: u8,
--- a/crates/stairfront-raft/tests/rules.rs
+++ b/crates/stairfront-raft/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Single rules, each by the shortest exchange that would break it; drawn schedules meet some of them once in thousands.
+//! Single rules, each by the shortest exchange that would break it; drawn schedules meet some of
+//! them once in thousands.
 use stairfront_raft::{
     AppendEntries, Entry, HardState, Log, LogIndex, Message, MessageBody, Micros, Node, Payload,
     RaftError, Recovered, Settings, Snapshot, Term, Voter, MS, SECOND,
@@ -71,7 +72,8 @@
     node.handle_message(ELECTED, &voter(follower), message);
 }
 
-/// An entry of an older term that a majority has can still be replaced by another leader's (Raft figure 8).
+/// An entry of an older term that a majority has can still be replaced by another leader's (Raft
+/// figure 8).
 #[test]
 fn an_entry_of_an_older_term_is_committed_only_with_one_of_the_current_term() {
     let mut node = node(2, &[command(2)]);
@@ -82,7 +84,8 @@
     assert_eq!(node.commit_index(), 3);
 }
 
-/// Behind the entries that a leader has sent may be entries of another history, which it has not seen.
+/// Behind the entries that a leader has sent may be entries of another history, which it has not
+/// seen.
 #[test]
 fn entries_behind_those_that_the_leader_sent_are_not_committed() {
     let mut node = node(2, &[command(2), command(2)]);
@@ -96,7 +99,8 @@
     assert_eq!(node.commit_index(), 1);
 }
 
-/// If a leader counted an entry before it is on its own disk, its crash and another's loss would undo what was committed.
+/// If a leader counted an entry before it is on its own disk, its crash and another's loss would
+/// undo what was committed.
 #[test]
 fn a_leader_counts_itself_only_for_what_it_has_persisted() {
     let mut node = node(2, &[]);
@@ -144,8 +148,8 @@
     assert_eq!(node.commit_index(), change);
 }
 
-/// A leader without contact would accept proposals that are never committed; one that was cut off and comes back with a
-/// higher term would end a leader that the others follow.
+/// A leader without contact would accept proposals that are never committed; one that was cut off
+/// and comes back with a higher term would end a leader that the others follow.
 #[test]
 fn a_leader_without_a_majority_steps_down_and_does_not_raise_its_term() {
     let mut node = node(2, &[]);
--- a/crates/stairfront-raft/tests/simulation/faults.rs
+++ b/crates/stairfront-raft/tests/simulation/faults.rs
@@ -62,7 +62,8 @@
         server.disk_busy = false;
     }
 
-    /// One disk at a time, and only while the others can go on: no protocol survives the loss of a majority.
+    /// One disk at a time, and only while the others can go on: no protocol survives the loss of a
+    /// majority.
     fn lose_disk(&mut self, target: usize) {
         let all_vote = self
             .servers
--- a/crates/stairfront-raft/tests/simulation/main.rs
+++ b/crates/stairfront-raft/tests/simulation/main.rs
@@ -1,5 +1,6 @@
-//! Voters on a virtual clock: links that lose, duplicate and cut, disks that lose what was not synced, crashes, disks that
-//! come back empty. Safety is checked after each step, and after the last fault new entries must be committed everywhere.
+//! Voters on a virtual clock: links that lose, duplicate and cut, disks that lose what was not
+//! synced, crashes, disks that come back empty. Safety is checked after each step, and after the
+//! last fault new entries must be committed everywhere.
 mod faults;
 #[path = "../support/mod.rs"]
 mod support;
@@ -20,7 +21,8 @@
     world
 }
 
-/// CI plays some seeds; `AGREEMENT_SEEDS=1..10000 cargo test --release -p stairfront-raft` plays more.
+/// CI plays some seeds; `AGREEMENT_SEEDS=1..10000 cargo test --release -p stairfront-raft` plays
+/// more.
 #[test]
 fn one_history_under_crashes_cuts_and_lost_disks() {
     let seeds = match std::env::var("AGREEMENT_SEEDS") {
@@ -51,7 +53,8 @@
     assert_ne!(digests(7), digests(8));
 }
 
-/// The simulation finds what it is for: a voter that sends messages before the state they depend on is durable.
+/// The simulation finds what it is for: a voter that sends messages before the state they depend on
+/// is durable.
 #[test]
 fn a_voter_that_sends_before_it_has_persisted_is_found() {
     let found = (1..400).any(|seed| {
@@ -66,13 +69,15 @@
     assert!(found);
 }
 
-/// On a link that duplicates, answers to duplicated answers multiplied; a leader's disk fell 1,890 writes behind.
+/// On a link that duplicates, answers to duplicated answers multiplied; a leader's disk fell 1,890
+/// writes behind.
 #[test]
 fn duplicated_responses_do_not_multiply() {
     play(6208);
 }
 
-/// A voter that counted before it had the log left, with one more disk lost, no majority that could elect a leader.
+/// A voter that counted before it had the log left, with one more disk lost, no majority that could
+/// elect a leader.
 #[test]
 fn a_new_voter_counts_only_once_it_has_the_log() {
     play(46);
--- a/crates/stairfront-raft/tests/simulation/world.rs
+++ b/crates/stairfront-raft/tests/simulation/world.rs
@@ -318,7 +318,8 @@
         self.schedule(self.now + duration, event);
     }
 
-    /// What surrounds a leader: proposals, leadership transfers, and the replacement of voters whose disk is lost.
+    /// The requests to a leader: proposals, leadership transfers, and the replacement of voters
+    /// whose disk is lost.
     fn act_as_leader(&mut self, at: usize) {
         let members: BTreeSet<Voter> = self.servers.iter().map(|s| s.local.clone()).collect();
         let proposes = self.rng.happens(0.2);
@@ -349,7 +350,8 @@
         self.voter_changes += u64::from(node.change_voters(self.now, voters).is_ok());
     }
 
-    /// Ends the faults: new entries have to be committed at all servers, with all of them as voters.
+    /// Ends the faults: new entries have to be committed at all servers, with all of them as
+    /// voters.
     pub fn converge(&mut self) {
         self.calm = true;
         self.lift_link_faults();
--- a/crates/stairfront-raft/tests/support/mod.rs
+++ b/crates/stairfront-raft/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A store in memory, as a driver has one on a disk.
 use stairfront_raft::{HardState, Log, Ready, Recovered};
 
-/// What a member has made durable.
+/// The durable state of a member.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore {
     pub hard_state: HardState,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// What a restarted member finds.
+    /// The state with which the member restarts.
     pub fn recovered(&self) -> Recovered {
         Recovered {
             hard_state: self.hard_state.clone(),
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -204,10 +204,10 @@
         agreement.committed,
         agreement.voters.join(", ")
     );
-    if !agreement.not_in.is_empty() {
+    if !agreement.missing_voters.is_empty() {
         text += &format!(
             "not among the voters yet, or any more: {}\n",
-            agreement.not_in.join(", ")
+            agreement.missing_voters.join(", ")
         );
     }
     if let Some(trouble) = &view.trouble {
