--- a/crates/stairfront-balancer/src/engine.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -18,27 +18,27 @@
 use tokio_util::time::DelayQueue;
 use tracing::{debug, info, warn};
 
-use crate::caches::{Pool, Protocol, UpstreamTarget};
 use crate::clock::{duration, Clock};
-use crate::cordon_record::CordonRecord;
-use crate::counters::{Counters, OriginUse};
-use crate::handover_state::{HandoverState, Snapshot};
-use crate::heartbeat::{door_settings, Vitals};
-use crate::limits::{stall_limit, Memory};
-use crate::messages::{Answer, Arrival, AttemptEnd, AttemptId, Input, Job};
-use crate::orders::Ordered;
-use crate::server_list::{cache_id, Line, ServerList};
-use crate::shutdown::life_left;
-use crate::stages::admit::{NotAdmitted, Open, Table};
+use crate::configuration::limits::{stall_limit, Memory};
+use crate::configuration::request_catalog::RequestCatalog;
+use crate::control::cordon_record::CordonRecord;
+use crate::control::pending_order::PendingOrder;
+use crate::control::server_list::{cache_id, ServerEntry, ServerList};
+use crate::counters::{Counters, OriginUsage};
+use crate::lifecycle::handover_state::{HandoverState, Snapshot};
+use crate::lifecycle::loop_monitor::{door_settings, RuntimeHandles};
+use crate::lifecycle::shutdown::life_left;
+use crate::messages::{Answer, Arrival, AttemptEnd, AttemptId, EngineEvent, Job};
+use crate::stages::admit::{AdmissionError, OpenRequest, RequestTable};
 use crate::stages::route::{self, Decide};
-use crate::stages::send::Sending;
-use crate::terms::Terms;
+use crate::stages::send::SendDecision;
 use crate::transport::Network;
+use crate::upstream::upstream_pool::{Protocol, UpstreamPool, UpstreamTarget};
 
 /// Hosts kept that no list names any more: more than a list may call gone by mistake, and bounded.
-const MOST_DROPPED: usize = 4096;
+const MAX_REMOVED_HOSTS: usize = 4096;
 
-enum Due {
+enum TimerKind {
     /// A timer of the decision module.
     Token(u64),
     /// An attempt that has waited for a socket for as long as a connection may take.
@@ -46,25 +46,25 @@
 }
 
 /// What the engine has in common with other tasks, or with the process after this one.
-pub struct Shared {
-    pub vitals: Vitals,
+pub struct EngineHandles {
+    pub vitals: RuntimeHandles,
     /// Told once there is a list to serve from.
     pub ready: watch::Sender<bool>,
     pub record: CordonRecord,
     /// What the clients' tasks read commands against.
-    pub terms: Rc<RefCell<Terms>>,
+    pub terms: Rc<RefCell<RequestCatalog>>,
     /// The others of this balancer's group, and the cache hosts that they hold out; none where there is no group.
     pub members: Option<(Rc<MembershipAgent>, Vec<String>)>,
-    /// Counted where there is a group that asks for it.
-    pub origin: Rc<OriginUse>,
+    /// ServiceCounts where there is a group that asks for it.
+    pub origin: Rc<OriginUsage>,
 }
 
 pub struct Engine<D, N: Network> {
     policy: D,
     clock: Clock,
-    table: Table,
-    pool: Pool<N>,
-    timers: DelayQueue<Due>,
+    table: RequestTable,
+    pool: UpstreamPool<N>,
+    timers: DelayQueue<TimerKind>,
     counters: Rc<Counters>,
     /// Hears how long requests waited for the engine.
     door: Rc<RefCell<AdmissionController>>,
@@ -87,10 +87,10 @@
     members: Option<Rc<MembershipAgent>>,
     /// Attempts by cache host, where there is a group that asks for them.
     sent: FxHashMap<CacheId, u64>,
-    origin: Rc<OriginUse>,
+    origin: Rc<OriginUsage>,
     record: CordonRecord,
-    terms: Rc<RefCell<Terms>>,
-    /// Ends of attempts that the module has not heard yet.
+    terms: Rc<RefCell<RequestCatalog>>,
+    /// AbortOnDrop of attempts that the module has not heard yet.
     ends: VecDeque<AttemptEnd>,
     actions: Vec<Action>,
 }
@@ -101,12 +101,12 @@
         start: Start,
         decider: impl FnOnce(Settings) -> D,
         memory: Memory,
-        pool: Pool<N>,
-        shared: Shared,
+        pool: UpstreamPool<N>,
+        shared: EngineHandles,
     ) -> Self {
-        let Shared {
+        let EngineHandles {
             vitals:
-                Vitals {
+                RuntimeHandles {
                     clock,
                     door,
                     counters,
@@ -121,7 +121,7 @@
         let mut registry = HostRegistry::default();
         held.into_iter()
             .flatten()
-            .for_each(|name| registry.hold(cache_id(&name), &name));
+            .for_each(|name| registry.cordon_for_group(cache_id(&name), &name));
         let Start {
             mut settings, host, ..
         } = start;
@@ -129,7 +129,7 @@
         settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
         Engine {
             clock,
-            table: Table::new(host.open_requests, memory),
+            table: RequestTable::new(host.open_requests, memory),
             pool,
             timers: DelayQueue::new(),
             counters,
@@ -159,8 +159,8 @@
         mut self,
         known: ServerList,
         inherited: Option<HandoverState>,
-        mut inputs: mpsc::Receiver<Input>,
-        mut orders: mpsc::Receiver<Ordered>,
+        mut inputs: mpsc::Receiver<EngineEvent>,
+        mut orders: mpsc::Receiver<PendingOrder>,
     ) {
         // Before the list is known, so that nothing ever goes to a cache host that was taken out.
         self.restore_cordons();
@@ -187,7 +187,7 @@
             tokio::select! {
                 biased;
                 // Ahead of all requests that wait: an answer is owed to operators in a second under any load.
-                Some(Ordered { order, word, done }) = orders.recv() => {
+                Some(PendingOrder { order, word, done }) = orders.recv() => {
                     // A caller that has left finds it done when it asks again.
                     let _ = done.send(self.carry_out_order(&order, word));
                     self.settle();
@@ -205,18 +205,18 @@
         }
     }
 
-    fn hear(&mut self, input: Input) {
+    fn hear(&mut self, input: EngineEvent) {
         match input {
-            Input::Arrived(arrival) => {
+            EngineEvent::Arrived(arrival) => {
                 self.door
                     .borrow_mut()
                     .record_message_delay(self.clock.now() - arrival.came);
                 self.arrived(arrival);
             }
-            Input::ClientGone(id) => self.client_gone(id),
-            Input::Retune(retuned) => self.retune(&retuned),
-            Input::Snapshot(to) => self.snapshot(to),
-            Input::Hosts(to) => {
+            EngineEvent::ClientGone(id) => self.client_gone(id),
+            EngineEvent::Retune(retuned) => self.retune(&retuned),
+            EngineEvent::Snapshot(to) => self.snapshot(to),
+            EngineEvent::Hosts(to) => {
                 let listed = self
                     .names
                     .iter()
@@ -224,20 +224,20 @@
                 // Who has left does not need it.
                 let _ = to.send(listed.collect());
             }
-            Input::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
-            Input::Ending => {
+            EngineEvent::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
+            EngineEvent::Ending => {
                 let by = self.clock.now() + self.life_left;
                 self.tell(Event::ShuttingDown { by });
             }
-            Input::TakeAll => {
+            EngineEvent::TakeAll => {
                 self.pool.take_all(&mut self.ends);
                 self.time_waits();
             }
-            Input::Pool(news) => {
+            EngineEvent::UpstreamPool(news) => {
                 self.pool.hear(news, &mut self.ends);
                 self.time_waits();
             }
-            Input::List(list) => {
+            EngineEvent::List(list) => {
                 self.counters.lists_heard.add();
                 let told = self.members.is_some().then(|| self.leaving_in(&list));
                 self.learn(list, false);
@@ -279,7 +279,7 @@
             settings: &settings,
             tenants,
         });
-        *self.terms.borrow_mut() = Terms::retuned(self.clock.now(), retuned);
+        *self.terms.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
     }
 
     fn snapshot(&mut self, to: oneshot::Sender<Snapshot>) {
@@ -303,8 +303,10 @@
             info!("{name} (server {:012x}) is cordoned, as on record", cache.0);
             self.registry.restore(cache, &name);
         }
-        self.counters.cordoned.set(self.registry.out() as u64);
-        let out: Vec<CacheId> = self.registry.all_out().collect();
+        self.counters
+            .cordoned
+            .set(self.registry.cordoned_count() as u64);
+        let out: Vec<CacheId> = self.registry.all_cordoned().collect();
         out.into_iter()
             .for_each(|cache| self.tell(Event::Cordon { cache, on: true }));
     }
@@ -312,64 +314,68 @@
     fn carry_out_order(&mut self, order: &OperatorOrder, word: OrderSource) -> OrderOutcome {
         let (OperatorOrder::Cordon(name)
         | OperatorOrder::Uncordon(name)
-        | OperatorOrder::Hold(name)
-        | OperatorOrder::Release(name)
-        | OperatorOrder::Known(name)
-        | OperatorOrder::Use(name)) = order;
+        | OperatorOrder::GroupCordon(name)
+        | OperatorOrder::GroupUncordon(name)
+        | OperatorOrder::IsKnown(name)
+        | OperatorOrder::GetUsage(name)) = order;
         let cache = cache_id(name);
-        if word == OrderSource::Vouched {
-            self.registry.listed(cache);
+        if word == OrderSource::Peer {
+            self.registry.note_listed(cache);
         }
         let before = self.registry.is_cordoned(cache);
         let known = match order {
             OperatorOrder::Cordon(_) => self.registry.cordon(cache, name).is_ok(),
             OperatorOrder::Uncordon(_) => self.registry.uncordon(cache).is_ok(),
-            OperatorOrder::Known(_) => {
+            OperatorOrder::IsKnown(_) => {
                 return if self.registry.is_known(cache) {
-                    OrderOutcome::Yes
+                    OrderOutcome::Done
                 } else {
-                    OrderOutcome::Unknown
+                    OrderOutcome::UnknownHost
                 }
             }
-            OperatorOrder::Use(_) => {
+            OperatorOrder::GetUsage(_) => {
                 let sent = self.sent.get(&cache).copied().unwrap_or(0);
-                return OrderOutcome::Use {
-                    open: self.pool.in_use(cache),
+                return OrderOutcome::Usage {
+                    in_flight: self.pool.in_use(cache),
                     sent,
                 };
             }
-            OperatorOrder::Hold(_) => {
-                self.registry.hold(cache, name);
+            OperatorOrder::GroupCordon(_) => {
+                self.registry.cordon_for_group(cache, name);
                 true
             }
-            OperatorOrder::Release(_) => {
-                self.registry.release(cache);
+            OperatorOrder::GroupUncordon(_) => {
+                self.registry.uncordon_for_group(cache);
                 true
             }
         };
         if !known {
-            return OrderOutcome::Unknown;
+            return OrderOutcome::UnknownHost;
         }
         let on = self.registry.is_cordoned(cache);
         if on != before {
-            self.counters.cordoned.set(self.registry.out() as u64);
+            self.counters
+                .cordoned
+                .set(self.registry.cordoned_count() as u64);
             self.tell(Event::Cordon { cache, on });
             self.bar(cache);
         }
         match order {
             // The member has them on record.
-            OperatorOrder::Hold(_) | OperatorOrder::Release(_) => return OrderOutcome::Yes,
-            OperatorOrder::Uncordon(_) if self.registry.is_held(cache) => {
-                return OrderOutcome::Held
+            OperatorOrder::GroupCordon(_) | OperatorOrder::GroupUncordon(_) => {
+                return OrderOutcome::Done
+            }
+            OperatorOrder::Uncordon(_) if self.registry.is_cordoned_by_group(cache) => {
+                return OrderOutcome::HeldByGroup
             }
             _ => {}
         }
         // Written again at a repeated call too: the first may have failed.
         match self
             .record
-            .write(self.registry.cordoned().map(|(_, name)| name))
+            .write(self.registry.cordoned_by_operators().map(|(_, name)| name))
         {
-            Ok(()) => OrderOutcome::Yes,
+            Ok(()) => OrderOutcome::Done,
             Err(problem) => {
                 warn!("cordons not recorded, and would be lost with this process: {problem}");
                 OrderOutcome::NotRecorded
@@ -418,7 +424,7 @@
 
     /// Which cache hosts leave by a list, among those that were in use.
     fn leaving_in(&self, list: &ServerList) -> DrainAnnouncement {
-        let said = |line: &&Line| line.member.state != EndpointState::Ready;
+        let said = |line: &&ServerEntry| line.member.state != EndpointState::Ready;
         let mut leaving: Vec<String> = list
             .lines
             .iter()
@@ -460,15 +466,15 @@
                 self.counters.taken_in.add();
                 self.tell(Event::Request(request));
             }
-            Err(NotAdmitted::IdOpen) => self.counters.rejected.add(),
-            Err(NotAdmitted::NoRoom) => self.counters.over_cap.add(),
+            Err(AdmissionError::IdOpen) => self.counters.rejected.add(),
+            Err(AdmissionError::NoRoom) => self.counters.over_cap.add(),
         }
     }
 
-    fn fire(&mut self, due: Due) {
+    fn fire(&mut self, due: TimerKind) {
         match due {
-            Due::Token(token) => self.tell(Event::Timer { token }),
-            Due::Socket(attempt) => self.ends.extend(self.pool.give_up_waiting(attempt)),
+            TimerKind::Token(token) => self.tell(Event::Timer { token }),
+            TimerKind::Socket(attempt) => self.ends.extend(self.pool.give_up_waiting(attempt)),
         }
         self.settle();
     }
@@ -476,17 +482,22 @@
     /// Danger: word of a client that left waits behind all that came before it; what is about to happen for its request
     /// goes by the flag that its connection has raised.
     fn notice_departure(&mut self, id: RequestId) {
-        if self.table.open.get(&id).is_some_and(Open::is_deserted) {
+        if self
+            .table
+            .open
+            .get(&id)
+            .is_some_and(OpenRequest::is_deserted)
+        {
             self.client_gone(id);
         }
     }
 
     fn client_gone(&mut self, id: RequestId) {
-        let answer = self.table.open.get_mut(&id).and_then(Open::end);
+        let answer = self.table.open.get_mut(&id).and_then(OpenRequest::end);
         if answer.is_some() {
             self.counters.client_gone.add();
             self.tell(Event::ClientDisconnected { id });
-            self.table.book(id);
+            self.table.complete(id);
         }
     }
 
@@ -514,7 +525,7 @@
                 self.carry(sending);
             }
             self.tell(Event::AttemptFinished(settled));
-            self.table.book(id);
+            self.table.complete(id);
         }
     }
 
@@ -568,17 +579,17 @@
                 if self.table.answer(id, Answer::Busy { after_ms }) {
                     self.counters.refused.add();
                 }
-                self.table.book(id);
+                self.table.complete(id);
             }
             Action::Fail { id } => {
                 if self.table.answer(id, Answer::Failed) {
                     self.counters.failed.add();
                 }
-                self.table.book(id);
+                self.table.complete(id);
             }
             Action::Cancel { id, attempt } => self.table.cancel(id, attempt),
             Action::Timer { delay, token } => {
-                self.timers.insert(Due::Token(token), duration(delay));
+                self.timers.insert(TimerKind::Token(token), duration(delay));
             }
             Action::Disconnect { cache } => self.pool.close_idle(cache),
             Action::Log(record) => info!("{record}"),
@@ -602,11 +613,11 @@
         self.carry(sending);
     }
 
-    fn carry(&mut self, sending: Sending) {
+    fn carry(&mut self, sending: SendDecision) {
         match sending {
-            Sending::Job(job) => self.dispatch(job),
-            Sending::Ended(end) => self.ends.push_back(end),
-            Sending::Deferred => {}
+            SendDecision::Job(job) => self.dispatch(job),
+            SendDecision::Ended(end) => self.ends.push_back(end),
+            SendDecision::Deferred => {}
         }
     }
 
@@ -621,7 +632,7 @@
 
     fn time_waits(&mut self) {
         for (attempt, until) in self.pool.new_waits() {
-            self.timers.insert_at(Due::Socket(attempt), until);
+            self.timers.insert_at(TimerKind::Socket(attempt), until);
         }
     }
 
@@ -658,7 +669,7 @@
         }));
     }
 
-    fn place(&mut self, line: &Line) {
+    fn place(&mut self, line: &ServerEntry) {
         let member = line.member;
         if member.state == EndpointState::Removed {
             return self.delist(member.id);
@@ -686,7 +697,7 @@
             );
         }
         if !origin {
-            self.registry.listed(member.id);
+            self.registry.note_listed(member.id);
             if self.members.is_some() {
                 self.names.insert(member.id, line.name.clone());
             }
@@ -707,7 +718,7 @@
         }
         self.dropped.retain(|other| *other != id);
         self.dropped.push_back(id);
-        if self.dropped.len() > MOST_DROPPED {
+        if self.dropped.len() > MAX_REMOVED_HOSTS {
             if let Some(oldest) = self.dropped.pop_front() {
                 self.forget(oldest);
             }
@@ -720,7 +731,8 @@
         self.sent.remove(&id);
         self.hearsay.remove(&id);
         let servers = &self.servers;
-        self.registry.left(id, |other| servers.contains_key(&other));
+        self.registry
+            .note_unlisted(id, |other| servers.contains_key(&other));
         self.pool.bar(id, true);
         self.pool.end_waiting(id, &mut self.ends);
         self.pool.forget(id);
