--- a/crates/stairfront-balancer/src/configuration/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use stairfront_membership_agent::{MembershipSection, DESCRIPTORS};
 use stairfront_raft_node::{AgreementSection, STORE_DESCRIPTORS};
-use stairfront_settings::{Start, NOT_RETUNED};
+use stairfront_settings::{LoadedSettings, FIXED_KEYS};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::configuration::limits::{Memory, Sockets, MAX_SOCKETS};
@@ -103,7 +103,7 @@
     pub membership: Option<MembershipSection>,
     /// What the balancers agree on, and through whom; none, and nothing of it is there.
     pub agreement: Option<AgreementSection>,
-    pub start: Start,
+    pub start: LoadedSettings,
 }
 
 impl Config {
@@ -198,11 +198,11 @@
             Err(e) => return (None, vec![(e.path().to_string(), e.inner().to_string())]),
         };
         let mut problems = Vec::new();
-        let faults = Start::faults(raw.settings.clone());
+        let faults = LoadedSettings::errors(raw.settings.clone());
         problems.extend(
             faults
                 .into_iter()
-                .map(|e| (format!("settings.{}", e.key), e.problem)),
+                .map(|e| (format!("settings.{}", e.key), e.error.to_string())),
         );
         if let Some(membership) = &raw.membership {
             let faults = membership.faults(&raw.name);
@@ -257,8 +257,8 @@
 
     fn build(path: &str, mut whole: Value, raw: Raw) -> Result<Self, (String, String)> {
         let aside = raw.aside();
-        let start = Start::from_value(raw.settings)
-            .map_err(|e| (format!("settings.{}", e.key), e.problem))?;
+        let start = LoadedSettings::from_value(raw.settings)
+            .map_err(|e| (format!("settings.{}", e.key), e.error.to_string()))?;
         let list = raw.known.read(&start.names);
         let known = list.map_err(|e| ("known.endpoints".to_string(), e.to_string()))?;
         if let Some(keys) = whole.as_object_mut() {
@@ -328,7 +328,7 @@
         let mut paths = Vec::new();
         differing(String::new(), &self.text, &new.text, &mut paths);
         paths.retain(|path| match path.strip_prefix("settings.") {
-            Some(key) => NOT_RETUNED.contains(&key.split('.').next().unwrap_or_default()),
+            Some(key) => FIXED_KEYS.contains(&key.split('.').next().unwrap_or_default()),
             None => true,
         });
         paths
--- a/crates/stairfront-balancer/src/configuration/request_catalog.rs
+++ b/crates/stairfront-balancer/src/configuration/request_catalog.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use stairfront_policy::interface::{Class, ClassId, Micros, TenantId, SECOND};
-use stairfront_settings::{Names, Retuned, Start};
+use stairfront_settings::{LoadedSettings, Names, SettingsUpdate};
 
 use crate::clock::duration;
 
@@ -18,7 +18,7 @@
 }
 
 impl RequestCatalog {
-    pub fn of(start: &Start) -> Self {
+    pub fn of(start: &LoadedSettings) -> Self {
         RequestCatalog {
             names: start.names.clone(),
             classes: start.settings.classes.clone(),
@@ -27,11 +27,11 @@
         }
     }
 
-    pub fn retuned(now: Micros, retuned: &Retuned) -> Self {
+    pub fn retuned(now: Micros, retuned: &SettingsUpdate) -> Self {
         RequestCatalog {
-            retired: retuned.retired.clone(),
+            retired: retuned.retired_classes.clone(),
             retired_until: now + RETIRED,
-            ..RequestCatalog::of(&retuned.start)
+            ..RequestCatalog::of(&retuned.loaded)
         }
     }
 
--- a/crates/stairfront-balancer/src/control/reload.rs
+++ b/crates/stairfront-balancer/src/control/reload.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
@@ -33,7 +33,7 @@
     /// What this process was started with, and the address of discovery in use.
     current: Config,
     /// The settings in use, and the classes among them that the file has no more.
-    in_use: Start,
+    in_use: LoadedSettings,
     retired: Vec<usize>,
     /// Tells the watch on discovery where the agent is.
     agent: watch::Sender<Option<SocketAddr>>,
@@ -109,12 +109,16 @@
     }
 
     async fn retune(&mut self, new: &Config) {
-        let retuned = new.start.clone().following(&self.in_use, &self.retired);
-        if retuned.start == self.in_use && retuned.retired == self.retired {
+        let retuned = new.start.clone().replacing(&self.in_use, &self.retired);
+        if retuned.loaded == self.in_use && retuned.retired_classes == self.retired {
             return;
         }
-        let names = &retuned.start.names.classes;
-        let dropped: Vec<&str> = retuned.retired.iter().map(|i| names[*i].as_str()).collect();
+        let names = &retuned.loaded.names.classes;
+        let dropped: Vec<&str> = retuned
+            .retired_classes
+            .iter()
+            .map(|i| names[*i].as_str())
+            .collect();
         match dropped.is_empty() {
             true => info!("new settings are in use, {} classes", names.len()),
             false => info!(
@@ -123,7 +127,7 @@
                 dropped.join(", ")
             ),
         }
-        (self.in_use, self.retired) = (retuned.start.clone(), retuned.retired.clone());
+        (self.in_use, self.retired) = (retuned.loaded.clone(), retuned.retired_classes.clone());
         let _ = self
             .inbox
             .send(EngineEvent::Retune(Box::new(retuned)))
--- a/crates/stairfront-balancer/src/engine/mod.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -13,7 +13,7 @@
     Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
     Micros, Outcome, RequestId, Settings, MS,
 };
-use stairfront_settings::{Retuned, Start};
+use stairfront_settings::{LoadedSettings, SettingsUpdate};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::time::DelayQueue;
 use tracing::{debug, info, warn};
@@ -98,7 +98,7 @@
 impl<D: Decide, N: Network> Engine<D, N> {
     /// `decider` makes the decision module from its settings.
     pub fn new(
-        start: Start,
+        start: LoadedSettings,
         decider: impl FnOnce(Settings) -> D,
         memory: Memory,
         pool: UpstreamPool<N>,
@@ -122,14 +122,14 @@
         held.into_iter()
             .flatten()
             .for_each(|name| registry.cordon_for_group(cache_id(&name), &name));
-        let Start {
+        let LoadedSettings {
             mut settings, host, ..
         } = start;
         // The agent is watched at no cost from the start, whatever the simulator's discovery would ask for.
         settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
         Engine {
             clock,
-            table: RequestTable::new(host.open_requests, memory),
+            table: RequestTable::new(host.max_open_requests, memory),
             pool,
             timers: DelayQueue::new(),
             counters,
@@ -253,10 +253,10 @@
     }
 
     /// Takes other settings over in one step, between two requests: the module's and all that follow from them.
-    fn retune(&mut self, retuned: &Retuned) {
-        let Retuned {
-            start: Start { settings, host, .. },
-            tenants,
+    fn retune(&mut self, retuned: &SettingsUpdate) {
+        let SettingsUpdate {
+            loaded: LoadedSettings { settings, host, .. },
+            former_tenants,
             ..
         } = retuned;
         let mut settings = settings.clone();
@@ -265,11 +265,11 @@
         self.most_attempts = settings.limits.max_attempts;
         self.life_left = life_left(&settings);
         self.dropped_stay_open = settings.rules.removal_is_advisory;
-        self.table.set_most(host.open_requests);
+        self.table.set_most(host.max_open_requests);
         let stall = stall_limit(&settings);
         self.pool.retune(
             duration(settings.limits.connect_timeout),
-            duration(host.idle),
+            duration(host.idle_timeout),
             stall,
         );
         self.door
@@ -277,7 +277,7 @@
             .update_settings(&door_settings(&settings, 0));
         self.tell(Event::SettingsChanged {
             settings: &settings,
-            tenants,
+            tenants: former_tenants,
         });
         *self.terms.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
     }
--- a/crates/stairfront-balancer/src/lifecycle/server.rs
+++ b/crates/stairfront-balancer/src/lifecycle/server.rs
@@ -178,7 +178,7 @@
         connections: sockets.servers,
         elsewhere: servers_elsewhere,
         connect_timeout: duration(start.settings.limits.connect_timeout),
-        servers_idle_limit: duration(start.host.idle),
+        servers_idle_limit: duration(start.host.idle_timeout),
         stall_limit: stall_limit(&start.settings),
         memory,
     };
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -9,7 +9,7 @@
 use stairfront_policy::interface::{
     CacheId, CacheStatus, Endpoint, LoadReport, Micros, Outcome, Request, RequestId,
 };
-use stairfront_settings::Retuned;
+use stairfront_settings::SettingsUpdate;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 
 use crate::clock::Instant;
@@ -265,7 +265,7 @@
     /// Whoever keeps the plans asks for the cache hosts that are listed.
     Hosts(oneshot::Sender<Vec<(String, Endpoint)>>),
     /// Other settings, all at once.
-    Retune(Box<Retuned>),
+    Retune(Box<SettingsUpdate>),
     /// There is no other process of this balancer any more.
     TakeAll,
     /// This process has been told to end.
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -18,7 +18,7 @@
     CacheId, Class, ClassId, Idempotency, Limits, Outcome, Request, RequestId, Settings, TenantId,
     MS,
 };
-use stairfront_settings::{HostLimits, Names, Start};
+use stairfront_settings::{HostLimits, LoadedSettings, Names};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -344,10 +344,10 @@
         ..Names::default()
     };
     let host = HostLimits {
-        open_requests: 10,
-        idle: MS,
+        max_open_requests: 10,
+        idle_timeout: MS,
     };
-    let start = Start {
+    let start = LoadedSettings {
         settings: settings.clone(),
         names,
         host,
--- a/crates/stairfront-settings/tests/settings.rs
+++ b/crates/stairfront-settings/tests/settings.rs
@@ -3,16 +3,16 @@
 use stairfront_policy::interface::{
     CacheMode, DeduplicationScope, DiscoveryMode, Idempotency, Kind, TailLatency, Zone, MS, SECOND,
 };
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 
-fn least() -> Value {
+fn minimal() -> Value {
     json!({"profiles": [{"name": "read", "semantics": "free", "aim": 750.0, "deadline": 1500.0}], "rules": {}})
 }
 
 #[test]
 fn absent_keys_get_their_defaults() {
-    let start = Start::from_value(least()).unwrap();
-    let settings = &start.settings;
+    let loaded = LoadedSettings::from_value(minimal()).unwrap();
+    let settings = &loaded.settings;
     assert_eq!(
         (settings.mode, settings.discovery),
         (CacheMode::Through, DiscoveryMode::Push)
@@ -33,15 +33,15 @@
         (1.0, 0.0)
     );
     assert_eq!(
-        (start.host.open_requests, start.host.idle),
+        (loaded.host.max_open_requests, loaded.host.idle_timeout),
         (20_000, 15 * SECOND)
     );
     assert!(!settings.sized);
 }
 
 #[test]
-fn what_is_set_is_read_with_its_unit() {
-    let mut text = least();
+fn values_are_read_in_their_units() {
+    let mut text = minimal();
     text["tick"] = 5.0.into();
     text["locality"] = 2.into();
     text["registry_mode"] = "ask".into();
@@ -52,8 +52,8 @@
     text["profiles"][0]["key_ttl"] = 600.0.into();
     text["tenants"] = json!([{"name": "acme", "quota_rps": 73.0, "share": 0.33}]);
     text["report"] = json!({"fields": ["utilization", "x1"]});
-    let start = Start::from_text(&text.to_string()).unwrap();
-    let settings = &start.settings;
+    let loaded = LoadedSettings::from_text(&text.to_string()).unwrap();
+    let settings = &loaded.settings;
     assert_eq!(
         (settings.tick, settings.zone, settings.discovery),
         (5 * MS, Zone(2), DiscoveryMode::Poll)
@@ -67,20 +67,20 @@
             key_ttl: 600 * MS
         }
     );
-    assert_eq!(start.host.idle, 60 * SECOND);
+    assert_eq!(loaded.host.idle_timeout, 60 * SECOND);
     assert_eq!(
-        (start.names.classes, start.names.tenants),
+        (loaded.names.classes, loaded.names.tenants),
         (vec!["read".into()], vec!["acme".into()])
     );
-    assert_eq!(start.names.report, ["utilization", "x1"]);
+    assert_eq!(loaded.names.report, ["utilization", "x1"]);
 }
 
 #[test]
-fn advice_on_retries_is_given_only_where_it_is_conveyed() {
-    let mut text = least();
+fn retry_advice_is_given_only_where_it_is_conveyed() {
+    let mut text = minimal();
     text["caps"] = json!({"retry_after": false, "max_retry_after": 1500.0});
     assert_eq!(
-        Start::from_value(text)
+        LoadedSettings::from_value(text)
             .unwrap()
             .settings
             .limits
@@ -90,15 +90,15 @@
 }
 
 /// The three deployments that one build serves, each by its settings alone.
-fn shape(name: &str) -> Value {
-    let mut text = least();
+fn deployment(name: &str) -> Value {
+    let mut text = minimal();
     let (more, models) = match name {
-        "aside, pushed, reported" => (
+        "cache-aside, pushed list, load reports" => (
             json!({"registry_mode": "push", "family_info": {"mode": "aside", "origin_kind": 2},
                    "report": {"how": "inline", "fields": ["throughput", "utilization", "x1"]}}),
             json!(["fast-box", "std-box", "origin"]),
         ),
-        "through, asked, one place" => (
+        "read-through, polled list, one zone" => (
             json!({"registry_mode": "ask", "family_info": {"mode": "through", "origin_kind": -1},
                    "report": {"how": "inline", "fields": ["throughput", "errors_per_s", "outstanding"]},
                    "areas": ["salt-lake-dc"], "rules": {"ask_every": 6000.0}}),
@@ -119,35 +119,39 @@
     text
 }
 
-const SHAPES: [&str; 3] = [
-    "aside, pushed, reported",
-    "through, asked, one place",
-    "aside, asked, silent",
+const DEPLOYMENTS: [&str; 3] = [
+    "cache-aside, pushed list, load reports",
+    "read-through, polled list, one zone",
+    "cache-aside, polled list, no load reports",
 ];
 
 #[test]
-fn one_build_reads_each_shape_from_its_settings() {
-    let read = |name| Start::from_value(shape(name)).unwrap().settings;
-    let [old, through, silent] = SHAPES.map(read);
+fn one_build_serves_each_deployment_by_its_settings() {
+    let read = |name| {
+        LoadedSettings::from_value(deployment(name))
+            .unwrap()
+            .settings
+    };
+    let [pushed, through, unreported] = DEPLOYMENTS.map(read);
     assert_eq!(
-        (old.mode, old.discovery),
+        (pushed.mode, pushed.discovery),
         (CacheMode::Aside { origin: Kind(2) }, DiscoveryMode::Push)
     );
     assert_eq!(
-        old.tail,
+        pushed.tail,
         TailLatency::default(),
-        "what the settings do not weigh does not count"
+        "what has no weight in the settings does not count"
     );
     assert_eq!(
         (through.mode, through.discovery),
         (CacheMode::Through, DiscoveryMode::Poll)
     );
     assert_eq!(
-        (silent.mode, silent.report.len()),
+        (unreported.mode, unreported.report.len()),
         (CacheMode::Aside { origin: Kind(1) }, 0)
     );
     assert_eq!(
-        silent.tail,
+        unreported.tail,
         TailLatency {
             weight: 0.3,
             tolerated_fraction: 0.01
@@ -155,43 +159,63 @@
     );
 }
 
-/// Danger: a move half done would start, with one shape's fetches and the other's list.
+/// Asserts that a deployment whose settings have another value at a path are rejected with an error that begins so.
+fn assert_contradiction(name: &str, path: &str, value: Value, expected: &str) {
+    let mut text = deployment(name);
+    text["locality"] = 0.into();
+    *text.pointer_mut(path).unwrap() = value;
+    let error = LoadedSettings::from_value(text.clone())
+        .unwrap_err()
+        .to_string();
+    assert!(
+        error.starts_with(expected),
+        "{name}: {error:?} should begin with {expected:?}"
+    );
+    assert!(
+        LoadedSettings::errors(text)
+            .iter()
+            .any(|error| error.to_string().starts_with(expected)),
+        "{expected}"
+    );
+}
+
+/// After an unfinished migration a balancer would start with the fetches of one deployment and the list of the other.
 #[test]
-fn settings_of_two_shapes_in_one_are_refused_by_key() {
-    let [old, through, silent] = SHAPES;
-    let cases: [(&str, &str, Value, &str); 10] = [
+fn settings_that_mix_two_deployments_are_rejected_by_key() {
+    let [pushed, through, _] = DEPLOYMENTS;
+    let cases: [(&str, &str, Value, &str); 8] = [
         (
-            old,
+            pushed,
             "/family_info/mode",
             "through".into(),
             "family_info.origin_kind: caches fetch by themselves",
         ),
         (
-            old,
+            pushed,
             "/family_info/mode",
             "beside".into(),
             "family_info.mode: unknown word \"beside\"",
         ),
         (
-            old,
+            pushed,
             "/registry_mode",
             "pull".into(),
             "registry_mode: unknown word \"pull\"",
         ),
         (
-            old,
+            pushed,
             "/registry_mode",
             "ask".into(),
             "rules.ask_every: must be above 0",
         ),
         (
-            old,
+            pushed,
             "/report/how",
             "off".into(),
             "report.fields: report.how says",
         ),
         (
-            old,
+            pushed,
             "/models",
             json!(["fast-box", "std-box"]),
             "family_info.origin_kind: 2 is none of the 2 models",
@@ -208,37 +232,49 @@
             2.into(),
             "locality: 2 is none of the 1 areas",
         ),
+    ];
+    for (name, path, value, expected) in cases {
+        assert_contradiction(name, path, value, expected);
+    }
+}
+
+#[test]
+fn settings_that_lack_a_part_of_their_deployment_are_rejected_by_key() {
+    let [_, _, unreported] = DEPLOYMENTS;
+    let cases: [(&str, &str, Value, &str); 2] = [
         (
-            silent,
+            unreported,
             "/family_info",
             json!({"mode": "aside"}),
             "family_info.origin_kind: mode aside needs",
         ),
         (
-            silent,
+            unreported,
             "/score_parts",
             json!({"slow_end": 0.3}),
             "score_parts.borne_misses: must be above 0",
         ),
     ];
-    for (name, path, value, wanted) in cases {
-        let mut text = shape(name);
-        text["locality"] = 0.into();
-        *text.pointer_mut(path).unwrap() = value;
-        let problem = Start::from_value(text.clone()).unwrap_err().to_string();
-        assert!(
-            problem.starts_with(wanted),
-            "{name}: {problem:?} should begin with {wanted:?}"
-        );
-        assert!(
-            Start::faults(text)
-                .iter()
-                .any(|fault| fault.to_string().starts_with(wanted)),
-            "{wanted}"
-        );
+    for (name, path, value, expected) in cases {
+        assert_contradiction(name, path, value, expected);
     }
 }
 
+/// Asserts that settings with this value at a path are rejected with an error that begins so.
+fn assert_error(path: &str, value: Value, expected: &str) {
+    let mut text = minimal();
+    text["caps"] = json!({});
+    text["tenants"] = json!([]);
+    text["family_info"] = json!({});
+    text["score_parts"] = json!({});
+    *text.pointer_mut(path).unwrap() = value;
+    let error = LoadedSettings::from_value(text).unwrap_err().to_string();
+    assert!(
+        error.starts_with(expected),
+        "{error:?} should begin with {expected:?}"
+    );
+}
+
 #[test]
 fn an_error_names_the_key() {
     let cases: [(&str, Value, &str); 12] = [
@@ -291,54 +327,48 @@
             "family_info.origin_kind: ",
         ),
     ];
-    for (path, value, wanted) in cases {
-        let mut text = least();
-        text["caps"] = json!({});
-        text["tenants"] = json!([]);
-        text["family_info"] = json!({});
-        text["score_parts"] = json!({});
-        *text.pointer_mut(path).unwrap() = value;
-        let problem = Start::from_value(text).unwrap_err().to_string();
-        assert!(
-            problem.starts_with(wanted),
-            "{problem:?} should begin with {wanted:?}"
-        );
+    for (path, value, expected) in cases {
+        assert_error(path, value, expected);
     }
-    assert!(Start::from_text("{\"profiles\":").is_err());
+    assert!(LoadedSettings::from_text("{\"profiles\":").is_err());
 }
 
-fn with_classes(names: &[&str]) -> Start {
+fn with_classes(names: &[&str]) -> LoadedSettings {
     let class =
         |name: &&str| json!({"name": name, "semantics": "free", "aim": 750.0, "deadline": 1500.0});
-    let mut text = least();
+    let mut text = minimal();
     text["profiles"] = names.iter().map(class).collect();
     text["tenants"] = names
         .iter()
         .map(|name| json!({"name": name, "quota_rps": 1.0}))
         .collect();
-    Start::from_value(text).unwrap()
+    LoadedSettings::from_value(text).unwrap()
 }
 
 #[test]
-fn classes_keep_their_positions_from_one_retune_to_the_next() {
+fn classes_keep_their_positions_from_one_update_to_the_next() {
     let mut retired = Vec::new();
     let mut in_use = with_classes(&["a", "b"]);
     let steps: [(&[&str], &[&str], &[usize]); 5] = [
-        // Order in the file does not matter.
+        // The order in the file does not matter.
         (&["c", "b", "a"], &["a", "b", "c"], &[]),
         (&["a", "c"], &["a", "b", "c"], &[1]),
-        // The place of one just dropped may still be named; that of one dropped before is free.
+        // The position of a class dropped just now may still be named; that of one dropped earlier is free.
         (&["a", "d"], &["a", "d", "c"], &[2]),
         (&["a", "c"], &["a", "d", "c"], &[1]),
         (&["a", "e", "f"], &["a", "e", "c", "f"], &[2]),
     ];
-    for (file, wanted, dropped) in steps {
-        let retuned = with_classes(file).following(&in_use, &retired);
-        assert_eq!(retuned.start.names.classes, wanted, "{file:?}");
-        assert_eq!(retuned.retired, dropped, "{file:?}");
-        assert_eq!(retuned.start.settings.classes.len(), wanted.len());
-        let was = |name: &&str| in_use.names.tenants.iter().position(|known| known == name);
-        assert_eq!(retuned.tenants, file.iter().map(was).collect::<Vec<_>>());
-        (in_use, retired) = (retuned.start, retuned.retired);
+    for (file, expected, dropped) in steps {
+        let update = with_classes(file).replacing(&in_use, &retired);
+        assert_eq!(update.loaded.names.classes, expected, "{file:?}");
+        assert_eq!(update.retired_classes, dropped, "{file:?}");
+        assert_eq!(update.loaded.settings.classes.len(), expected.len());
+        let former = |name: &&str| in_use.names.tenants.iter().position(|known| known == name);
+        assert_eq!(
+            update.former_tenants,
+            file.iter().map(former).collect::<Vec<_>>()
+        );
+        in_use = update.loaded;
+        retired = update.retired_classes;
     }
 }
--- a/crates/stairfront-simulator-adapter/src/host.rs
+++ b/crates/stairfront-simulator-adapter/src/host.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 use stairfront_policy::interface::{Action, Endpoint, EndpointListUpdate, Event, Micros};
 use stairfront_policy::Policy;
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 
 use crate::error::{FieldError, FrameError};
 use crate::event::{InstanceEvent, ListScope, WireEvent};
@@ -88,12 +88,12 @@
         seed: u64,
         settings: &str,
     ) -> Result<(), InvalidField> {
-        let start = Start::from_text(settings).map_err(|error| InvalidField {
+        let loaded = LoadedSettings::from_text(settings).map_err(|error| InvalidField {
             field: "params",
             error: error.into(),
         })?;
         self.instances
-            .insert(instance, Policy::new(start.settings, seed));
+            .insert(instance, Policy::new(loaded.settings, seed));
         Ok(())
     }
 }
