--- /dev/null
+++ b/crates/stairfront-balancer/src/client/accept.rs
@@ -0,0 +1,122 @@
+//! The accept loop, and connections that come from the process before this one.
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio_util::task::TaskTracker;
+use tracing::warn;
+
+use crate::client::admission::{ClientPermit, PermitSource};
+use crate::client::context::ClientContext;
+use crate::client::ending::serve_connection;
+use crate::clock::sleep;
+use crate::lifecycle::handover::HandedOverConnection;
+use crate::transport::{Listener, Stream};
+
+/// Pause after an accept that failed for want of descriptors or memory.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A connection that has been accepted, here or by the old process.
+pub(super) struct AcceptedConnection<T> {
+    pub(super) socket: T,
+    /// Whether it has carried a command.
+    pub(super) used: bool,
+    /// What was read of the next command.
+    pub(super) unread: Vec<u8>,
+}
+
+impl<T: Stream> AcceptedConnection<T> {
+    fn new(socket: T) -> Self {
+        AcceptedConnection {
+            socket,
+            used: false,
+            unread: Vec::new(),
+        }
+    }
+
+    pub(super) fn adopt(handed_over: HandedOverConnection) -> io::Result<Self> {
+        Ok(AcceptedConnection {
+            socket: T::adopt(handed_over.socket)?,
+            used: handed_over.used,
+            unread: handed_over.unread,
+        })
+    }
+}
+
+/// Accepts until shutdown closes the listener, then waits for all connections to end. `handed_over` brings connections
+/// from the process that this one takes over from.
+pub async fn serve<L: Listener>(
+    listener: L,
+    context: Rc<ClientContext>,
+    max_clients: usize,
+    handed_over: mpsc::Receiver<HandedOverConnection>,
+) {
+    let mut permits = PermitSource::new(&context.permits, max_clients);
+    let tasks = TaskTracker::new();
+    let mut phase = context.phase.clone();
+    let adopting = spawn_local(adopt_connections::<L::Stream>(
+        handed_over,
+        Rc::clone(&context),
+        tasks.clone(),
+    ));
+    // A successor accepts all connections from its start on.
+    while !phase.borrow().hands_over() {
+        let accepted = tokio::select! {
+            biased;
+            accepted = listener.accept() => accepted.map(AcceptedConnection::new),
+            _ = phase.wait_for(|phase| phase.listener_closed()) => break,
+        };
+        match accepted {
+            Ok(accepted) => {
+                context.counters.client_connections_accepted.add();
+                permits.relieve(&context.pressure, context.held_by_predecessor.get());
+                let Ok(permit) = permits.next(&context.pressure).await else {
+                    break;
+                };
+                let serving = serve_connection(accepted, Rc::clone(&context), permit);
+                spawn_local(tasks.track_future(serving));
+            }
+            Err(error) => {
+                warn!(%error, "client connection not accepted");
+                sleep(ACCEPT_RETRY_INTERVAL).await;
+            }
+        }
+    }
+    drop(listener);
+    adopting.abort();
+    tasks.close();
+    tasks.wait().await;
+}
+
+/// Takes connections from the old process for as long as any come.
+async fn adopt_connections<T: Stream>(
+    mut handed_over: mpsc::Receiver<HandedOverConnection>,
+    context: Rc<ClientContext>,
+    tasks: TaskTracker,
+) {
+    while let Some(connection) = handed_over.recv().await {
+        let permit = match context.held_by_predecessor.get().checked_sub(1) {
+            Some(left) => {
+                context.held_by_predecessor.set(left);
+                ClientPermit::inherited(&context.permits)
+            }
+            // The old process has accepted it after it had reported its number of connections.
+            None => match ClientPermit::acquire(&context.permits).await {
+                Ok(permit) => permit,
+                Err(_) => return,
+            },
+        };
+        match AcceptedConnection::<T>::adopt(connection) {
+            Ok(accepted) => {
+                let serving = serve_connection(accepted, Rc::clone(&context), permit);
+                spawn_local(tasks.track_future(serving));
+            }
+            Err(error) => warn!(%error, "connection of the predecessor lost"),
+        }
+    }
+    // The permits of the connections that the old process has kept to its end.
+    let released = context.held_by_predecessor.take();
+    context.permits.add_permits(released);
+}
--- /dev/null
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -0,0 +1,426 @@
+//! One client connection: reads commands, keeps their answers in order, and decides at each turn what it waits for.
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use futures_util::{FutureExt, StreamExt};
+use stairfront_codec::budget::Claim;
+use stairfront_codec::resp::RespError;
+use stairfront_policy::interface::RequestId;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::yield_now;
+use tokio_util::codec::{Framed, FramedParts};
+use tracing::debug;
+
+use crate::client::accept::AcceptedConnection;
+use crate::client::admission::{ClientPermit, SilentGuard};
+use crate::client::codec::ClientCodec;
+use crate::client::context::ClientContext;
+use crate::client::ending::ConnectionEnd;
+use crate::client::idle::SPARE_TIMEOUT;
+use crate::clock::{sleep, sleep_until, Instant};
+use crate::lifecycle::handover::MAX_UNREAD_BYTES;
+use crate::lifecycle::shutdown::Phase;
+use crate::messages::{Answer, Arrival, EngineEvent, FinalAnswer};
+use crate::stages::parse::Accepted;
+use crate::transport::Stream;
+
+/// Commands of one connection that may be open at once; reading waits beyond that. The number is small so that one client
+/// that sends hundreds at once does not fill the servers.
+const MAX_OPEN: usize = 16;
+/// Between two checks whether a client is still connected while nothing is read from it. Requests of a client that has
+/// left are sent on for 0.3 s at most.
+pub(super) const DEPARTURE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Between two checks whether there is memory for a large command.
+const MEMORY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// First read buffer of a connection, in bytes: a usual command has some hundred, and each open one keeps its buffer.
+const READ_BUFFER: usize = 1024;
+
+/// An answer that is not written, in the order of the commands.
+pub(super) enum PendingReply {
+    Ready(Answer),
+    InFlight(InFlightReply),
+}
+
+/// A request that is in flight for as long as this lives. The report that its client has left waits behind all earlier
+/// events of the engine; the flag ends at once whatever of the request has not begun.
+pub(super) struct InFlightReply {
+    pub(super) id: RequestId,
+    pub(super) answer: oneshot::Receiver<FinalAnswer>,
+    finished: Rc<Cell<bool>>,
+}
+
+impl Drop for InFlightReply {
+    fn drop(&mut self) {
+        self.finished.set(true);
+    }
+}
+
+/// What a connection has brought so far.
+pub(super) enum ConnectionState {
+    /// It was accepted a moment ago.
+    New,
+    /// It has sent no command for a while.
+    Silent {
+        /// Counts it among the silent ones.
+        _guard: SilentGuard,
+    },
+    /// It has carried a command.
+    Used,
+}
+
+/// What a connection that is to close still waits for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum CloseReason {
+    /// For the rest of a command that has begun to come.
+    AfterPartialCommand,
+    /// For nothing that has not come yet.
+    Immediately,
+}
+
+/// One client connection.
+pub(super) struct Connection<T: Stream> {
+    pub(super) framed: Framed<T, ClientCodec>,
+    pub(super) context: Rc<ClientContext>,
+    pub(super) pending: VecDeque<PendingReply>,
+    /// Set once no command is read any more: the connection ends so as soon as the pending answers are written.
+    pub(super) final_end: Option<ConnectionEnd>,
+    /// Set once the connection closes as soon as it is certain that no command has come.
+    pub(super) closing: Option<CloseReason>,
+    pub(super) state: ConnectionState,
+    /// When it was accepted, or had its last command or answer.
+    pub(super) idle_since: Instant,
+    /// Since when a command has been known to be incomplete.
+    pub(super) partial_since: Option<Instant>,
+    /// Bytes of a partial command at the last idle deadline.
+    pub(super) partial_bytes: usize,
+    /// Bytes of memory that a large command waits for.
+    pub(super) missing_memory: Option<usize>,
+    pub(super) permit: ClientPermit,
+    /// Until when a spare connection may wait for its next command.
+    pub(super) spare_until: Option<Instant>,
+    /// Whether an answer was written to it.
+    pub(super) answered: bool,
+    /// Whether the process that takes over cannot have it, so that it ends here, between two requests.
+    pub(super) must_stay: bool,
+}
+
+/// What a connection waits for until something happens.
+struct Turn {
+    /// No request is open.
+    idle: bool,
+    used: bool,
+    spare: bool,
+    /// The process that takes over gets this connection between two requests.
+    handing_over: bool,
+    reading: bool,
+    waiting_for_memory: bool,
+    /// No part of a command was read.
+    no_partial_command: bool,
+    /// It ends unless a command has come.
+    closing: bool,
+    /// It is idle and is not to close.
+    staying: bool,
+}
+
+/// The phases that a connection waits for.
+struct PhaseReceivers {
+    handing_over: watch::Receiver<Phase>,
+    closing_idle: watch::Receiver<Phase>,
+    last: watch::Receiver<Phase>,
+}
+
+impl<T: Stream> Connection<T> {
+    pub(super) fn new(
+        accepted: AcceptedConnection<T>,
+        context: Rc<ClientContext>,
+        permit: ClientPermit,
+    ) -> Self {
+        let AcceptedConnection {
+            socket,
+            used,
+            unread,
+        } = accepted;
+        let codec = ClientCodec::new(&context.budget, &context.large_budget);
+        let mut parts = FramedParts::new::<Answer>(socket, codec);
+        parts.read_buf = BytesMut::with_capacity(READ_BUFFER.max(unread.len()));
+        parts.read_buf.extend_from_slice(&unread);
+        parts.write_buf = BytesMut::new();
+        let spare_until = permit.spare.then(|| Instant::now() + SPARE_TIMEOUT);
+        Connection {
+            framed: Framed::from_parts(parts),
+            context,
+            pending: VecDeque::new(),
+            final_end: None,
+            closing: None,
+            state: if used {
+                ConnectionState::Used
+            } else {
+                ConnectionState::New
+            },
+            idle_since: Instant::now(),
+            partial_since: None,
+            partial_bytes: 0,
+            missing_memory: None,
+            permit,
+            spare_until,
+            answered: used,
+            must_stay: false,
+        }
+    }
+
+    /// Serves the connection until it ends.
+    pub(super) async fn run(&mut self) -> ConnectionEnd {
+        let context = Rc::clone(&self.context);
+        let mut phases = PhaseReceivers {
+            handing_over: context.phase.clone(),
+            closing_idle: context.phase.clone(),
+            last: context.phase.clone(),
+        };
+        loop {
+            if let Err(end) = self.read_available().await {
+                // Answers that are ready were due before the end came.
+                let _ = self.write_ready(None).await;
+                return end;
+            }
+            if self.write_ready(None).await.is_err() {
+                return ConnectionEnd::Disconnected;
+            }
+            let turn = match self.plan_turn() {
+                Ok(turn) => turn,
+                Err(end) => return end,
+            };
+            if let Err(end) = self.wait(&turn, &context, &mut phases).await {
+                return end;
+            }
+        }
+    }
+
+    /// Decides what to wait for; an error if the connection ends now.
+    fn plan_turn(&mut self) -> Result<Turn, ConnectionEnd> {
+        let idle = self.pending.is_empty();
+        if let (true, Some(end)) = (idle, self.final_end) {
+            return Err(end);
+        }
+        if self.must_stay && idle && self.closing.is_none() {
+            self.closing = Some(CloseReason::AfterPartialCommand);
+        }
+        let handing_over = !self.must_stay && self.context.phase.borrow().hands_over();
+        let movable = self.framed.read_buffer().len() <= MAX_UNREAD_BYTES;
+        if handing_over && idle && movable {
+            return Err(ConnectionEnd::HandedOver);
+        }
+        let waiting_for_memory = self.waits_for_memory();
+        if !waiting_for_memory {
+            self.missing_memory = None;
+        }
+        // The successor reads what was not read here, but for the rest of a command that is too large to move.
+        let left_to_successor = handing_over && movable;
+        let reading = self.final_end.is_none()
+            && self.pending.len() < MAX_OPEN
+            && !left_to_successor
+            && !waiting_for_memory;
+        // A command that has begun to come is not cut off until the end of its time.
+        let no_partial_command = self.framed.read_buffer().is_empty();
+        let closing = match self.closing {
+            Some(CloseReason::Immediately) => idle,
+            Some(CloseReason::AfterPartialCommand) => idle && no_partial_command,
+            None => false,
+        };
+        Ok(Turn {
+            idle,
+            used: matches!(self.state, ConnectionState::Used),
+            spare: self.spare_until.is_some(),
+            handing_over,
+            reading,
+            waiting_for_memory,
+            no_partial_command,
+            closing,
+            staying: idle && self.closing.is_none(),
+        })
+    }
+
+    /// Waits until something happens and handles it; an error if the connection ends by it.
+    async fn wait(
+        &mut self,
+        turn: &Turn,
+        context: &ClientContext,
+        phases: &mut PhaseReceivers,
+    ) -> Result<(), ConnectionEnd> {
+        let idle_deadline = self.idle_deadline();
+        let is_silent = matches!(self.state, ConnectionState::Silent { .. });
+        let finishing_command =
+            turn.idle && self.must_stay && !turn.no_partial_command && !turn.closing;
+        tokio::select! {
+            biased;
+            command = self.framed.next(), if turn.reading => self.handle_input(command).await?,
+            answer = next_answer(&mut self.pending), if !turn.idle => {
+                self.pending.pop_front();
+                let written = self.write_ready(Some(answer)).await;
+                written.map_err(|_| ConnectionEnd::Disconnected)?;
+            }
+            // A connection that is read from reports its end by itself.
+            () = sleep(DEPARTURE_CHECK_INTERVAL), if !turn.idle && !turn.reading => {
+                if self.framed.get_ref().has_ended() {
+                    return Err(ConnectionEnd::Disconnected);
+                }
+            }
+            // What the client has not sent yet stays with the client.
+            () = sleep(MEMORY_CHECK_INTERVAL), if turn.waiting_for_memory => {}
+            // A request may be in the kernel unseen, and closing would lose it. By the time this is polled again the
+            // sockets have been polled, and the read above comes first.
+            () = yield_now(), if turn.closing => {
+                if !self.has_unread_input() {
+                    return Err(self.close());
+                }
+            }
+            // A spare connection has no permit to give.
+            () = context.pressure.idle.notified(), if turn.staying && turn.used && !turn.spare => {
+                self.closing = Some(CloseReason::AfterPartialCommand);
+            }
+            // A connection that has begun a command is about to be used.
+            () = context.pressure.silent.notified(),
+                if turn.staying && !turn.spare && turn.no_partial_command && is_silent =>
+            {
+                self.closing = Some(CloseReason::Immediately);
+            }
+            () = sleep_until(idle_deadline), if turn.staying || finishing_command => {
+                self.handle_idle_timeout();
+            }
+            _ = phases.handing_over.wait_for(|phase| phase.hands_over()),
+                if !turn.handing_over && !self.must_stay => {}
+            // When the balancer stops, a connection is closed between requests, after what has come is read. A new one,
+            // whose request is on its way, is left open for a while.
+            _ = phases.closing_idle.wait_for(|phase| phase.closes_idle(turn.used)), if turn.staying => {
+                self.closing = Some(CloseReason::AfterPartialCommand);
+            }
+            // A client that always has one more command open, or half of one, must not keep the balancer from ending.
+            _ = phases.last.wait_for(|phase| *phase == Phase::Last), if self.final_end.is_none() => {
+                self.final_end = Some(self.own_end());
+            }
+        }
+        Ok(())
+    }
+
+    /// Whether a large command at the front waits for memory.
+    fn waits_for_memory(&self) -> bool {
+        self.missing_memory
+            .is_some_and(|bytes| self.context.large_budget.left() < bytes)
+    }
+
+    /// Handles what was read: a command, an error or the end of the connection.
+    async fn handle_input(
+        &mut self,
+        input: Option<Result<Vec<Bytes>, RespError>>,
+    ) -> Result<(), ConnectionEnd> {
+        match input {
+            Some(Ok(words)) => {
+                let memory = self.framed.codec_mut().take_memory();
+                self.handle_command(words, memory)
+                    .await
+                    .map_err(|_| ConnectionEnd::Disconnected)
+            }
+            Some(Err(RespError::Malformed(problem))) => {
+                debug!(problem, "malformed input of a client");
+                self.context.counters.malformed.add();
+                self.pending
+                    .push_back(PendingReply::Ready(Answer::Error("ERR Protocol error")));
+                self.final_end = Some(ConnectionEnd::AfterAnswer);
+                Ok(())
+            }
+            Some(Err(RespError::NoRoom(bytes))) => {
+                self.missing_memory = Some(bytes);
+                // After an error the framed reader reports its end once before it goes on.
+                let _ = self.framed.next().now_or_never();
+                Ok(())
+            }
+            Some(Err(RespError::Io(_))) | None => Err(ConnectionEnd::Disconnected),
+        }
+    }
+
+    /// Handles the commands that have come already, so that their answers can be written together: one write for each is
+    /// what a balancer that is behind can afford least.
+    async fn read_available(&mut self) -> Result<(), ConnectionEnd> {
+        let handing_over = !self.must_stay && self.context.phase.borrow().hands_over();
+        // Nothing is read behind a command that waits for memory, or all that its client sends would be kept here.
+        while !handing_over
+            && !self.pending.is_empty()
+            && self.final_end.is_none()
+            && self.pending.len() < MAX_OPEN
+            && !self.waits_for_memory()
+        {
+            let Some(command) = self.framed.next().now_or_never() else {
+                return Ok(());
+            };
+            self.handle_input(command).await?;
+        }
+        Ok(())
+    }
+
+    /// Handles a command; fails only when the balancer itself ends.
+    async fn handle_command(
+        &mut self,
+        words: Vec<Bytes>,
+        memory: Option<Claim>,
+    ) -> Result<(), mpsc::error::SendError<EngineEvent>> {
+        let spare = self.is_spare();
+        self.state = ConnectionState::Used;
+        self.closing = None;
+        self.partial_since = None;
+        self.partial_bytes = 0;
+        self.idle_since = Instant::now();
+        let context = &self.context;
+        let reply = match context.parser.parse(words) {
+            // The connection stays open for a while, since the client's next request may be on its way.
+            Accepted::Request { .. } if spare => {
+                context.counters.over_cap.add();
+                self.spare_until = Some(Instant::now() + SPARE_TIMEOUT);
+                PendingReply::Ready(Answer::Busy { after_ms: None })
+            }
+            Accepted::Request {
+                command,
+                mut request,
+            } => {
+                request.id = context.new_id();
+                let (sender, answer) = oneshot::channel();
+                let finished = Rc::default();
+                let in_flight = InFlightReply {
+                    id: request.id,
+                    answer,
+                    finished: Rc::clone(&finished),
+                };
+                let arrival = Arrival {
+                    request,
+                    arrived_at: context.parser.clock.now(),
+                    command,
+                    memory,
+                    answer: sender,
+                    finished,
+                };
+                context.events.send(EngineEvent::Arrived(arrival)).await?;
+                PendingReply::InFlight(in_flight)
+            }
+            Accepted::Answered(answer) => PendingReply::Ready(answer),
+            Accepted::Last(answer) => {
+                self.final_end = Some(ConnectionEnd::AfterAnswer);
+                PendingReply::Ready(answer)
+            }
+        };
+        self.pending.push_back(reply);
+        Ok(())
+    }
+}
+
+/// The answer to the oldest unanswered command. Cancel safe: nothing is removed from the queue here.
+async fn next_answer(pending: &mut VecDeque<PendingReply>) -> FinalAnswer {
+    match pending.front_mut() {
+        // A request that the engine drops without an answer has failed.
+        Some(PendingReply::InFlight(in_flight)) => (&mut in_flight.answer)
+            .await
+            .unwrap_or(FinalAnswer::from(Answer::Failed)),
+        // Answers that are ready have been written before.
+        Some(PendingReply::Ready(_)) | None => std::future::pending().await,
+    }
+}
--- /dev/null
+++ b/crates/stairfront-balancer/src/client/context.rs
@@ -0,0 +1,49 @@
+//! What all client connections share.
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use stairfront_codec::budget::Budget;
+use stairfront_policy::interface::RequestId;
+use tokio::sync::{mpsc, watch, Semaphore};
+
+use crate::client::admission::ConnectionPressure;
+use crate::counters::Counters;
+use crate::lifecycle::handover::HandoverChannel;
+use crate::lifecycle::shutdown::Phase;
+use crate::messages::EngineEvent;
+use crate::stages::parse::RequestParser;
+
+/// What all client connections share; all of it lives on the one thread.
+pub struct ClientContext {
+    /// Leads to the engine.
+    pub events: mpsc::Sender<EngineEvent>,
+    /// Turns commands into requests.
+    pub parser: RequestParser,
+    /// What `INFO` prints.
+    pub counters: Rc<Counters>,
+    /// How far the end of this process has come.
+    pub phase: watch::Receiver<Phase>,
+    /// Has idle connections make room.
+    pub pressure: ConnectionPressure,
+    /// Permits for client connections.
+    pub permits: Arc<Semaphore>,
+    /// Permits that belong to the old process until it hands over their connections or ends.
+    pub held_by_predecessor: Cell<usize>,
+    /// The process that takes over, once there is one.
+    pub successor: Rc<HandoverChannel>,
+    /// Memory for commands that have not come as a whole.
+    pub budget: Rc<Budget>,
+    /// The same for commands with a large value.
+    pub large_budget: Rc<Budget>,
+    /// Number of the next request.
+    pub next_id: Cell<u32>,
+}
+
+impl ClientContext {
+    pub(super) fn new_id(&self) -> RequestId {
+        let id = self.next_id.get();
+        self.next_id.set(id.wrapping_add(1));
+        RequestId(id)
+    }
+}
--- /dev/null
+++ b/crates/stairfront-balancer/src/client/idle.rs
@@ -0,0 +1,79 @@
+//! How long a connection may be without a whole command or an open request.
+use std::time::Duration;
+
+use crate::client::admission::{ClientPermit, SilentGuard};
+use crate::client::connection::{CloseReason, Connection, ConnectionState};
+use crate::clock::Instant;
+use crate::transport::Stream;
+
+/// A client may take 2 s for the head of a command, and one that has sent no whole command must be closed or answered
+/// within 3 s.
+const SILENT_TIMEOUT: Duration = Duration::from_millis(2700);
+/// The same for a connection that has carried commands: its client likely has more, and a new connection costs both sides.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A new connection does not have to make room for this long, since its first command is on its way.
+const NEW_PERIOD: Duration = Duration::from_millis(200);
+/// How long a spare connection may be without a command.
+pub(super) const SPARE_TIMEOUT: Duration = Duration::from_millis(250);
+/// What of a large value has to come in the time of a head. Less would let a client hold the memory of others for ever by
+/// sending a few bytes now and then.
+const MIN_PROGRESS_BYTES: usize = 64 * 1024;
+
+impl<T: Stream> Connection<T> {
+    /// Until when it may be without a whole command or an open request.
+    pub(super) fn idle_deadline(&self) -> Instant {
+        if let Some(until) = self.spare_until {
+            return until;
+        }
+        match (&self.state, self.partial_since) {
+            (ConnectionState::New, _) => self.idle_since + NEW_PERIOD,
+            (ConnectionState::Silent { .. }, _) => self.idle_since + SILENT_TIMEOUT,
+            (ConnectionState::Used, Some(since)) => since + SILENT_TIMEOUT,
+            (ConnectionState::Used, None) => self.idle_since + IDLE_TIMEOUT,
+        }
+    }
+
+    /// Handles the idle deadline. Clients do not close connections on which they send nothing, half a command or one
+    /// request in a day, and those would use up the permits.
+    pub(super) fn handle_idle_timeout(&mut self) {
+        let read = self.framed.read_buffer().len();
+        let read_before = std::mem::replace(&mut self.partial_bytes, read);
+        // A large value takes as long as it takes, while it goes on coming or waits for memory here.
+        if read >= read_before + MIN_PROGRESS_BYTES || self.missing_memory.is_some() {
+            let now = Instant::now();
+            self.idle_since = now;
+            self.partial_since = self.partial_since.map(|_| now);
+            return;
+        }
+        let has_partial_command = read > 0;
+        match (&self.state, self.partial_since) {
+            _ if self.spare_until.is_some() => {
+                self.closing = Some(CloseReason::AfterPartialCommand);
+            }
+            (ConnectionState::New, _) => {
+                self.state = ConnectionState::Silent {
+                    _guard: SilentGuard::new(&self.context.pressure),
+                };
+            }
+            // The command may have begun just now, and has its time from here.
+            (ConnectionState::Used, None) if has_partial_command => {
+                self.partial_since = Some(Instant::now());
+            }
+            _ => {
+                self.context.counters.client_connections_idled.add();
+                self.closing = Some(CloseReason::Immediately);
+            }
+        }
+    }
+
+    /// Whether it has only a spare permit. It takes a usual one as soon as one is free.
+    pub(super) fn is_spare(&mut self) -> bool {
+        if self.permit.spare {
+            if let Some(permit) = ClientPermit::try_acquire(&self.context.permits) {
+                self.permit = permit;
+                self.spare_until = None;
+            }
+        }
+        self.permit.spare
+    }
+}
--- a/crates/stairfront-balancer/src/client/mod.rs
+++ b/crates/stairfront-balancer/src/client/mod.rs
@@ -1,1 +1,13 @@
-pub mod server;
+//! The client side: the listener, and one task for each connection, which owns the socket and keeps answers in the order
+//! of their commands.
+//!
+//! [`accept`] accepts connections, [`admission`] decides which of them get a permit and which idle ones make room,
+//! [`connection`] serves one, with its idle handling and its writes beside it, and [`codec`] knows the protocol.
+pub mod accept;
+pub mod admission;
+pub mod codec;
+pub mod connection;
+pub mod context;
+mod ending;
+mod idle;
+mod write;
--- a/crates/stairfront-balancer/src/clock.rs
+++ b/crates/stairfront-balancer/src/clock.rs
@@ -1,51 +1,50 @@
-//! The one clock of a balancer. Every wait, time-out and time stamp of the network code comes from here: tokio's
-//! clock, which a test may pause and move. Unix time is read once at the start and carried on by it, so the start times
-//! in discovery's lists compare with `now`, and a clock that is set meanwhile moves nothing.
+//! The one clock of a balancer. Every wait, timeout and time stamp of the network code comes from here: tokio's clock,
+//! which a test may pause and move. Unix time is read once at the start and carried on by that clock, so that start times
+//! in discovery's lists compare with `now`, and a system clock that is set meanwhile changes nothing.
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stairfront_policy::interface::Micros;
+use stairfront_common::time::{from_duration, to_duration, Micros};
 pub use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
+/// Timers and deadlines beyond this are not told apart; far longer ones would overflow a timer.
+const MAX_TIMER: Duration = Duration::from_secs(24 * 3600);
+
+/// A clock that shows Unix time, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Micros,
+    unix_at_start: Micros,
     start: Instant,
 }
 
 impl Clock {
+    /// A clock that starts at the system's Unix time; a system clock before 1970 counts as 1970.
     pub fn start() -> Self {
-        // A machine whose clock stands before 1970 counts from 1970.
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Clock::starting_at(micros(unix))
+        Clock::starting_at(from_duration(unix))
     }
 
     /// A clock that shows this Unix time now.
     pub fn starting_at(unix: Micros) -> Self {
         Clock {
-            unix,
+            unix_at_start: unix,
             start: Instant::now(),
         }
     }
 
+    /// The time now.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
+    /// The time at this instant; that of the start for one before it.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.unix + micros(instant.saturating_duration_since(self.start))
+        self.unix_at_start + from_duration(instant.saturating_duration_since(self.start))
     }
 }
 
-pub fn micros(time: Duration) -> Micros {
-    Micros::try_from(time.as_micros()).unwrap_or(Micros::MAX)
-}
-
-/// Timers and deadlines beyond this are not told apart; far longer ones would overflow a timer.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
-
-/// A length of time that the decision module names; what is below zero is none.
-pub fn duration(time: Micros) -> Duration {
-    Duration::from_micros(u64::try_from(time).unwrap_or(0)).min(LONGEST)
+/// A duration that the decision module names, for a timer: zero for a negative one, a day at most.
+pub fn timer_duration(time: Micros) -> Duration {
+    to_duration(time).min(MAX_TIMER)
 }
--- a/crates/stairfront-balancer/src/configuration/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -1,5 +1,5 @@
-//! The configuration a balancer is started with, read and checked here: the platform's JSON file, or a TOML file of an
-//! install of its own (`product.rs`), which is put into the platform's form first.
+//! The configuration that a balancer is started with: the platform's JSON file, or a TOML file of an install of its own
+//! (`toml_config.rs`), which is put into the platform's form first.
 use std::env;
 use std::fs;
 use std::net::SocketAddr;
@@ -11,45 +11,19 @@
 use stairfront_settings::{Start, NOT_RETUNED};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::configuration::difference::{differing_keys, missing_key};
+use crate::configuration::error::{ConfigError, KeyError, Source, ADMIN_VARIABLE, CONFIG_VARIABLE};
 use crate::configuration::limits::{Memory, Sockets, MAX_SOCKETS};
 use crate::configuration::toml_config;
 use crate::control::server_list::{RawList, ServerList};
 
-const CONFIG: &str = "ROUTER_CONFIG";
-const OPERATORS: &str = "ROUTER_OPS";
-/// Keys that a running balancer does not compare with a new file: the address of discovery takes effect at once, the
-/// list and the seed are for a start alone.
+/// Keys that a running balancer does not compare with a new file: the address of discovery takes effect at once, the list
+/// and the seed are for a start alone.
 const NOT_COMPARED: [&str; 3] = ["discovery", "known", "seed"];
 
-#[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
-    #[error("{CONFIG} is not set: it names the configuration file")]
-    NoPath,
-    #[error("{OPERATORS}: {address:?} is not an address and a port")]
-    Operators { address: String },
-    #[error("{path}: {problem}")]
-    File {
-        path: String,
-        problem: std::io::Error,
-    },
-    #[error("{path}: {key}: {problem}")]
-    Key {
-        path: String,
-        key: String,
-        problem: String,
-    },
-    /// A key whose line is known.
-    #[error("{path}:{line}: {key}: {problem}")]
-    Line {
-        path: String,
-        line: usize,
-        key: String,
-        problem: String,
-    },
-}
-
+/// The file in the platform's form.
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -66,267 +40,215 @@
     settings: Value,
 }
 
-impl Raw {
-    /// Descriptors that are neither clients' nor servers': those of the membership, and of a voter's store.
-    fn aside(&self) -> usize {
+#[derive(Deserialize, Default)]
+struct RawLimits {
+    sockets: Option<usize>,
+    memory_mb: Option<usize>,
+}
+
+impl RawConfig {
+    /// Descriptors that are neither clients' nor servers': those of the membership agent, and of a voter's store.
+    fn reserved_descriptors(&self) -> usize {
         let store = self
             .agreement
             .as_ref()
             .and_then(|agreement| agreement.store.as_ref());
         self.membership.as_ref().map_or(0, |_| DESCRIPTORS) + store.map_or(0, |_| STORE_DESCRIPTORS)
     }
-}
 
-#[derive(Deserialize, Default)]
-struct RawLimits {
-    sockets: Option<usize>,
-    memory_mb: Option<usize>,
+    fn max_sockets(&self) -> usize {
+        self.limits.sockets.unwrap_or(MAX_SOCKETS)
+    }
+
+    fn memory_mb(&self) -> usize {
+        self.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB)
+    }
+
+    /// Every error that can be found before anything is built.
+    fn errors(&self) -> Vec<KeyError> {
+        let mut errors: Vec<KeyError> = Start::faults(self.settings.clone())
+            .into_iter()
+            .map(|error| KeyError::within("settings", &error.key, error.problem))
+            .collect();
+        errors.extend(self.group_errors());
+        errors.extend(self.limit_errors());
+        errors
+    }
+
+    fn group_errors(&self) -> Vec<KeyError> {
+        let mut errors = Vec::new();
+        if let Some(membership) = &self.membership {
+            let faults = membership.faults(&self.name).into_iter();
+            errors
+                .extend(faults.map(|(key, problem)| KeyError::within("membership", key, problem)));
+            if self.settings["caps"]["peer_messages"] != Value::Bool(true) {
+                errors.push(KeyError::new(
+                    "membership",
+                    "cannot stand beside settings.caps.peer_messages = false: the balancers here may not \
+                     talk to each other",
+                ));
+            }
+        }
+        if let Some(agreement) = &self.agreement {
+            let roster = self
+                .membership
+                .as_ref()
+                .map(|membership| &membership.roster[..]);
+            let faults = agreement.faults(roster).into_iter();
+            errors.extend(faults.map(|(key, problem)| KeyError::within("agreement", key, problem)));
+        }
+        errors
+    }
+
+    fn limit_errors(&self) -> Vec<KeyError> {
+        let min_sockets = Sockets::MIN + self.reserved_descriptors();
+        let limits = [
+            ("limits.sockets", self.max_sockets(), min_sockets),
+            ("limits.memory_mb", self.memory_mb(), Memory::MIN_MB),
+        ];
+        let too_low = limits.into_iter().filter(|(_, given, min)| given < min);
+        too_low
+            .map(|(key, given, min)| {
+                KeyError::new(key, format!("{given} is too few, {min} at least"))
+            })
+            .collect()
+    }
 }
 
+/// A configuration that has been checked.
 #[derive(Debug)]
 pub struct Config {
     /// Where it was read from, and is read again on SIGHUP.
     pub path: String,
-    /// The file as it stands, for comparison, without what is not compared.
-    text: Value,
+    /// The file in the platform's form, for comparison, without the keys that are not compared.
+    compared: Value,
+    /// Name of this balancer.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery's agent is; without one the list in the file is all there is.
+    /// Address of discovery's agent; without one the list in the file is all there is.
     pub discovery: Option<SocketAddr>,
-    /// Where operators call; without one they cannot.
-    pub operators: Option<SocketAddr>,
+    /// Where operators call the admin API; without one there is none.
+    pub admin: Option<SocketAddr>,
+    /// Seed of this balancer's random numbers.
     pub seed: u64,
+    /// The descriptors.
     pub sockets: Sockets,
+    /// The memory.
     pub memory: Memory,
+    /// The list of servers to start with.
     pub known: ServerList,
-    /// The group of balancers that this one is a member of; none, and nothing of it is there.
+    /// The group that this balancer is a member of, where there is one.
     pub membership: Option<MembershipSection>,
-    /// What the balancers agree on, and through whom; none, and nothing of it is there.
+    /// The voters by which the group agrees, where it agrees on anything.
     pub agreement: Option<AgreementSection>,
+    /// The settings of the decision module, and what goes with them.
     pub start: Start,
 }
 
 impl Config {
+    /// Reads the file that the environment names.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] if there is none, or it has an error.
     pub fn from_environment() -> Result<Self, ConfigError> {
-        let mut config = Self::from_file(&env::var(CONFIG).map_err(|_| ConfigError::NoPath)?)?;
-        // It goes before the file, so that two processes can share one during an upgrade.
-        if let Ok(address) = env::var(OPERATORS) {
-            config.operators = Some(
-                address
-                    .parse()
-                    .map_err(|_| ConfigError::Operators { address })?,
-            );
+        let path = env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::NoPath)?;
+        let mut config = Self::from_file(&path)?;
+        // The variable overrides the file, so that two processes can share one file during an upgrade.
+        if let Ok(address) = env::var(ADMIN_VARIABLE) {
+            let parsed = address.parse();
+            config.admin = Some(parsed.map_err(|_| ConfigError::AdminAddress { address })?);
         }
         Ok(config)
     }
 
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] if it cannot be read or has an error.
     pub fn from_file(path: &str) -> Result<Self, ConfigError> {
         match fs::read_to_string(path) {
             Ok(text) => Self::from_text(path, &text),
-            Err(problem) => Err(ConfigError::File {
+            Err(source) => Err(ConfigError::File {
                 path: path.to_string(),
-                problem,
+                source,
             }),
         }
     }
 
-    /// `path` names the source in errors, and by its ending the form: TOML for `.toml`, else the platform's JSON.
+    /// Reads a text. `path` names the source in errors, and by its ending the form: TOML for `.toml`, else the platform's
+    /// JSON.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] for the first error.
     pub fn from_text(path: &str, text: &str) -> Result<Self, ConfigError> {
-        let (whole, origin) = Self::whole(path, text)?;
-        let (raw, problems) = Self::examine(&whole);
-        match (raw, problems.into_iter().next()) {
-            (Some(raw), None) => {
-                Self::build(path, whole, raw).map_err(|(key, problem)| origin.fault(key, problem))
-            }
-            (_, Some((key, problem))) => Err(origin.fault(key, problem)),
-            (None, None) => Err(origin.fault(".".to_string(), "no configuration".to_string())),
-        }
+        let (platform, source) = platform_form(path, text)?;
+        Self::from_platform(path, platform).map_err(|errors| source.error(first(errors)))
     }
 
-    /// Every fault of a configuration; none if `from_text` takes it.
-    pub fn faults(path: &str, text: &str) -> Vec<ConfigError> {
-        let (whole, origin) = match Self::whole(path, text) {
+    /// Every error of a text; none if `from_text` accepts it.
+    pub fn errors(path: &str, text: &str) -> Vec<ConfigError> {
+        let (platform, source) = match platform_form(path, text) {
             Ok(read) => read,
-            Err(fault) => return vec![fault],
+            Err(error) => return vec![error],
         };
-        let (raw, mut problems) = Self::examine(&whole);
-        if let (Some(raw), true) = (raw, problems.is_empty()) {
-            problems.extend(Self::build(path, whole, raw).err());
-        }
-        problems
+        let errors = Self::from_platform(path, platform).err();
+        errors
+            .unwrap_or_default()
             .into_iter()
-            .map(|(key, problem)| origin.fault(key, problem))
+            .map(|error| source.error(error))
             .collect()
     }
 
-    /// The file in the platform's form, and where each of its keys came from.
-    fn whole(path: &str, text: &str) -> Result<(Value, Origin), ConfigError> {
-        if path.ends_with(".toml") {
-            let whole =
-                toml_config::read(text).map_err(|fault| product_fault(path, text, fault))?;
-            return Ok((
-                whole,
-                Origin {
-                    path: path.to_string(),
-                    toml: Some(text.to_string()),
-                },
-            ));
+    /// Checks and builds a configuration. There is at least one error where it fails.
+    fn from_platform(path: &str, platform: Value) -> Result<Self, Vec<KeyError>> {
+        let raw: RawConfig = serde_path_to_error::deserialize(&platform)
+            .map_err(|error| vec![KeyError::new(error.path().to_string(), error.inner())])?;
+        let errors = raw.errors();
+        if !errors.is_empty() {
+            return Err(errors);
         }
-        let origin = Origin {
-            path: path.to_string(),
-            toml: None,
-        };
-        // Read into its types first: an error of theirs names the key and the line.
-        serde_path_to_error::deserialize::<_, Raw>(&mut serde_json::Deserializer::from_str(text))
-            .map_err(|e| {
-            // Broken syntax has no key, and its problem tells line and column.
-            let key = e.path().to_string();
-            origin.fault(
-                if key == "?" { "syntax".into() } else { key },
-                e.inner().to_string(),
-            )
-        })?;
-        let whole =
-            serde_json::from_str(text).map_err(|e| origin.fault(".".into(), e.to_string()))?;
-        Ok((whole, origin))
+        Self::build(path, platform, raw).map_err(|error| vec![error])
     }
 
-    /// What can be said before anything is built from it, fault by fault.
-    fn examine(whole: &Value) -> (Option<Raw>, Vec<(String, String)>) {
-        let raw: Raw = match serde_path_to_error::deserialize(whole) {
-            Ok(raw) => raw,
-            Err(e) => return (None, vec![(e.path().to_string(), e.inner().to_string())]),
-        };
-        let mut problems = Vec::new();
-        let faults = Start::faults(raw.settings.clone());
-        problems.extend(
-            faults
-                .into_iter()
-                .map(|e| (format!("settings.{}", e.key), e.problem)),
-        );
-        if let Some(membership) = &raw.membership {
-            let faults = membership.faults(&raw.name);
-            problems.extend(
-                faults
-                    .into_iter()
-                    .map(|(key, problem)| (format!("membership.{key}"), problem)),
-            );
-            let allowed = &raw.settings["caps"]["peer_messages"];
-            if *allowed != Value::Bool(true) {
-                let problem =
-                    "cannot stand beside settings.caps.peer_messages = false: the balancers here may not \
-                               talk to each other";
-                problems.push(("membership".to_string(), problem.to_string()));
-            }
-        }
-        if let Some(agreement) = &raw.agreement {
-            let roster = raw
-                .membership
-                .as_ref()
-                .map(|membership| &membership.roster[..]);
-            let faults = agreement.faults(roster);
-            problems.extend(
-                faults
-                    .into_iter()
-                    .map(|(key, problem)| (format!("agreement.{key}"), problem)),
-            );
-        }
-        let aside = raw.aside();
-        let limits = [
-            (
-                "limits.sockets",
-                raw.limits.sockets.unwrap_or(MAX_SOCKETS),
-                Sockets::MIN + aside,
-            ),
-            (
-                "limits.memory_mb",
-                raw.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB),
-                Memory::MIN_MB,
-            ),
-        ];
-        for (key, given, fewest) in limits {
-            if given < fewest {
-                problems.push((
-                    key.to_string(),
-                    format!("{given} is too few, {fewest} at least"),
-                ));
-            }
-        }
-        (Some(raw), problems)
-    }
-
-    fn build(path: &str, mut whole: Value, raw: Raw) -> Result<Self, (String, String)> {
-        let aside = raw.aside();
+    fn build(path: &str, mut platform: Value, raw: RawConfig) -> Result<Self, KeyError> {
+        let sockets = Sockets::split(raw.max_sockets(), raw.reserved_descriptors());
+        let memory = Memory::of(raw.memory_mb());
         let start = Start::from_value(raw.settings)
-            .map_err(|e| (format!("settings.{}", e.key), e.problem))?;
-        let list = raw.known.read(&start.names);
-        let known = list.map_err(|e| ("known.endpoints".to_string(), e.to_string()))?;
-        if let Some(keys) = whole.as_object_mut() {
-            NOT_COMPARED.iter().for_each(|key| drop(keys.remove(*key)));
+            .map_err(|error| KeyError::within("settings", &error.key, error.problem))?;
+        let known = raw
+            .known
+            .read(&start.names)
+            .map_err(|error| KeyError::new("known.endpoints", error))?;
+        if let Some(keys) = platform.as_object_mut() {
+            for key in NOT_COMPARED {
+                keys.remove(key);
+            }
         }
         Ok(Config {
             path: path.to_string(),
-            text: whole,
+            compared: platform,
             name: raw.name,
             listen: raw.listen,
             discovery: raw.discovery,
-            operators: raw.ops,
+            admin: raw.ops,
             seed: seed(&raw.seed),
-            sockets: Sockets::split(raw.limits.sockets.unwrap_or(MAX_SOCKETS), aside),
-            memory: Memory::of(raw.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB)),
+            sockets,
+            memory,
             known,
             membership: raw.membership,
             agreement: raw.agreement,
             start,
         })
     }
-}
-
-/// Where a configuration came from, to name its faults by.
-struct Origin {
-    path: String,
-    /// Its text, where it is an install's own TOML file.
-    toml: Option<String>,
-}
 
-impl Origin {
-    /// A fault of a key of the platform's form, named as it stands in the file.
-    fn fault(&self, key: String, problem: String) -> ConfigError {
-        let path = self.path.clone();
-        let Some(text) = &self.toml else {
-            return ConfigError::Key { path, key, problem };
-        };
-        let key = toml_config::own_key(&key);
-        match toml_config::line_of(text, &key) {
-            Some(line) => ConfigError::Line {
-                path,
-                line,
-                key,
-                problem,
-            },
-            None => ConfigError::Key { path, key, problem },
-        }
-    }
-}
-
-fn product_fault(path: &str, text: &str, fault: toml_config::Fault) -> ConfigError {
-    let (path, toml_config::Fault { key, problem, line }) = (path.to_string(), fault);
-    match line.or_else(|| toml_config::line_of(text, &key)) {
-        Some(line) => ConfigError::Line {
-            path,
-            line,
-            key,
-            problem,
-        },
-        None => ConfigError::Key { path, key, problem },
-    }
-}
-
-impl Config {
     /// Keys in which `new` differs and that take effect at a start only, as paths.
     pub fn needs_restart(&self, new: &Config) -> Vec<String> {
         let mut paths = Vec::new();
-        differing(String::new(), &self.text, &new.text, &mut paths);
+        differing_keys(String::new(), &self.compared, &new.compared, &mut paths);
         paths.retain(|path| match path.strip_prefix("settings.") {
             Some(key) => NOT_RETUNED.contains(&key.split('.').next().unwrap_or_default()),
             None => true,
@@ -334,79 +256,56 @@
         paths
     }
 
-    /// Danger: a file that lacks a key which this one has was cut or lost in editing; taken over it would have that key
-    /// at its default, which nobody has asked for. A TOML file is written by hand and may leave out what it likes.
-    pub fn is_followed_by(&self, new: Config) -> Result<Config, ConfigError> {
-        let lacking = if self.path.ends_with(".toml") {
-            None
-        } else {
-            lacking("", &self.text, &new.text)
-        };
-        match lacking {
-            Some(key) => {
-                let problem = "missing, though the configuration in use has it".to_string();
-                Err(ConfigError::Key {
-                    path: new.path,
-                    key,
-                    problem,
-                })
-            }
+    /// Accepts a new configuration of a running balancer. A JSON file that lacks a key which this one has was cut or lost
+    /// in editing, and would set that key to its default; a TOML file is written by hand and may leave keys out.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::Key`] for the first key that is missing.
+    pub fn accept_successor(&self, new: Config) -> Result<Config, ConfigError> {
+        if self.path.ends_with(".toml") {
+            return Ok(new);
+        }
+        match missing_key("", &self.compared, &new.compared) {
+            Some(key) => Err(ConfigError::Key {
+                path: new.path,
+                key,
+                problem: "missing, though the configuration in use has it".to_string(),
+            }),
             None => Ok(new),
         }
     }
 }
 
-/// Keys that go with others' values: a class that is safe to repeat has none of them.
-const OPTIONAL: [&str; 2] = ["group", "key_ttl"];
-
-/// The first key, as a path, that `old` has and `new` lacks. Of lists, the keys that all entries had.
-fn lacking(path: &str, old: &Value, new: &Value) -> Option<String> {
-    match (old, new) {
-        (Value::Object(olds), Value::Object(news)) => olds.iter().find_map(|(key, old)| {
-            let path = if path.is_empty() {
-                key.clone()
-            } else {
-                format!("{path}.{key}")
-            };
-            match news.get(key) {
-                Some(new) => lacking(&path, old, new),
-                None => Some(path).filter(|_| !OPTIONAL.contains(&key.as_str())),
-            }
-        }),
-        (Value::Array(olds), Value::Array(news)) => {
-            let common = olds
-                .first()?
-                .as_object()?
-                .iter()
-                .filter(|(key, _)| olds.iter().all(|old| old.get(key).is_some()));
-            let common: Value = common.map(|(key, _)| (key.clone(), Value::Null)).collect();
-            news.iter()
-                .enumerate()
-                .find_map(|(i, new)| lacking(&format!("{path}[{i}]"), &common, new))
-        }
-        _ => None,
-    }
+fn first(errors: Vec<KeyError>) -> KeyError {
+    let first = errors.into_iter().next();
+    first.unwrap_or_else(|| KeyError::new(".", "no configuration"))
 }
 
-/// Paths of the keys in which two values differ, down to those that hold no further keys.
-fn differing(path: String, old: &Value, new: &Value, paths: &mut Vec<String>) {
-    let (Value::Object(olds), Value::Object(news)) = (old, new) else {
-        if old != new {
-            paths.push(path);
-        }
-        return;
+/// The file in the platform's form, and where it came from.
+fn platform_form(path: &str, text: &str) -> Result<(Value, Source), ConfigError> {
+    let is_toml = path.ends_with(".toml");
+    let source = Source {
+        path: path.to_string(),
+        toml: is_toml.then(|| text.to_string()),
     };
-    let added = news.keys().filter(|key| !olds.contains_key(*key));
-    for key in olds.keys().chain(added) {
-        let path = if path.is_empty() {
-            key.clone()
-        } else {
-            format!("{path}.{key}")
+    if is_toml {
+        let platform = toml_config::read(text).map_err(|error| source.toml_error(error))?;
+        return Ok((platform, source));
+    }
+    // The text is read into its types first, because an error of theirs names the key and the line.
+    let mut deserializer = serde_json::Deserializer::from_str(text);
+    if let Err(error) = serde_path_to_error::deserialize::<_, RawConfig>(&mut deserializer) {
+        // Broken syntax has no key, and its message names line and column.
+        let key = match error.path().to_string() {
+            path if path == "?" => "syntax".to_string(),
+            path => path,
         };
-        let of =
-            |keys: &serde_json::Map<String, Value>| keys.get(key).cloned().unwrap_or(Value::Null);
-        differing(path, &of(olds), &of(news), paths);
+        return Err(source.error(KeyError::new(key, error.inner())));
     }
+    let platform =
+        serde_json::from_str(text).map_err(|error| source.error(KeyError::new(".", error)))?;
+    Ok((platform, source))
 }
 
 /// Any text is a seed; the usual one is 16 hexadecimal digits.
--- a/crates/stairfront-balancer/src/configuration/toml_config.rs
+++ b/crates/stairfront-balancer/src/configuration/toml_config.rs
@@ -1,5 +1,5 @@
-//! The configuration of an install that is not the platform: one TOML file, documented key by key in
-//! `deploy/stairfront.toml`. It is put into the platform's form here and read further by the same code.
+//! The configuration of an install outside the platform: one TOML file, documented key by key in
+//! `deploy/stairfront.toml`. It is put into the platform's form here, and read further by the code of that form.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
@@ -9,17 +9,21 @@
 use toml::de::{DeTable, DeValue};
 
 /// What is wrong with a file, by its own keys.
-#[derive(Debug)]
-pub struct Fault {
+#[derive(Debug, thiserror::Error)]
+#[error("{key}: {problem}")]
+pub struct TomlError {
+    /// Path of the key; `syntax` for a file that is no TOML.
     pub key: String,
+    /// What is wrong with it.
     pub problem: String,
-    /// From 1, where it is known already.
+    /// The line, from 1, where it is known already.
     pub line: Option<usize>,
 }
 
+/// The file by its own keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Product {
+struct TomlConfig {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -30,21 +34,21 @@
     #[serde(default)]
     zone: String,
     #[serde(default)]
-    limits: ProductLimits,
+    limits: TomlLimits,
     #[serde(default)]
-    group: ProductGroup,
+    group: TomlGroup,
     membership: Option<MembershipSection>,
     agreement: Option<AgreementSection>,
     #[serde(default)]
-    servers: Vec<ProductServer>,
-    classes: Vec<ProductClass>,
+    servers: Vec<TomlServer>,
+    classes: Vec<TomlClass>,
     #[serde(default)]
-    tenants: Vec<ProductTenant>,
+    tenants: Vec<TomlTenant>,
     #[serde(default)]
-    retries: ProductRetries,
+    retries: TomlRetries,
     #[serde(default)]
-    slow_end: ProductSlowEnd,
-    rules: ProductRules,
+    slow_end: TomlSlowEnd,
+    rules: TomlRules,
     /// Fields of the servers' load reports.
     #[serde(default)]
     report: Vec<String>,
@@ -55,15 +59,15 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct ProductLimits {
+struct TomlLimits {
     sockets: usize,
     memory_mb: usize,
     open_requests: usize,
 }
 
-impl Default for ProductLimits {
+impl Default for TomlLimits {
     fn default() -> Self {
-        ProductLimits {
+        TomlLimits {
             sockets: 1024,
             memory_mb: 192,
             open_requests: 20_000,
@@ -73,16 +77,16 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct ProductGroup {
+struct TomlGroup {
     balancers: u16,
     me: u16,
-    /// Whether balancers may talk to each other; where it is not said, a `[membership]` says so.
+    /// Whether balancers may send each other messages; where it is left out, they may if there is a `[membership]`.
     peer_messages: Option<bool>,
 }
 
-impl Default for ProductGroup {
+impl Default for TomlGroup {
     fn default() -> Self {
-        ProductGroup {
+        TomlGroup {
             balancers: 1,
             me: 0,
             peer_messages: None,
@@ -92,19 +96,19 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProductServer {
+struct TomlServer {
     name: String,
     address: String,
     #[serde(default)]
     zone: String,
     /// `cache` or `origin`.
-    #[serde(default = "cache")]
+    #[serde(default = "default_kind")]
     kind: String,
     #[serde(default)]
     group: u16,
 }
 
-fn cache() -> String {
+fn default_kind() -> String {
     "cache".to_string()
 }
 
@@ -118,32 +122,32 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProductClass {
+struct TomlClass {
     name: String,
     repeats: Repeats,
-    #[serde(default = "all")]
+    #[serde(default = "default_keyed_within")]
     keyed_within: String,
     #[serde(default)]
     keyed_ms: f64,
     aim_ms: f64,
     deadline_ms: f64,
-    #[serde(default = "full")]
+    #[serde(default = "default_worth")]
     worth: f64,
     #[serde(default)]
     late_worth: f64,
 }
 
-fn all() -> String {
+fn default_keyed_within() -> String {
     "all".to_string()
 }
 
-fn full() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProductTenant {
+struct TomlTenant {
     name: String,
     requests_per_s: f64,
     share: f64,
@@ -151,7 +155,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct ProductRetries {
+struct TomlRetries {
     most_tries: u8,
     connect_timeout_ms: f64,
     servers_idle_ms: f64,
@@ -160,9 +164,9 @@
     over_share_worth: f64,
 }
 
-impl Default for ProductRetries {
+impl Default for TomlRetries {
     fn default() -> Self {
-        ProductRetries {
+        TomlRetries {
             most_tries: 3,
             connect_timeout_ms: 250.0,
             servers_idle_ms: 60_000.0,
@@ -173,17 +177,17 @@
     }
 }
 
-/// What the slowest requests weigh; nothing where it is left out.
+/// How much the slowest requests weigh; nothing where it is left out.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct ProductSlowEnd {
+struct TomlSlowEnd {
     weight: f64,
     borne_misses: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProductRules {
+struct TomlRules {
     drain_grace_ms: f64,
     #[serde(default)]
     dropped_stay_open: bool,
@@ -196,80 +200,100 @@
 }
 
 /// Reads a file and puts it into the platform's form.
-pub fn read(text: &str) -> Result<Value, Fault> {
-    let broken = |e: toml::de::Error| {
-        let line = e.span().map(|span| line_at(text, span.start));
-        Fault {
-            key: "syntax".to_string(),
-            problem: e.message().to_string(),
-            line,
-        }
+///
+/// # Errors
+///
+/// [`TomlError`] for the first key that cannot be read.
+pub fn read(text: &str) -> Result<Value, TomlError> {
+    let line_of_error = |error: &toml::de::Error| {
+        let span = error.span()?;
+        Some(line_at(text, span.start))
     };
-    let reader = toml::Deserializer::parse(text).map_err(broken)?;
-    let product: Product = serde_path_to_error::deserialize(reader).map_err(|e| {
-        let line = e.inner().span().map(|span| line_at(text, span.start));
-        Fault {
-            key: e.path().to_string(),
-            problem: e.inner().message().to_string(),
-            line,
-        }
+    let reader = toml::Deserializer::parse(text).map_err(|error| TomlError {
+        key: "syntax".to_string(),
+        problem: error.message().to_string(),
+        line: line_of_error(&error),
     })?;
-    Ok(product.platform())
+    let config: TomlConfig =
+        serde_path_to_error::deserialize(reader).map_err(|error| TomlError {
+            key: error.path().to_string(),
+            problem: error.inner().message().to_string(),
+            line: line_of_error(error.inner()),
+        })?;
+    Ok(config.platform())
 }
 
-impl Product {
+impl TomlConfig {
     fn platform(&self) -> Value {
-        let zones = self.zones();
-        let position = |zone: &String| zones.iter().position(|known| known == zone).unwrap_or(0);
-        let server = |server: &ProductServer| {
-            json!({"name": server.name, "address": server.address, "zone": server.zone, "type": server.kind,
-                   "group": server.group, "status": "SERVING", "weight": 1.0, "since_ms": 0})
-        };
-        let mode = match self.caches_fetch {
-            true => json!({"mode": "through"}),
-            false => json!({"mode": "aside", "origin_kind": 1}),
-        };
-        let tenant = |t: &ProductTenant| json!({"name": t.name, "quota_rps": t.requests_per_s, "share": t.share});
-        let (retries, rules) = (&self.retries, &self.rules);
-        let may_talk = self
-            .group
-            .peer_messages
-            .unwrap_or(self.membership.is_some());
-        let mut whole = json!({
-            "name": self.name, "listen": self.listen, "seed": self.seed,
+        let servers: Vec<Value> = self.servers.iter().map(TomlServer::platform).collect();
+        let mut platform = json!({
+            "name": self.name,
+            "listen": self.listen,
+            "seed": self.seed,
             "limits": {"sockets": self.limits.sockets, "memory_mb": self.limits.memory_mb},
-            "known": {"index": 0, "snapshot": true, "endpoints": self.servers.iter().map(server).collect::<Vec<_>>()},
-            "settings": {
-                "me": self.group.me, "replicas_of_me": self.group.balancers, "locality": position(&self.zone),
-                "areas": zones, "models": ["cache", "origin"], "tick": 5.0, "family_info": mode,
-                "profiles": self.classes.iter().map(ProductClass::platform).collect::<Vec<_>>(),
-                "tenants": self.tenants.iter().map(tenant).collect::<Vec<_>>(),
-                "over_share_worth": retries.over_share_worth,
-                "caps": {"most_tries": retries.most_tries, "connect_timeout": retries.connect_timeout_ms,
-                         "keepalive": retries.servers_idle_ms, "open_cap": self.limits.open_requests,
-                         "peer_messages": may_talk, "cancel": retries.may_cancel, "retry_after": retries.max_retry_after_ms > 0.0,
-                         "max_retry_after": retries.max_retry_after_ms},
-                "report": {"fields": self.report},
-                "score_parts": {"slow_end": self.slow_end.weight, "borne_misses": self.slow_end.borne_misses},
-                "rules": {"answer_slack": rules.answer_slack_ms, "stop_sending_within": rules.drain_grace_ms,
-                          "dropped_stay_open": rules.dropped_stay_open,
-                          "cold_from": rules.cold_from, "warm_up": rules.warm_up_ms,
-                          "fall_multiple": rules.fall_multiple, "fall": rules.fall_ms}
-            }
+            "known": {"index": 0, "snapshot": true, "endpoints": servers},
+            "settings": self.settings(),
         });
+        // These sections are missing in the platform's form too where the file leaves them out.
         if let Some(agent) = self.discovery {
-            whole["discovery"] = json!(agent);
+            platform["discovery"] = json!(agent);
         }
         if let Some(membership) = &self.membership {
-            whole["membership"] = json!(membership);
+            platform["membership"] = json!(membership);
         }
         if let Some(agreement) = &self.agreement {
-            whole["agreement"] = json!(agreement);
+            platform["agreement"] = json!(agreement);
         }
-        if let Some(door) = self.ops {
-            whole["ops"] = json!(door);
+        if let Some(admin) = self.ops {
+            platform["ops"] = json!(admin);
         }
-        whole
+        platform
+    }
+
+    fn settings(&self) -> Value {
+        let zones = self.zones();
+        let locality = zones.iter().position(|zone| *zone == self.zone);
+        let mode = if self.caches_fetch {
+            json!({"mode": "through"})
+        } else {
+            json!({"mode": "aside", "origin_kind": 1})
+        };
+        let classes: Vec<Value> = self.classes.iter().map(TomlClass::platform).collect();
+        let tenants: Vec<Value> = self.tenants.iter().map(TomlTenant::platform).collect();
+        json!({
+            "me": self.group.me,
+            "replicas_of_me": self.group.balancers,
+            "locality": locality.unwrap_or(0),
+            "areas": zones,
+            "models": ["cache", "origin"],
+            "tick": 5.0,
+            "family_info": mode,
+            "profiles": classes,
+            "tenants": tenants,
+            "over_share_worth": self.retries.over_share_worth,
+            "caps": self.caps(),
+            "report": {"fields": self.report},
+            "score_parts": {
+                "slow_end": self.slow_end.weight,
+                "borne_misses": self.slow_end.borne_misses,
+            },
+            "rules": self.rules.platform(),
+        })
+    }
+
+    fn caps(&self) -> Value {
+        let retries = &self.retries;
+        let peer_messages = self.group.peer_messages;
+        json!({
+            "most_tries": retries.most_tries,
+            "connect_timeout": retries.connect_timeout_ms,
+            "keepalive": retries.servers_idle_ms,
+            "open_cap": self.limits.open_requests,
+            "peer_messages": peer_messages.unwrap_or(self.membership.is_some()),
+            "cancel": retries.may_cancel,
+            "retry_after": retries.max_retry_after_ms > 0.0,
+            "max_retry_after": retries.max_retry_after_ms,
+        })
     }
 
     fn zones(&self) -> Vec<String> {
@@ -283,19 +307,62 @@
     }
 }
 
-impl ProductClass {
+impl TomlServer {
+    fn platform(&self) -> Value {
+        json!({
+            "name": self.name,
+            "address": self.address,
+            "zone": self.zone,
+            "type": self.kind,
+            "group": self.group,
+            "status": "SERVING",
+            "weight": 1.0,
+            "since_ms": 0,
+        })
+    }
+}
+
+impl TomlClass {
     fn platform(&self) -> Value {
         let semantics = match self.repeats {
             Repeats::Safe => "free",
             Repeats::Keyed => "guarded",
             Repeats::Unsafe => "single_shot",
         };
-        json!({"name": self.name, "semantics": semantics, "group": self.keyed_within, "key_ttl": self.keyed_ms,
-               "aim": self.aim_ms, "deadline": self.deadline_ms, "worth": self.worth, "late_worth": self.late_worth})
+        json!({
+            "name": self.name,
+            "semantics": semantics,
+            "group": self.keyed_within,
+            "key_ttl": self.keyed_ms,
+            "aim": self.aim_ms,
+            "deadline": self.deadline_ms,
+            "worth": self.worth,
+            "late_worth": self.late_worth,
+        })
+    }
+}
+
+impl TomlTenant {
+    fn platform(&self) -> Value {
+        json!({"name": self.name, "quota_rps": self.requests_per_s, "share": self.share})
+    }
+}
+
+impl TomlRules {
+    fn platform(&self) -> Value {
+        json!({
+            "answer_slack": self.answer_slack_ms,
+            "stop_sending_within": self.drain_grace_ms,
+            "dropped_stay_open": self.dropped_stay_open,
+            "cold_from": self.cold_from,
+            "warm_up": self.warm_up_ms,
+            "fall_multiple": self.fall_multiple,
+            "fall": self.fall_ms,
+        })
     }
 }
 
-/// Keys of the platform's form, and what they are called in a file of this form.
+/// Keys of the platform's form, and the keys of a TOML file that set them.
 const OWN_KEYS: [(&str, &str); 27] = [
     ("settings.rules.stop_sending_within", "rules.drain_grace_ms"),
     ("settings.rules.answer_slack", "rules.answer_slack_ms"),
@@ -332,36 +399,29 @@
     (".type", ".kind"),
 ];
 
-/// The key of such a file for one of the platform's form.
+/// The key of a TOML file for one of the platform's form.
 pub fn own_key(key: &str) -> String {
     let mut own = key.to_string();
-    for (platform, product) in OWN_KEYS {
-        match platform.strip_prefix('.') {
-            // The last word of a path.
-            Some(_) if own.ends_with(platform) => {
+    for (platform, toml) in OWN_KEYS {
+        if platform.starts_with('.') {
+            // Such an entry replaces the last word of a path, all others its beginning.
+            if own.ends_with(platform) {
                 own.truncate(own.len() - platform.len());
-                own.push_str(product);
-            }
-            None if own.starts_with(platform) => {
-                own = format!("{product}{}", &own[platform.len()..])
-                    .trim_start_matches('.')
-                    .to_string();
+                own.push_str(toml);
             }
-            _ => {}
+        } else if let Some(rest) = own.strip_prefix(platform) {
+            own = format!("{toml}{rest}").trim_start_matches('.').to_string();
         }
     }
     own
 }
 
-fn line_at(text: &str, place: usize) -> usize {
-    1 + text
-        .bytes()
-        .take(place)
-        .filter(|byte| *byte == b'\n')
-        .count()
+fn line_at(text: &str, offset: usize) -> usize {
+    let before = text.bytes().take(offset);
+    1 + before.filter(|byte| *byte == b'\n').count()
 }
 
-/// The line, from 1, of a key such as `classes[0].aim_ms`; of what holds it where it is missing itself.
+/// The line, from 1, of a key such as `classes[0].aim_ms`, or of what holds the key where the key itself is missing.
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
     let words = key
@@ -369,22 +429,23 @@
         .map(|word| word.trim_end_matches(']'))
         .filter(|word| !word.is_empty());
     let root = DeValue::Table(table.into_inner());
-    let (mut line, mut at) = (None, &root);
+    let mut value = &root;
+    let mut line = None;
     for word in words {
-        let next = match at {
+        let next = match value {
             DeValue::Table(table) => {
-                let found = table.iter().find(|(key, _)| key.get_ref().as_ref() == word);
-                found.map(|(key, value)| (key.span().start, value))
+                let entry = table.iter().find(|(key, _)| key.get_ref().as_ref() == word);
+                entry.map(|(key, value)| (key.span().start, value))
             }
             DeValue::Array(items) => {
-                let found = word.parse::<usize>().ok().and_then(|i| items.get(i));
-                found.map(|item| (item.span().start, item))
+                let item = word.parse::<usize>().ok().and_then(|i| items.get(i));
+                item.map(|item| (item.span().start, item))
             }
             _ => None,
         };
-        let Some((place, value)) = next else { break };
-        line = Some(line_at(text, place));
-        at = value.get_ref();
+        let Some((offset, next)) = next else { break };
+        line = Some(line_at(text, offset));
+        value = next.get_ref();
     }
     line
 }
--- a/crates/stairfront-balancer/src/control/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -1,4 +1,5 @@
-//! The watch on discovery's agent.
+//! The watch on discovery: HTTP long polls to the agent on this machine, which answers with the changes of the endpoint
+//! list since the version in hand.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, HttpError, Request};
+use stairfront_codec::http::{Body, HttpCodec, HttpError, Request, Response};
 use stairfront_settings::Names;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio_util::codec::Framed;
@@ -20,27 +21,37 @@
 use crate::messages::EngineEvent;
 use crate::transport::Network;
 
-/// How long the agent may hold a watch for news; 60 s is the most. Danger: while discovery is down its changes count
-/// as told 2 s after the hold is over, heard or not, so a short hold has this balancer send to caches that drain.
+/// How long the agent may hold a poll until there is a change; the agent allows 60 s. While discovery is down its changes
+/// count as notified 2 s after the hold is over, so a short hold would have this balancer send to caches that drain.
 const HOLD: Duration = Duration::from_secs(50);
-/// What an answer may take beyond the hold before the agent counts as dead: it is on this machine.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
-/// Pause after a failed call; each further one in a row doubles it. Half of each is drawn. Danger: balancers that were
-/// started together would call together, be turned away together, and come back together.
-const RETRY: Duration = Duration::from_millis(100);
-/// The longest where nobody answers: the agent is on this machine, and its calls cost nobody else anything.
-const LONGEST_RETRY: Duration = Duration::from_millis(400);
-/// Pause after a refusal, or a list that made no sense.
-const REFUSED_PAUSE: Duration = Duration::from_millis(500);
-/// The longest after refusals. What discovery has to tell counts as told some seconds later, heard or not.
-const LONGEST_REFUSED: Duration = Duration::from_millis(1600);
-/// Some thousand servers.
+/// What an answer may take beyond the hold before the agent counts as failed; it is on this machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest list that is read; room for some thousand servers.
 const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
-/// One line in the log for so many failed calls in a row.
-const LOG_EVERY: u32 = 50;
+/// One log line for this many failed polls in a row.
+const POLLS_PER_LOG_LINE: u32 = 50;
+
+/// An exponential backoff: each further failure in a row doubles the pause.
+#[derive(Clone, Copy)]
+struct Backoff {
+    first: Duration,
+    max: Duration,
+}
+
+/// After a poll that nobody answered. The agent is on this machine, and polls cost nobody else anything.
+const UNREACHABLE_BACKOFF: Backoff = Backoff {
+    first: Duration::from_millis(100),
+    max: Duration::from_millis(400),
+};
+/// After a refusal, or a list that cannot be read. The longest is short because what discovery has to notify counts as
+/// notified some seconds later, whether it was received or not.
+const REFUSED_BACKOFF: Backoff = Backoff {
+    first: Duration::from_millis(500),
+    max: Duration::from_millis(1600),
+};
 
 #[derive(Debug, thiserror::Error)]
-enum CallError {
+enum PollError {
     #[error("{0}")]
     Http(#[from] HttpError),
     #[error("no answer in time")]
@@ -50,200 +61,215 @@
     #[error("status {0}")]
     Status(u16),
     #[error("not a list: {0}")]
-    Json(String),
-    #[error("changes up to version {told} for one that has {index}")]
-    Back { index: u64, told: u64 },
+    Json(#[from] serde_path_to_error::Error<serde_json::Error>),
+    #[error("changes up to version {received} for a list of version {index}")]
+    Outdated { index: u64, received: u64 },
     #[error("not a list: {0}")]
     List(#[from] ListError),
 }
 
-impl From<io::Error> for CallError {
+impl From<io::Error> for PollError {
     fn from(error: io::Error) -> Self {
-        CallError::Http(error.into())
+        PollError::Http(error.into())
     }
 }
 
-/// Keeps a watch on the agent for as long as the balancer runs and passes on all that changes. A dead agent costs
-/// nothing but these calls: serving goes on with the list in hand.
+/// What a watch is started with.
+pub struct DiscoverySettings {
+    /// Address of the agent; a new configuration may name another.
+    pub agent: watch::Receiver<Option<SocketAddr>>,
+    /// Zones and kinds by which lists are read.
+    pub names: Names,
+    /// Version of the list that the balancer starts with.
+    pub known_index: u64,
+    /// Seed of the random part of pauses.
+    pub seed: u64,
+    /// Notified when another member has a newer list: the agent is polled at once.
+    pub poll_now: Rc<Notify>,
+}
+
+/// Watches the agent for as long as the balancer runs and passes on every change. A failed agent costs nothing but these
+/// polls; requests are served by the list in hand.
 pub struct DiscoveryWatch<N: Network> {
     network: N,
-    /// Where the agent is; a new configuration may name another.
-    agents: watch::Receiver<Option<SocketAddr>>,
+    agent: watch::Receiver<Option<SocketAddr>>,
     names: Names,
-    inbox: mpsc::Sender<EngineEvent>,
-    wire: Option<Framed<N::Stream, HttpCodec>>,
-    /// The version in hand; none asks for the whole list.
+    events: mpsc::Sender<EngineEvent>,
+    connection: Option<Framed<N::Stream, HttpCodec>>,
+    /// The version in hand; `None` asks for the whole list.
     index: Option<u64>,
-    /// How long the next call may be held: not at all until one was answered, so that a start or a return of the
-    /// agent does not wait for news to come.
+    /// How long the next poll may be held: not at all until one was answered, so that a start or a return of the agent
+    /// does not wait for the next change.
     hold: Duration,
-    /// Somebody has newer news: the agent is to be asked now.
-    ask_now: Rc<Notify>,
-    /// This balancer's own random numbers.
-    draws: u64,
+    poll_now: Rc<Notify>,
+    /// State of this balancer's own random numbers.
+    random_state: u64,
     counters: Rc<Counters>,
 }
 
 impl<N: Network> DiscoveryWatch<N> {
+    /// A watch that has not polled yet.
     pub fn new(
         network: N,
-        agents: watch::Receiver<Option<SocketAddr>>,
-        names: Names,
-        known: u64,
-        seed: u64,
-        inbox: mpsc::Sender<EngineEvent>,
+        settings: DiscoverySettings,
+        events: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
         DiscoveryWatch {
             network,
-            agents,
-            names,
-            inbox,
-            wire: None,
-            index: Some(known),
+            agent: settings.agent,
+            names: settings.names,
+            events,
+            connection: None,
+            index: Some(settings.known_index),
             hold: Duration::ZERO,
-            ask_now: Rc::default(),
-            draws: seed,
+            poll_now: settings.poll_now,
+            random_state: settings.seed,
             counters,
         }
     }
 
-    /// The agent is asked at once whenever this is told.
-    pub fn asked_by(self, ask_now: Rc<Notify>) -> Self {
-        DiscoveryWatch { ask_now, ..self }
-    }
-
-    /// Danger: a call to the agent of an old configuration may be held for most of a minute, and its versions mean
-    /// nothing to another agent. The call is dropped, and the new agent asked at once for the whole list.
+    /// Runs until the engine has ended. A new address of the agent drops the poll that is held, for up to a minute, by the
+    /// old one, and asks the new agent for the whole list, since versions of two agents cannot be compared.
     pub async fn run(mut self) {
-        let mut agents = self.agents.clone();
-        let ask_now = Rc::clone(&self.ask_now);
+        let mut agent = self.agent.clone();
+        let poll_now = Rc::clone(&self.poll_now);
         loop {
             tokio::select! {
                 biased;
-                changed = agents.changed() => {
+                changed = agent.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    (self.wire, self.index, self.hold) = (None, None, Duration::ZERO);
+                    self.drop_connection();
+                    self.index = None;
                 }
-                // The held call is dropped: what it would have brought, the next one does.
-                () = ask_now.notified() => (self.wire, self.hold) = (None, Duration::ZERO),
-                () = self.keep() => return,
+                // The poll that is held is dropped: the next one brings what it would have brought.
+                () = poll_now.notified() => self.drop_connection(),
+                () = self.keep_polling() => return,
             }
         }
     }
 
-    async fn keep(&mut self) {
-        let Some(address) = *self.agents.borrow() else {
+    fn drop_connection(&mut self) {
+        self.connection = None;
+        self.hold = Duration::ZERO;
+    }
+
+    async fn keep_polling(&mut self) {
+        let Some(address) = *self.agent.borrow() else {
             return std::future::pending().await;
         };
         let mut failures = 0;
         loop {
-            match self.call(address).await {
+            match self.poll(address).await {
                 Ok(list) => {
                     if failures > 0 {
                         info!("discovery answers again");
                     }
                     failures = 0;
-                    // Danger: this may be dropped at any wait, for other news or another agent. With the version put
-                    // down before the list is handed on, nobody would ever ask for what it had.
-                    let Ok(room) = self.inbox.reserve().await else {
+                    // This future may be dropped at any await. If the version were recorded before the list is passed on,
+                    // its changes would never be asked for again.
+                    let Ok(permit) = self.events.reserve().await else {
                         return;
                     };
-                    (self.hold, self.index) = (HOLD, Some(list.index));
-                    room.send(EngineEvent::List(list));
+                    self.hold = HOLD;
+                    self.index = Some(list.index);
+                    permit.send(EngineEvent::EndpointList(list));
                 }
-                Err(problem) => {
-                    if failures % LOG_EVERY == 0 {
-                        warn!("discovery at {address}: {problem}");
+                Err(error) => {
+                    if failures % POLLS_PER_LOG_LINE == 0 {
+                        warn!(%address, %error, "discovery poll failed");
                     }
                     failures += 1;
-                    self.counters.lists_failed.add();
-                    self.wire = None;
-                    self.hold = Duration::ZERO;
-                    let (first, longest) = match problem {
-                        // Rejection away: it has told nothing, and the list in hand stands. Danger: balancers that ask for
-                        // the whole list instead are turned away all the more.
-                        CallError::Status(429 | 503) => (REFUSED_PAUSE, LONGEST_REFUSED),
-                        // What it was to tell is not known: only the whole list mends that.
-                        CallError::Json(_)
-                        | CallError::List(_)
-                        | CallError::Back { .. }
-                        | CallError::Status(_) => {
-                            self.index = None;
-                            (REFUSED_PAUSE, LONGEST_REFUSED)
-                        }
-                        _ => (RETRY, LONGEST_RETRY),
-                    };
-                    sleep(self.pause(first, longest, failures)).await;
+                    let backoff = self.handle_failure(&error);
+                    sleep(self.pause(backoff, failures)).await;
                 }
             }
         }
     }
 
-    /// The pause after so many failures in a row: half of it fixed, half by this balancer's own draw.
-    fn pause(&mut self, first: Duration, longest: Duration, failures: u32) -> Duration {
-        self.draws = self.draws.wrapping_add(1);
-        let draw = xxh3_64(&self.draws.to_le_bytes()) as f64 / u64::MAX as f64;
-        let whole = first
+    /// Decides what the next poll asks for, and the backoff until then.
+    fn handle_failure(&mut self, error: &PollError) -> Backoff {
+        self.counters.lists_failed.add();
+        self.drop_connection();
+        match error {
+            // The poll was refused and the list in hand is still right. Balancers that asked for the whole list instead
+            // would be refused all the more.
+            PollError::Status(429 | 503) => REFUSED_BACKOFF,
+            // The changes are lost, and only the whole list brings them.
+            PollError::Json(_)
+            | PollError::List(_)
+            | PollError::Outdated { .. }
+            | PollError::Status(_) => {
+                self.index = None;
+                REFUSED_BACKOFF
+            }
+            PollError::Http(_) | PollError::Late | PollError::Ended => UNREACHABLE_BACKOFF,
+        }
+    }
+
+    /// The pause after so many failures in a row. Half of it is drawn at random, so that balancers which were started
+    /// together are not refused together and then come back together.
+    fn pause(&mut self, backoff: Backoff, failures: u32) -> Duration {
+        self.random_state = self.random_state.wrapping_add(1);
+        let draw = xxh3_64(&self.random_state.to_le_bytes()) as f64 / u64::MAX as f64;
+        let whole = backoff
+            .first
             .saturating_mul(1 << failures.saturating_sub(1).min(8))
-            .min(longest);
+            .min(backoff.max);
         whole.mul_f64(0.5 + draw / 2.0)
     }
 
-    async fn call(&mut self, address: SocketAddr) -> Result<ServerList, CallError> {
-        let wire = match &mut self.wire {
-            Some(wire) => wire,
-            none => {
-                let connected = timeout(ANSWER_LIMIT, self.network.connect(address));
-                let socket = connected.await.map_err(|_| CallError::Late)??;
-                none.insert(Framed::new(
-                    socket,
-                    HttpCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES)),
-                ))
-            }
-        };
-        let (target, limit) = match self.index {
-            Some(index) => {
-                let target = format!(
-                    "/api/targets?from={index}&hold_ms={}",
-                    self.hold.as_millis()
-                );
-                (target, self.hold + ANSWER_LIMIT)
-            }
-            None => ("/api/targets".to_string(), ANSWER_LIMIT),
-        };
-        let host = Bytes::from(address.to_string());
-        wire.send(Request {
-            method: "GET",
-            target,
-            headers: vec![("Host", host)],
-            body: Body::None,
-        })
-        .await?;
-        let answer = timeout(limit, wire.next())
-            .await
-            .map_err(|_| CallError::Late)?;
-        let response = answer.ok_or(CallError::Ended)??;
+    async fn poll(&mut self, address: SocketAddr) -> Result<ServerList, PollError> {
+        let response = self.exchange(address).await?;
         if response.last {
-            self.wire = None;
+            self.connection = None;
         }
         if response.status != 200 {
-            return Err(CallError::Status(response.status));
+            return Err(PollError::Status(response.status));
         }
-        let raw: RawList = serde_path_to_error::deserialize(
-            &mut serde_json::Deserializer::from_slice(&response.body),
-        )
-        .map_err(|e| CallError::Json(e.to_string()))?;
+        let mut deserializer = serde_json::Deserializer::from_slice(&response.body);
+        let raw: RawList = serde_path_to_error::deserialize(&mut deserializer)?;
         let list = raw.read(&self.names)?;
         match self.index {
-            // Changes of versions that are older than the list in hand say nothing of it.
-            Some(index) if !list.full && list.index < index => Err(CallError::Back {
+            // Changes between versions older than the list in hand say nothing about it.
+            Some(index) if !list.full && list.index < index => Err(PollError::Outdated {
                 index,
-                told: list.index,
+                received: list.index,
             }),
             _ => Ok(list),
         }
     }
+
+    async fn exchange(&mut self, address: SocketAddr) -> Result<Response, PollError> {
+        let (target, limit) = match self.index {
+            Some(index) => {
+                let hold_ms = self.hold.as_millis();
+                let target = format!("/api/targets?from={index}&hold_ms={hold_ms}");
+                (target, self.hold + ANSWER_TIMEOUT)
+            }
+            None => ("/api/targets".to_string(), ANSWER_TIMEOUT),
+        };
+        let request = Request {
+            method: "GET",
+            target,
+            headers: vec![("Host", Bytes::from(address.to_string()))],
+            body: Body::None,
+        };
+        let connection = match &mut self.connection {
+            Some(connection) => connection,
+            none => {
+                let connected = timeout(ANSWER_TIMEOUT, self.network.connect(address));
+                let socket = connected.await.map_err(|_| PollError::Late)??;
+                let codec = HttpCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES));
+                none.insert(Framed::new(socket, codec))
+            }
+        };
+        connection.send(request).await?;
+        let answer = timeout(limit, connection.next())
+            .await
+            .map_err(|_| PollError::Late)?;
+        Ok(answer.ok_or(PollError::Ended)??)
+    }
 }
--- a/crates/stairfront-balancer/src/control/gossip_transport.rs
+++ b/crates/stairfront-balancer/src/control/gossip_transport.rs
@@ -1,76 +1,72 @@
-//! What the group of balancers has this one do, on its way from the member (`stairfront-membership-agent`) to the engine. The
-//! engine hears it as orders and inputs; nobody who serves waits for it.
+//! Carries what the group of balancers wants from the member (`stairfront-membership-agent`) to the engine, which gets
+//! it as orders and events. No request waits for it.
 use std::rc::Rc;
 
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_membership_agent::{MembershipAgent, MembershipEvent};
-use tokio::sync::{mpsc, oneshot, Notify};
+use tokio::sync::{mpsc, Notify};
 
-use crate::control::pending_order::PendingOrder;
-use crate::lifecycle::handover::HandoverChannel;
+use crate::control::pending_order::OrderDispatcher;
 use crate::messages::EngineEvent;
 
-/// Carries what the group wants for as long as the balancer runs.
+/// Carries the group's events for as long as the balancer runs.
 pub struct GossipTransport {
-    pub members: Rc<MembershipAgent>,
-    pub orders: mpsc::Sender<PendingOrder>,
-    pub inbox: mpsc::Sender<EngineEvent>,
-    /// Other processes of this balancer, during an upgrade: what the group holds, both hold.
-    pub links: [Rc<HandoverChannel>; 2],
-    /// Has discovery's agent asked at once.
-    pub ask_agent: Rc<Notify>,
+    /// The member whose events are carried.
+    pub membership: Rc<MembershipAgent>,
+    /// Both processes of an upgrade hold a cordon of the group.
+    pub orders: OrderDispatcher,
+    /// Leads to the engine.
+    pub events: mpsc::Sender<EngineEvent>,
+    /// Has discovery's agent polled at once.
+    pub poll_agent: Rc<Notify>,
 }
 
 impl GossipTransport {
+    /// Runs until the engine has ended.
     pub async fn run(self) {
         loop {
-            match self.members.next_turn().await {
+            match self.membership.next_turn().await {
                 MembershipEvent::Cordon { host, held } => {
-                    if self.cordon(&host, held).await.is_none() {
+                    if self.apply_cordon(&host, held).await.is_none() {
                         return;
                     }
                 }
                 MembershipEvent::Hearsay { host, stop } => {
-                    if self
-                        .inbox
-                        .send(EngineEvent::Hearsay { host, stop })
-                        .await
-                        .is_err()
-                    {
+                    let hint = EngineEvent::DrainHint {
+                        host,
+                        draining: stop,
+                    };
+                    if self.events.send(hint).await.is_err() {
                         return;
                     }
                 }
-                MembershipEvent::AskAgent => self.ask_agent.notify_one(),
+                MembershipEvent::AskAgent => self.poll_agent.notify_one(),
             }
         }
     }
 
-    /// None once the engine has ended. Danger: confirmed before the engine has it, a host would get requests while it is
-    /// worked on.
-    async fn cordon(&self, host: &str, held: bool) -> Option<()> {
+    /// Applies a cordon of the group at all processes of this balancer, and only then confirms it: a host whose cordon
+    /// is confirmed before the engine has it would get requests while it is worked on. `None` once the engine has ended.
+    async fn apply_cordon(&self, host: &str, held: bool) -> Option<()> {
         let order = if held {
             OperatorOrder::Hold(host.to_string())
         } else {
             OperatorOrder::Release(host.to_string())
         };
-        let (done, is_done) = oneshot::channel();
-        self.orders
-            .send(PendingOrder {
-                order: order.clone(),
-                word: OrderSource::Vouched,
-                done,
-            })
-            .await
-            .ok()?;
-        let mut all = is_done.await.ok()? == OrderOutcome::Yes;
-        for link in &self.links {
-            if let Some(answer) = link.relay(&order, OrderSource::Vouched).await {
-                all &= answer == Ok(OrderOutcome::Yes);
+        let own = self
+            .orders
+            .run_here(order.clone(), OrderSource::Vouched)
+            .await?;
+        let mut applied = own == OrderOutcome::Yes;
+        // Each peer gets the order, also where one before it has failed.
+        for peer in &self.orders.peers {
+            if let Some(answer) = peer.relay(&order, OrderSource::Vouched).await {
+                applied &= answer == Ok(OrderOutcome::Yes);
             }
         }
-        // Otherwise it stays unconfirmed, and its operator hears that.
-        if all {
-            self.members.applied(host, held);
+        // Otherwise it stays unconfirmed, and the operator who ordered it is told so.
+        if applied {
+            self.membership.applied(host, held);
         }
         Some(())
     }
--- a/crates/stairfront-balancer/src/control/mod.rs
+++ b/crates/stairfront-balancer/src/control/mod.rs
@@ -1,3 +1,5 @@
+//! The control plane: what changes a running balancer from outside, and what it reports there. None of it is waited for
+//! by a request.
 pub mod admin_server;
 pub mod cordon_record;
 pub mod discovery;
--- a/crates/stairfront-balancer/src/control/reload.rs
+++ b/crates/stairfront-balancer/src/control/reload.rs
@@ -1,6 +1,6 @@
-//! A new configuration while the balancer runs: on SIGHUP the file is read again, by the same way as at the start.
-//! The address of discovery and the settings take effect at once, whole or not at all; what takes a restart is named in
-//! the log.
+//! A new configuration for a running balancer: on SIGHUP the file is read again by the same code as at the start. The
+//! address of discovery and the settings take effect at once, as a whole or not at all; keys that take a restart are
+//! named in the log.
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,42 +11,48 @@
 use tracing::{info, warn};
 
 use crate::configuration::config::Config;
+use crate::configuration::error::ConfigError;
 use crate::control::server_list::ServerList;
 use crate::counters::Counters;
 use crate::messages::EngineEvent;
 
-/// Catches SIGHUP from now on. Danger: uncaught it ends the process, and once caught it never does again, also while
-/// the balancer stops.
+/// Catches SIGHUP from now on, also while the balancer stops. A SIGHUP that is not caught ends the process.
+///
+/// # Errors
+///
+/// If the signal cannot be caught.
 pub fn catch_hangups() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Passes hangups on. One that waits stands for all that come meanwhile: the file is read after the last of them.
-pub async fn pass_on(mut hangups: Signal, to: mpsc::Sender<()>) {
+/// Forwards hangups. One that waits stands for all that come meanwhile: the file is read after the last of them.
+pub async fn forward_hangups(mut hangups: Signal, to: mpsc::Sender<()>) {
     while hangups.recv().await.is_some() {
         let _ = to.try_send(());
     }
 }
 
-/// What of the configuration can change under way.
+/// Takes over what can change in the configuration of a running balancer.
 pub struct ConfigReloader {
-    /// What this process was started with, and the address of discovery in use.
+    /// The configuration that this process was started with, but for the address of discovery, which is the one in use.
     current: Config,
-    /// The settings in use, and the classes among them that the file has no more.
+    /// The settings in use.
     in_use: Start,
+    /// Positions of the classes in use that the file has no more.
     retired: Vec<usize>,
-    /// Tells the watch on discovery where the agent is.
+    /// Gives the discovery watch the address of the agent.
     agent: watch::Sender<Option<SocketAddr>>,
     /// Takes new settings, and the list of a file that names no agent.
-    inbox: mpsc::Sender<EngineEvent>,
+    events: mpsc::Sender<EngineEvent>,
     counters: Rc<Counters>,
 }
 
 impl ConfigReloader {
+    /// A reloader of the file that `current` was read from.
     pub fn new(
         current: Config,
         agent: watch::Sender<Option<SocketAddr>>,
-        inbox: mpsc::Sender<EngineEvent>,
+        events: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
         let in_use = current.start.clone();
@@ -55,77 +61,76 @@
             in_use,
             retired: Vec::new(),
             agent,
-            inbox,
+            events,
             counters,
         }
     }
 
+    /// Reads the file again at each hangup.
     pub async fn run(mut self, mut hangups: mpsc::Receiver<()>) {
         while hangups.recv().await.is_some() {
             self.reload().await;
         }
-        // The agent's address must stay known to the watch.
+        // The discovery watch ends when the sender of the agent's address is dropped.
         self.agent.closed().await;
     }
 
-    /// Danger: half a file, or one with a slip in it, would take a serving balancer down. It keeps what it has.
+    /// Takes a new file over. One with an error changes nothing, since a file that is half written or has a slip in it
+    /// must not take a serving balancer down.
     async fn reload(&mut self) {
-        let read =
-            Config::from_file(&self.current.path).and_then(|new| self.current.is_followed_by(new));
-        let new = match read {
+        let new = match self.read_file() {
             Ok(new) => new,
-            Err(problem) => {
-                warn!("told to read the configuration again, the old one stays: {problem}");
+            Err(error) => {
+                warn!(%error, "configuration not reloaded, the old one stays in use");
                 return self.counters.reloads_faulty.add();
             }
         };
         self.counters.reloads.add();
-        let agent = new.discovery.map_or("no discovery".to_string(), |at| {
-            format!("discovery at {at}")
-        });
-        info!("configuration read again from {}, {agent}", new.path);
-        let waiting = self.current.needs_restart(&new);
-        if !waiting.is_empty() {
+        info!(path = %new.path, discovery = ?new.discovery, "configuration reloaded");
+        let restart_keys = self.current.needs_restart(&new);
+        if !restart_keys.is_empty() {
             warn!(
-                "changed, but taken over only at a restart: {}",
-                waiting.join(", ")
+                keys = restart_keys.join(", "),
+                "changed keys take effect at a restart only"
             );
         }
         self.retune(&new).await;
         self.agent
             .send_if_modified(|agent| std::mem::replace(agent, new.discovery) != new.discovery);
         if new.discovery.is_none() {
-            // The engine is gone only when the whole balancer ends.
-            let _ = self
-                .inbox
-                .send(EngineEvent::List(ServerList {
-                    full: true,
-                    ..new.known
-                }))
-                .await;
+            let list = ServerList {
+                full: true,
+                ..new.known
+            };
+            // The engine ends only with the whole balancer.
+            let _ = self.events.send(EngineEvent::EndpointList(list)).await;
         }
-        // Compared with what this process was started with, so that a key changed back is not named.
+        // The other keys stay those of the start, so that a key that is changed back is not named.
         self.current.discovery = new.discovery;
     }
 
+    fn read_file(&self) -> Result<Config, ConfigError> {
+        let new = Config::from_file(&self.current.path)?;
+        self.current.accept_successor(new)
+    }
+
     async fn retune(&mut self, new: &Config) {
         let retuned = new.start.clone().following(&self.in_use, &self.retired);
         if retuned.start == self.in_use && retuned.retired == self.retired {
             return;
         }
         let names = &retuned.start.names.classes;
-        let dropped: Vec<&str> = retuned.retired.iter().map(|i| names[*i].as_str()).collect();
-        match dropped.is_empty() {
-            true => info!("new settings are in use, {} classes", names.len()),
-            false => info!(
-                "new settings are in use, {} classes, dropped of these: {}",
-                names.len(),
-                dropped.join(", ")
-            ),
-        }
-        (self.in_use, self.retired) = (retuned.start.clone(), retuned.retired.clone());
+        let retired: Vec<&str> = retuned.retired.iter().map(|i| names[*i].as_str()).collect();
+        info!(
+            classes = names.len(),
+            retired = retired.join(", "),
+            "new settings are in use"
+        );
+        self.in_use = retuned.start.clone();
+        self.retired = retuned.retired.clone();
+        // The engine ends only with the whole balancer.
         let _ = self
-            .inbox
+            .events
             .send(EngineEvent::Retune(Box::new(retuned)))
             .await;
     }
--- a/crates/stairfront-balancer/src/control/server_list.rs
+++ b/crates/stairfront-balancer/src/control/server_list.rs
@@ -1,14 +1,14 @@
-//! Lists of servers as discovery writes them, and what the balancer reads out of them.
+//! Endpoint lists in the form in which discovery and configuration files write them, and what the balancer reads from
+//! them.
 use std::net::SocketAddr;
 
 use serde::Deserialize;
-use stairfront_policy::interface::{
-    CacheId, Cell, Endpoint, EndpointState, Kind, Micros, Zone, MS,
-};
+use stairfront_common::time::{Micros, MS};
+use stairfront_policy::interface::{CacheId, Cell, Endpoint, EndpointState, Kind, Zone};
 use stairfront_settings::Names;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A list as discovery writes it.
+/// A list as discovery writes it, in JSON.
 #[derive(Debug, Default, Deserialize)]
 pub struct RawList {
     #[serde(default)]
@@ -30,54 +30,85 @@
     #[serde(default)]
     group: u16,
     status: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f32,
     #[serde(default)]
     since_ms: f64,
 }
 
-fn one() -> f32 {
+fn default_weight() -> f32 {
     1.0
 }
 
+/// Why a list cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
+    /// The state of a server is none that is known here.
     #[error("server {name:?}: unknown status {status:?}")]
-    Status { name: String, status: String },
+    Status {
+        /// The server.
+        name: String,
+        /// The state as written.
+        status: String,
+    },
+    /// The address of a server cannot be parsed.
     #[error("server {name:?}: {address:?} is not an address and a port")]
-    Address { name: String, address: String },
+    Address {
+        /// The server.
+        name: String,
+        /// The address as written.
+        address: String,
+    },
+    /// The start time of a server is outside the range of the clock.
     #[error("server {name:?}: since_ms {since_ms} is not a time")]
-    Since { name: String, since_ms: f64 },
+    Since {
+        /// The server.
+        name: String,
+        /// The time as written.
+        since_ms: f64,
+    },
 }
 
+/// One server of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
+    /// Its name.
     pub name: String,
-    pub member: Endpoint,
+    /// What the decision module needs to know of it.
+    pub endpoint: Endpoint,
+    /// Where it accepts connections.
     pub address: SocketAddr,
 }
 
+/// A list that has been read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerList {
+    /// Discovery's version of the list.
     pub index: u64,
-    /// The complete list, not changes alone.
+    /// Whether it is the complete list, and not changes alone.
     pub full: bool,
-    pub lines: Vec<ServerEntry>,
+    /// The servers.
+    pub entries: Vec<ServerEntry>,
 }
 
-/// The same at every balancer and after every restart, whatever the address.
+/// Number of a server: the same at every balancer and after every restart, whatever its address.
 pub fn cache_id(name: &str) -> CacheId {
     CacheId(xxh3_64(name.as_bytes()))
 }
 
-/// Position of a name; an unknown one gets a number that no known one has.
 fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 impl RawList {
+    /// Reads the list; zones and kinds are numbered by their position in `names`, unknown ones by a number that no known
+    /// one has.
+    ///
+    /// # Errors
+    ///
+    /// [`ListError`] for the first server that cannot be read.
     pub fn read(self, names: &Names) -> Result<ServerList, ListError> {
-        let lines = self
+        let entries = self
             .endpoints
             .into_iter()
             .map(|raw| raw.read(names))
@@ -85,7 +116,7 @@
         Ok(ServerList {
             index: self.index,
             full: self.snapshot,
-            lines,
+            entries,
         })
     }
 }
@@ -108,13 +139,13 @@
         let Ok(address) = address.parse::<SocketAddr>() else {
             return Err(ListError::Address { name, address });
         };
-        // Within the range of the clock; beyond a few thousand years it is a slip of a unit.
+        // A time beyond a few thousand years is a slip of a unit, and would leave the range of the clock.
         if !(0.0..1e14).contains(&since_ms) {
             return Err(ListError::Since { name, since_ms });
         }
         let zone = position(&names.zones, &self.zone).and_then(|i| u8::try_from(i).ok());
         let kind = position(&names.kinds, &self.kind).and_then(|i| u16::try_from(i).ok());
-        let member = Endpoint {
+        let endpoint = Endpoint {
             id: cache_id(&name),
             state,
             incarnation: (since_ms * MS as f64) as Micros,
@@ -125,7 +156,7 @@
         };
         Ok(ServerEntry {
             name,
-            member,
+            endpoint,
             address,
         })
     }
--- a/crates/stairfront-balancer/src/counters.rs
+++ b/crates/stairfront-balancer/src/counters.rs
@@ -1,4 +1,5 @@
-//! What the balancer took in, sent and answered. Printed at the end and on `INFO`.
+//! The counters of a balancer: what it has read, sent and answered. They are printed at the end of the process and on
+//! `INFO`; the names of the fields are those of the `INFO` lines.
 use std::cell::Cell;
 use std::fmt;
 
@@ -6,6 +7,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
+        /// All counters of one process.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[$doc])* pub $name: Counter,)* }
 
@@ -20,71 +22,96 @@
 }
 
 counters! {
-    /// Requests read whole from clients.
+    /// Requests read as a whole from clients.
     taken_in,
+    /// Requests answered with a value.
     served,
+    /// Requests that the decision module has refused.
     refused,
+    /// Requests answered with a failure.
     failed,
-    /// Clients that left before their answer.
+    /// Requests whose client left before the answer.
     client_gone,
-    /// Requests turned away before a decision: no room for one more.
+    /// Requests refused before a decision, for want of memory or of a permit for their connection.
     over_cap,
-    /// Requests turned away since this balancer itself was behind.
+    /// Requests refused because this balancer itself was behind.
     shed,
-    /// The furthest that its loop was behind in the last look, in microseconds, and the part of requests that it takes,
-    /// in thousandths.
+    /// The longest delay of the event loop in the last measurement, in microseconds.
     loop_behind_us,
+    /// The fraction of requests that is admitted, in thousandths.
     taking_permille,
-    /// Commands answered with an error of our own, and connections ended for broken input.
+    /// Commands answered with an error of this balancer's own.
     rejected,
+    /// Connections ended for malformed input.
     malformed,
-    /// Attempts by how they ended.
+    /// Attempts that were dispatched.
     attempts_sent,
+    /// Attempts that ended with a value.
     attempts_served,
+    /// Attempts that ended with a miss.
     attempts_missed,
+    /// Attempts that ended with an error of the server.
     attempts_errored,
+    /// Attempts that the server refused.
     attempts_full,
+    /// Attempts that timed out.
     attempts_timed_out,
+    /// Attempts for which no connection could be made.
     attempts_connect_failed,
+    /// Attempts whose connection ended before the reply.
     attempts_reset,
+    /// Attempts whose reply was malformed.
     attempts_spoilt,
+    /// Attempts that were cancelled.
     attempts_cancelled,
+    /// Attempts of which nothing was sent.
     attempts_moot,
-    /// Large values passed on in pieces, and those that could not be brought to their end.
+    /// Large values that were forwarded in chunks.
     streams,
+    /// Large values that could not be completed.
     streams_broken,
+    /// Endpoint lists from discovery.
     lists_heard,
+    /// Calls to discovery that brought no list.
     lists_failed,
-    /// New configurations taken over, and those with a fault, which changed nothing.
+    /// New configurations that were taken over.
     reloads,
+    /// New configurations with an error, which changed nothing.
     reloads_faulty,
-    /// Cache hosts that operators have taken out.
+    /// Cache hosts that are cordoned.
     cordoned,
+    /// Panics of the decision module.
     decision_panics,
+    /// Client connections accepted in all.
     client_connections_accepted,
+    /// Client connections open now.
     client_connections_open,
-    /// HandedOverConnection over to the process that took over from this one.
+    /// Client connections handed over to the process that took over from this one.
     client_connections_handed,
-    /// Closed since they brought no whole command, or none for long.
+    /// Client connections closed because they brought no whole command, or none for long.
     client_connections_idled,
+    /// Connections to servers opened in all.
     server_connections_opened,
+    /// Connections to servers open now.
     server_connections_open,
-    /// Connections to servers ended since more came than an answer.
+    /// Connections to servers ended because more came on them than an answer.
     server_connections_surplus,
 }
 
-/// What became of attempts at the origin, for whoever takes machines out only while it is well.
+/// What became of attempts at the origin. Maintenance continues only while the origin serves well.
 #[derive(Debug, Default)]
 pub struct OriginUsage {
+    /// Attempts that have ended, but for those never sent or cancelled.
     pub ended: Counter,
-    /// Refused, failed or without an answer.
+    /// Attempts that were refused, failed or brought no answer.
     pub unserved: Counter,
 }
 
 impl OriginUsage {
-    pub fn ended(&self, outcome: Outcome) {
+    /// Counts the end of an attempt at the origin.
+    pub fn count_end(&self, outcome: Outcome) {
         match outcome {
-            // Nothing was asked of it, or its answer was not waited for.
+            // The origin was not asked, or its answer was not waited for.
             Outcome::NeverSent | Outcome::Cancelled => return,
             Outcome::Served | Outcome::Miss => {}
             _ => self.unserved.add(),
@@ -98,23 +125,30 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
+
+    /// Takes one off.
     pub fn sub(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
-    /// For figures that are not counted but measured.
+
+    /// Sets a value that is measured and not counted.
     pub fn set(&self, value: u64) {
         self.0.set(value);
     }
+
+    /// The value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
 impl Counters {
-    pub fn ended(&self, outcome: Outcome) {
+    /// Counts the end of an attempt.
+    pub fn count_end(&self, outcome: Outcome) {
         match outcome {
             Outcome::Served => &self.attempts_served,
             Outcome::Miss => &self.attempts_missed,
--- a/crates/stairfront-balancer/src/engine/mod.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -1,64 +1,79 @@
-//! The one task that owns the decision module, the open requests, the pool and the timers. It hands events to the
-//! module and carries its actions out, each through its stage.
+//! The engine: the one task that owns the decision module, the open requests, the pool of connections to servers and the
+//! timers. It hands events to the decision module and carries its actions out, each through its stage.
+//!
+//! Events are handled here; `effects` carries actions out, `endpoint_list` applies endpoint lists, and `cordons` the
+//! orders of operators and of the group.
+mod cordons;
+mod effects;
+mod endpoint_list;
+
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::poll_fn;
 use std::rc::Rc;
 
 use rustc_hash::{FxHashMap, FxHashSet};
-use stairfront_admin_api::{HostRegistry, OperatorOrder, OrderOutcome, OrderSource};
-use stairfront_membership_agent::{DrainAnnouncement, MembershipAgent};
+use stairfront_admin_api::HostRegistry;
+use stairfront_common::time::Micros;
+use stairfront_membership_agent::MembershipAgent;
 use stairfront_overload::AdmissionController;
 use stairfront_policy::interface::{
-    Action, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event, LoadReport,
-    Micros, Outcome, RequestId, Settings, MS,
+    Action, CacheId, CacheMode, DiscoveryMode, Endpoint, Event, RequestId, Settings,
 };
 use stairfront_settings::{Retuned, Start};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::time::DelayQueue;
-use tracing::{debug, info, warn};
+use tracing::info;
 
-use crate::clock::{duration, Clock};
-use crate::configuration::limits::{stall_limit, Memory};
+use crate::clock::{timer_duration, Clock};
+use crate::configuration::limits::{stall_timeout, Memory};
 use crate::configuration::request_catalog::RequestCatalog;
 use crate::control::cordon_record::CordonRecord;
 use crate::control::pending_order::PendingOrder;
-use crate::control::server_list::{cache_id, ServerEntry, ServerList};
+use crate::control::server_list::{cache_id, ServerList};
 use crate::counters::{Counters, OriginUsage};
 use crate::lifecycle::handover_state::{HandoverState, Snapshot};
-use crate::lifecycle::loop_monitor::{door_settings, RuntimeHandles};
-use crate::lifecycle::shutdown::life_left;
-use crate::messages::{Answer, Arrival, AttemptEnd, AttemptId, EngineEvent, Job};
+use crate::lifecycle::loop_monitor::{admission_settings, RuntimeHandles};
+use crate::lifecycle::shutdown::min_remaining_lifetime;
+use crate::messages::{Arrival, AttemptEnd, AttemptId, EngineEvent, ListedHost};
 use crate::stages::admit::{AdmissionError, OpenRequest, RequestTable};
-use crate::stages::route::{self, Decide};
-use crate::stages::send::SendDecision;
+use crate::stages::route::Decide;
 use crate::transport::Network;
-use crate::upstream::upstream_pool::{Protocol, UpstreamPool, UpstreamTarget};
-
-/// Hosts kept that no list names any more: more than a list may call gone by mistake, and bounded.
-const MAX_REMOVED_HOSTS: usize = 4096;
+use crate::upstream::upstream_pool::UpstreamPool;
 
+/// What a timer of the engine is for.
 enum TimerKind {
-    /// A timer of the decision module.
-    Token(u64),
+    /// A timer of the decision module, by its token.
+    Policy(u64),
     /// An attempt that has waited for a socket for as long as a connection may take.
-    Socket(AttemptId),
+    SocketWait(AttemptId),
 }
 
-/// What the engine has in common with other tasks, or with the process after this one.
+/// The group that this balancer is a member of.
+pub struct GroupMembership {
+    /// This balancer's member.
+    pub agent: Rc<MembershipAgent>,
+    /// Names of the cache hosts that the group holds out at the start.
+    pub held_hosts: Vec<String>,
+}
+
+/// What the engine shares with other tasks, or with the process after this one.
 pub struct EngineHandles {
-    pub vitals: RuntimeHandles,
-    /// Told once there is a list to serve from.
+    /// Clock, admission controller and counters.
+    pub runtime: RuntimeHandles,
+    /// Set once there is a list to serve from.
     pub ready: watch::Sender<bool>,
+    /// The file that keeps cordons.
     pub record: CordonRecord,
     /// What the clients' tasks read commands against.
-    pub terms: Rc<RefCell<RequestCatalog>>,
-    /// The others of this balancer's group, and the cache hosts that they hold out; none where there is no group.
-    pub members: Option<(Rc<MembershipAgent>, Vec<String>)>,
-    /// ServiceCounts where there is a group that asks for it.
+    pub catalog: Rc<RefCell<RequestCatalog>>,
+    /// The group, where there is one.
+    pub group: Option<GroupMembership>,
+    /// Attempts at the origin, which are counted where there is a group.
     pub origin: Rc<OriginUsage>,
 }
 
+/// The task that owns the decision module and the open requests.
 pub struct Engine<D, N: Network> {
     policy: D,
     clock: Clock,
@@ -66,666 +81,253 @@
     pool: UpstreamPool<N>,
     timers: DelayQueue<TimerKind>,
     counters: Rc<Counters>,
-    /// Hears how long requests waited for the engine.
-    door: Rc<RefCell<AdmissionController>>,
+    /// Gets the time that requests have waited for the engine.
+    admission: Rc<RefCell<AdmissionController>>,
     ready: watch::Sender<bool>,
     mode: CacheMode,
-    most_attempts: u8,
-    dropped_stay_open: bool,
-    /// Hosts that no list names any more and that may still be sent to, the one dropped first at the front.
-    dropped: VecDeque<CacheId>,
+    max_attempts: u8,
+    /// Whether a list without a host, or one that calls it removed, does not by itself stop requests to the host.
+    removal_is_advisory: bool,
+    /// Hosts that no list names any more and that may still get requests, the oldest first.
+    removed_hosts: VecDeque<CacheId>,
     /// How long this process may live once it has been told to end.
-    life_left: Micros,
-    /// What each server of the list was last said to be.
+    min_remaining_lifetime: Micros,
+    /// The servers of the list in use, as last listed.
     servers: FxHashMap<CacheId, Endpoint>,
-    /// Names of the cache hosts in the list, where there is a group to tell.
+    /// Names of the cache hosts in the list, where there is a group to notify.
     names: FxHashMap<CacheId, String>,
-    /// Every cache host ever listed, and who is taken out.
+    /// Every cache host ever listed, and which of them are cordoned.
     registry: HostRegistry,
-    /// Cache hosts that somebody else's discovery says leave, and this one's does not say so yet.
-    hearsay: FxHashSet<CacheId>,
-    members: Option<Rc<MembershipAgent>>,
-    /// Attempts by cache host, where there is a group that asks for them.
-    sent: FxHashMap<CacheId, u64>,
+    /// Cache hosts that drain by another member's list, and not yet by this balancer's.
+    drain_hints: FxHashSet<CacheId>,
+    membership: Option<Rc<MembershipAgent>>,
+    /// Attempts by cache host, counted where there is a group.
+    attempts_sent: FxHashMap<CacheId, u64>,
     origin: Rc<OriginUsage>,
     record: CordonRecord,
-    terms: Rc<RefCell<RequestCatalog>>,
-    /// AbortOnDrop of attempts that the module has not heard yet.
-    ends: VecDeque<AttemptEnd>,
+    catalog: Rc<RefCell<RequestCatalog>>,
+    /// Ends of attempts that the decision module has not been notified of.
+    ended_attempts: VecDeque<AttemptEnd>,
+    /// Empty between two events; kept for its memory.
     actions: Vec<Action>,
 }
 
 impl<D: Decide, N: Network> Engine<D, N> {
-    /// `decider` makes the decision module from its settings.
+    /// An engine with the decision module that `build_policy` makes from its settings.
     pub fn new(
         start: Start,
-        decider: impl FnOnce(Settings) -> D,
+        build_policy: impl FnOnce(Settings) -> D,
         memory: Memory,
         pool: UpstreamPool<N>,
-        shared: EngineHandles,
+        handles: EngineHandles,
     ) -> Self {
-        let EngineHandles {
-            vitals:
-                RuntimeHandles {
-                    clock,
-                    door,
-                    counters,
-                },
-            ready,
-            record,
-            terms,
-            members,
-            origin,
-        } = shared;
-        let (members, held) = members.unzip();
+        let (membership, held_hosts) = match handles.group {
+            Some(group) => (Some(group.agent), group.held_hosts),
+            None => (None, Vec::new()),
+        };
         let mut registry = HostRegistry::default();
-        held.into_iter()
-            .flatten()
-            .for_each(|name| registry.hold(cache_id(&name), &name));
-        let Start {
-            mut settings, host, ..
-        } = start;
-        // The agent is watched at no cost from the start, whatever the simulator's discovery would ask for.
-        settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
+        for name in &held_hosts {
+            registry.hold(cache_id(name), name);
+        }
+        let settings = for_push_discovery(&start.settings);
         Engine {
-            clock,
-            table: RequestTable::new(host.open_requests, memory),
+            clock: handles.runtime.clock,
+            table: RequestTable::new(start.host.open_requests, memory),
             pool,
             timers: DelayQueue::new(),
-            counters,
-            door,
-            ready,
+            counters: handles.runtime.counters,
+            admission: handles.runtime.admission,
+            ready: handles.ready,
             mode: settings.mode,
-            most_attempts: settings.limits.max_attempts,
-            dropped_stay_open: settings.rules.removal_is_advisory,
-            dropped: VecDeque::new(),
-            life_left: life_left(&settings),
+            max_attempts: settings.limits.max_attempts,
+            removal_is_advisory: settings.rules.removal_is_advisory,
+            removed_hosts: VecDeque::new(),
+            min_remaining_lifetime: min_remaining_lifetime(&settings),
             servers: FxHashMap::default(),
             names: FxHashMap::default(),
             registry,
-            hearsay: FxHashSet::default(),
-            members,
-            sent: FxHashMap::default(),
-            origin,
-            record,
-            terms,
-            ends: VecDeque::new(),
+            drain_hints: FxHashSet::default(),
+            membership,
+            attempts_sent: FxHashMap::default(),
+            origin: handles.origin,
+            record: handles.record,
+            catalog: handles.catalog,
+            ended_attempts: VecDeque::new(),
             actions: Vec::new(),
-            policy: decider(settings),
+            policy: build_policy(settings),
         }
     }
 
+    /// Runs until all senders of events are dropped. `inherited` is what the process before this one knew.
     pub async fn run(
         mut self,
         known: ServerList,
         inherited: Option<HandoverState>,
-        mut inputs: mpsc::Receiver<EngineEvent>,
+        mut events: mpsc::Receiver<EngineEvent>,
         mut orders: mpsc::Receiver<PendingOrder>,
     ) {
-        // Before the list is known, so that nothing ever goes to a cache host that was taken out.
-        self.restore_cordons();
-        let index = known.index;
-        self.learn(known, true);
-        if let Some(members) = &self.members {
-            // What others tell of older lists than this one is nothing new.
-            members.told(&DrainAnnouncement {
-                index,
-                hosts: self.caches(),
-                leaving: Vec::new(),
-            });
-        }
-        if let Some(HandoverState { knowledge, listed }) = inherited {
-            info!("took over what the running process knew");
-            self.tell(Event::Inherited(&knowledge));
-            let servers = &self.servers;
-            listed.into_iter().for_each(|id| {
-                self.registry
-                    .inherit(CacheId(id), |other| servers.contains_key(&other))
-            });
-        }
+        self.start(known, inherited);
         loop {
             tokio::select! {
                 biased;
-                // Ahead of all requests that wait: an answer is owed to operators in a second under any load.
-                Some(PendingOrder { order, word, done }) = orders.recv() => {
-                    // A caller that has left finds it done when it asks again.
-                    let _ = done.send(self.carry_out_order(&order, word));
-                    self.settle();
+                // Before all requests that wait: operators get an answer within a second under any load.
+                Some(pending) = orders.recv() => {
+                    let outcome = self.run_order(&pending.order, pending.source);
+                    // A caller that has left finds the order carried out when it repeats the call.
+                    let _ = pending.done.send(outcome);
+                    self.process_ended_attempts();
                 }
                 due = poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
                     if let Some(due) = due {
                         self.fire(due.into_inner());
                     }
                 }
-                input = inputs.recv() => match input {
-                    Some(input) => self.hear(input),
+                event = events.recv() => match event {
+                    Some(event) => self.handle(event),
                     None => return,
                 },
             }
         }
     }
 
-    fn hear(&mut self, input: EngineEvent) {
-        match input {
-            EngineEvent::Arrived(arrival) => {
-                self.door
-                    .borrow_mut()
-                    .message(self.clock.now() - arrival.came);
-                self.arrived(arrival);
+    fn start(&mut self, known: ServerList, inherited: Option<HandoverState>) {
+        // Cordons come before the list, so that nothing is ever sent to a cache host that is cordoned.
+        self.restore_cordons();
+        let index = known.index;
+        self.apply_list(known, true);
+        self.announce_list(index, Vec::new());
+        if let Some(HandoverState { knowledge, listed }) = inherited {
+            info!("state of the predecessor taken over");
+            self.notify_policy(Event::Inherited(&knowledge));
+            let servers = &self.servers;
+            for id in listed {
+                self.registry
+                    .inherit(CacheId(id), |other| servers.contains_key(&other));
             }
-            EngineEvent::ClientGone(id) => self.client_gone(id),
+        }
+    }
+
+    fn handle(&mut self, event: EngineEvent) {
+        match event {
+            EngineEvent::Arrived(arrival) => self.handle_arrival(arrival),
+            EngineEvent::ClientDisconnected(id) => self.disconnect_client(id),
             EngineEvent::Retune(retuned) => self.retune(&retuned),
-            EngineEvent::Snapshot(to) => self.snapshot(to),
-            EngineEvent::Hosts(to) => {
-                let listed = self
-                    .names
-                    .iter()
-                    .filter_map(|(id, name)| Some((name.clone(), *self.servers.get(id)?)));
-                // Who has left does not need it.
-                let _ = to.send(listed.collect());
+            EngineEvent::Snapshot(reply) => self.snapshot(reply),
+            EngineEvent::ListCacheHosts(reply) => self.list_cache_hosts(reply),
+            EngineEvent::DrainHint { host, draining } => {
+                self.apply_drain_hint(cache_id(&host), draining);
             }
-            EngineEvent::Hearsay { host, stop } => self.hear_say(cache_id(&host), stop),
-            EngineEvent::Ending => {
-                let by = self.clock.now() + self.life_left;
-                self.tell(Event::ShuttingDown { by });
+            EngineEvent::ShuttingDown => {
+                let by = self.clock.now() + self.min_remaining_lifetime;
+                self.notify_policy(Event::ShuttingDown { by });
             }
-            EngineEvent::TakeAll => {
-                self.pool.take_all(&mut self.ends);
-                self.time_waits();
+            EngineEvent::PeerEnded => {
+                self.pool.use_all_connections(&mut self.ended_attempts);
+                self.time_socket_waits();
             }
-            EngineEvent::UpstreamPool(news) => {
-                self.pool.hear(news, &mut self.ends);
-                self.time_waits();
+            EngineEvent::Pool(event) => {
+                self.pool.handle(event, &mut self.ended_attempts);
+                self.time_socket_waits();
             }
-            EngineEvent::List(list) => {
+            EngineEvent::EndpointList(list) => {
                 self.counters.lists_heard.add();
-                let told = self.members.is_some().then(|| self.leaving_in(&list));
-                self.learn(list, false);
-                if let (Some(members), Some(told)) = (&self.members, told) {
-                    members.told(&DrainAnnouncement {
-                        hosts: self.caches(),
-                        ..told
-                    });
-                }
+                let index = list.index;
+                let leaving = self.leaving_hosts(&list);
+                self.apply_list(list, false);
+                self.announce_list(index, leaving);
+            }
+        }
+        self.process_ended_attempts();
+    }
+
+    fn handle_arrival(&mut self, arrival: Arrival) {
+        let waited = self.clock.now() - arrival.arrived_at;
+        self.admission.borrow_mut().message(waited);
+        match self.table.admit(arrival, self.max_attempts) {
+            Ok(request) => {
+                self.counters.taken_in.add();
+                self.notify_policy(Event::Request(request));
             }
+            Err(AdmissionError::DuplicateId) => self.counters.rejected.add(),
+            Err(AdmissionError::NoCapacity) => self.counters.over_cap.add(),
         }
-        self.settle();
     }
 
-    /// Takes other settings over in one step, between two requests: the module's and all that follow from them.
+    /// Takes new settings over in one step, between two requests: those of the decision module and all that follow from
+    /// them.
     fn retune(&mut self, retuned: &Retuned) {
-        let Retuned {
-            start: Start { settings, host, .. },
-            tenants,
-            ..
-        } = retuned;
-        let mut settings = settings.clone();
-        // The agent is watched at no cost, as at the start.
-        settings.discovery = stairfront_policy::interface::DiscoveryMode::Push;
-        self.most_attempts = settings.limits.max_attempts;
-        self.life_left = life_left(&settings);
-        self.dropped_stay_open = settings.rules.removal_is_advisory;
-        self.table.set_most(host.open_requests);
-        let stall = stall_limit(&settings);
+        let host = &retuned.start.host;
+        let settings = for_push_discovery(&retuned.start.settings);
+        self.max_attempts = settings.limits.max_attempts;
+        self.min_remaining_lifetime = min_remaining_lifetime(&settings);
+        self.removal_is_advisory = settings.rules.removal_is_advisory;
+        self.table.set_max_open(host.open_requests);
         self.pool.retune(
-            duration(settings.limits.connect_timeout),
-            duration(host.idle),
-            stall,
+            timer_duration(settings.limits.connect_timeout),
+            timer_duration(host.idle),
+            stall_timeout(&settings),
         );
-        self.door.borrow_mut().retune(&door_settings(&settings, 0));
-        self.tell(Event::SettingsChanged {
+        self.admission
+            .borrow_mut()
+            .retune(&admission_settings(&settings, 0));
+        self.notify_policy(Event::SettingsChanged {
             settings: &settings,
-            tenants,
+            tenants: &retuned.tenants,
         });
-        *self.terms.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
+        *self.catalog.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
     }
 
-    fn snapshot(&mut self, to: oneshot::Sender<Snapshot>) {
-        let knowledge = self.policy.snapshot(self.clock.now());
+    fn snapshot(&mut self, reply: oneshot::Sender<Snapshot>) {
         let state = HandoverState {
-            knowledge,
+            knowledge: self.policy.snapshot(self.clock.now()),
             listed: self.registry.known().map(|id| id.0).collect(),
         };
-        // Numbers and lists of them alone, which cannot fail; without it the successor learns by itself.
+        // Serializing fails only for maps with keys that are no strings. A successor without the state learns by itself.
         let state = serde_json::to_vec(&state).unwrap_or_default();
-        // A successor that has left meanwhile is told of by its post.
-        let _ = to.send(Snapshot {
+        // If the successor has ended meanwhile, its handler notices that and reports it.
+        let _ = reply.send(Snapshot {
             state,
-            servers: self.pool.share(),
+            server_connections: self.pool.share_connections(),
         });
     }
 
-    fn restore_cordons(&mut self) {
-        for name in self.record.read() {
-            let cache = cache_id(&name);
-            info!("{name} (server {:012x}) is cordoned, as on record", cache.0);
-            self.registry.restore(cache, &name);
-        }
-        self.counters.cordoned.set(self.registry.out() as u64);
-        let out: Vec<CacheId> = self.registry.all_out().collect();
-        out.into_iter()
-            .for_each(|cache| self.tell(Event::Cordon { cache, on: true }));
-    }
-
-    fn carry_out_order(&mut self, order: &OperatorOrder, word: OrderSource) -> OrderOutcome {
-        let (OperatorOrder::Cordon(name)
-        | OperatorOrder::Uncordon(name)
-        | OperatorOrder::Hold(name)
-        | OperatorOrder::Release(name)
-        | OperatorOrder::Known(name)
-        | OperatorOrder::Use(name)) = order;
-        let cache = cache_id(name);
-        if word == OrderSource::Vouched {
-            self.registry.listed(cache);
-        }
-        let before = self.registry.is_cordoned(cache);
-        let known = match order {
-            OperatorOrder::Cordon(_) => self.registry.cordon(cache, name).is_ok(),
-            OperatorOrder::Uncordon(_) => self.registry.uncordon(cache).is_ok(),
-            OperatorOrder::Known(_) => {
-                return if self.registry.is_known(cache) {
-                    OrderOutcome::Yes
-                } else {
-                    OrderOutcome::Unknown
-                }
-            }
-            OperatorOrder::Use(_) => {
-                let sent = self.sent.get(&cache).copied().unwrap_or(0);
-                return OrderOutcome::Use {
-                    open: self.pool.in_use(cache),
-                    sent,
-                };
-            }
-            OperatorOrder::Hold(_) => {
-                self.registry.hold(cache, name);
-                true
-            }
-            OperatorOrder::Release(_) => {
-                self.registry.release(cache);
-                true
-            }
-        };
-        if !known {
-            return OrderOutcome::Unknown;
-        }
-        let on = self.registry.is_cordoned(cache);
-        if on != before {
-            self.counters.cordoned.set(self.registry.out() as u64);
-            self.tell(Event::Cordon { cache, on });
-            self.bar(cache);
-        }
-        match order {
-            // The member has them on record.
-            OperatorOrder::Hold(_) | OperatorOrder::Release(_) => return OrderOutcome::Yes,
-            OperatorOrder::Uncordon(_) if self.registry.is_held(cache) => {
-                return OrderOutcome::Held
-            }
-            _ => {}
-        }
-        // Written again at a repeated call too: the first may have failed.
-        match self
-            .record
-            .write(self.registry.cordoned().map(|(_, name)| name))
-        {
-            Ok(()) => OrderOutcome::Yes,
-            Err(problem) => {
-                warn!("cordons not recorded, and would be lost with this process: {problem}");
-                OrderOutcome::NotRecorded
-            }
-        }
-    }
-
-    /// Has the pool hold back from a server that may get nothing new: what waits for a socket or a connection ends,
-    /// and idle connections close. What is under way goes on.
-    fn bar(&mut self, cache: CacheId) {
-        let listed = self
-            .servers
-            .get(&cache)
-            .is_some_and(|member| member.state == EndpointState::Ready);
-        let barred = !listed || self.registry.is_cordoned(cache) || self.hearsay.contains(&cache);
-        self.pool.bar(cache, barred);
-        if barred {
-            self.pool.end_waiting(cache, &mut self.ends);
-        }
-    }
-
-    /// Goes by what another member's discovery says of a host, or by its own list again. The list in hand is not
-    /// touched: the module hears that the host drains, or what the list says.
-    fn hear_say(&mut self, cache: CacheId, stop: bool) {
-        let Some(own) = self.servers.get(&cache).copied() else {
-            self.hearsay.remove(&cache);
-            return;
-        };
-        let changed = if stop {
-            self.hearsay.insert(cache)
-        } else {
-            self.hearsay.remove(&cache)
-        };
-        if changed && own.state == EndpointState::Ready {
-            let state = if stop {
-                EndpointState::Draining
-            } else {
-                own.state
-            };
-            self.tell(Event::EndpointList(EndpointListUpdate::Delta(&[
-                Endpoint { state, ..own },
-            ])));
-            self.bar(cache);
-        }
-    }
-
-    /// Which cache hosts leave by a list, among those that were in use.
-    fn leaving_in(&self, list: &ServerList) -> DrainAnnouncement {
-        let said = |line: &&ServerEntry| line.member.state != EndpointState::Ready;
-        let mut leaving: Vec<String> = list
-            .lines
-            .iter()
-            .filter(said)
-            .map(|line| line.name.clone())
-            .collect();
-        if list.full {
-            let listed = |name: &str| list.lines.iter().any(|line| line.name == name);
-            leaving.extend(self.names.values().filter(|name| !listed(name)).cloned());
-        }
-        // Those that leave now, not those that have been leaving.
-        let in_use = |name: &String| {
-            self.servers
-                .get(&cache_id(name))
-                .is_some_and(|member| member.state == EndpointState::Ready)
-        };
-        leaving.retain(in_use);
-        DrainAnnouncement {
-            index: list.index,
-            hosts: 0,
-            leaving,
-        }
-    }
-
-    fn caches(&self) -> usize {
-        self.servers
-            .values()
-            .filter(|member| !self.is_origin(member))
-            .count()
-    }
-
-    fn is_origin(&self, member: &Endpoint) -> bool {
-        matches!(self.mode, CacheMode::Aside { origin } if origin == member.kind)
-    }
-
-    fn arrived(&mut self, arrival: Arrival) {
-        match self.table.admit(arrival, self.most_attempts) {
-            Ok(request) => {
-                self.counters.taken_in.add();
-                self.tell(Event::Request(request));
-            }
-            Err(AdmissionError::IdOpen) => self.counters.rejected.add(),
-            Err(AdmissionError::NoRoom) => self.counters.over_cap.add(),
-        }
-    }
-
-    fn fire(&mut self, due: TimerKind) {
-        match due {
-            TimerKind::Token(token) => self.tell(Event::Timer { token }),
-            TimerKind::Socket(attempt) => self.ends.extend(self.pool.give_up_waiting(attempt)),
-        }
-        self.settle();
+    fn list_cache_hosts(&self, reply: oneshot::Sender<Vec<ListedHost>>) {
+        let hosts = self.names.iter().filter_map(|(id, name)| {
+            let endpoint = *self.servers.get(id)?;
+            let name = name.clone();
+            Some(ListedHost { name, endpoint })
+        });
+        // The caller may have left.
+        let _ = reply.send(hosts.collect());
     }
 
-    /// Danger: word of a client that left waits behind all that came before it; what is about to happen for its request
-    /// goes by the flag that its connection has raised.
-    fn notice_departure(&mut self, id: RequestId) {
+    /// Ends a request whose client has left before the report of that has come: reports wait behind all earlier events,
+    /// and the flag that the client's connection sets does not.
+    fn check_abandoned(&mut self, id: RequestId) {
         if self
             .table
             .open
             .get(&id)
-            .is_some_and(OpenRequest::is_deserted)
+            .is_some_and(OpenRequest::is_abandoned)
         {
-            self.client_gone(id);
+            self.disconnect_client(id);
         }
     }
 
-    fn client_gone(&mut self, id: RequestId) {
-        let answer = self.table.open.get_mut(&id).and_then(OpenRequest::end);
+    fn disconnect_client(&mut self, id: RequestId) {
+        let answer = self.table.open.get_mut(&id).and_then(OpenRequest::finish);
         if answer.is_some() {
             self.counters.client_gone.add();
-            self.tell(Event::ClientDisconnected { id });
+            self.notify_policy(Event::ClientDisconnected { id });
             self.table.complete(id);
         }
     }
+}
 
-    /// Tells the module of every attempt that has ended, also of those that its own actions end at once.
-    fn settle(&mut self) {
-        while let Some(mut end) = self.ends.pop_front() {
-            let id = end.attempt.request;
-            self.notice_departure(id);
-            self.counters.ended(end.verdict.outcome);
-            if self.members.is_some()
-                && self
-                    .servers
-                    .get(&end.cache)
-                    .is_some_and(|of| self.is_origin(of))
-            {
-                self.origin.ended(end.verdict.outcome);
-            }
-            self.log_attempt(&end);
-            let open = self.is_open(id);
-            let settled = self.table.relay(&mut end);
-            if open && settled.request_finished {
-                self.counters.served.add();
-            }
-            if let Some(sending) = self.table.send_deferred(id) {
-                self.carry(sending);
-            }
-            self.tell(Event::AttemptFinished(settled));
-            self.table.complete(id);
-        }
-    }
-
-    fn log_attempt(&self, end: &AttemptEnd) {
-        if tracing::enabled!(tracing::Level::DEBUG) {
-            let open = self.table.open.get(&end.attempt.request);
-            let request = open.map_or(String::new(), |open| {
-                String::from_utf8_lossy(&open.command.id).into_owned()
-            });
-            let (server, outcome) = (format!("{:012x}", end.cache.0), end.verdict.outcome);
-            let ms = end.begun.elapsed().as_millis() as u64;
-            debug!(
-                request,
-                server,
-                ?outcome,
-                attempt = end.attempt.number,
-                ms,
-                "attempt ended"
-            );
-        }
-    }
-
-    fn is_open(&self, id: RequestId) -> bool {
-        self.table
-            .open
-            .get(&id)
-            .is_some_and(|open| open.answer.is_some())
-    }
-
-    fn tell(&mut self, event: Event<'_>) {
-        let mut actions = std::mem::take(&mut self.actions);
-        if !route::route(&mut self.policy, self.clock.now(), event, &mut actions) {
-            self.counters.decision_panics.add();
-        }
-        for action in actions.drain(..) {
-            self.carry_out(action);
-        }
-        self.actions = actions;
-    }
-
-    fn carry_out(&mut self, action: Action) {
-        match action {
-            Action::Send {
-                id,
-                cache,
-                timeout,
-                send_within,
-            } => self.send(id, cache, timeout, send_within),
-            Action::Reject { id, retry_after } => {
-                let after_ms = u64::try_from(retry_after / MS).ok().filter(|ms| *ms > 0);
-                if self.table.answer(id, Answer::Busy { after_ms }) {
-                    self.counters.refused.add();
-                }
-                self.table.complete(id);
-            }
-            Action::Fail { id } => {
-                if self.table.answer(id, Answer::Failed) {
-                    self.counters.failed.add();
-                }
-                self.table.complete(id);
-            }
-            Action::Cancel { id, attempt } => self.table.cancel(id, attempt),
-            Action::Timer { delay, token } => {
-                self.timers.insert(TimerKind::Token(token), duration(delay));
-            }
-            Action::Disconnect { cache } => self.pool.close_idle(cache),
-            Action::Log(text) => info!("{text}"),
-            // Probes answer as not made, so that a module that tries them learns nothing wrong.
-            Action::HealthCheck { cache } => {
-                let (outcome, load) = (Outcome::NeverSent, LoadReport::default());
-                self.tell(Event::HealthChecked {
-                    cache,
-                    outcome,
-                    elapsed: 0,
-                    load,
-                });
-            }
-            // Balancers share nothing here, and the watch on discovery's agent never ends.
-            Action::SendToPeer { .. } | Action::Watch(_) | Action::PollList => {}
-        }
-    }
-
-    fn send(&mut self, id: RequestId, cache: CacheId, timeout: Micros, lapses: Option<Micros>) {
-        let sending = self.table.send(id, cache, timeout, lapses);
-        self.carry(sending);
-    }
-
-    fn carry(&mut self, sending: SendDecision) {
-        match sending {
-            SendDecision::Job(job) => self.dispatch(job),
-            SendDecision::Ended(end) => self.ends.push_back(end),
-            SendDecision::Deferred => {}
-        }
-    }
-
-    fn dispatch(&mut self, job: Job) {
-        self.counters.attempts_sent.add();
-        if self.members.is_some() {
-            *self.sent.entry(job.cache).or_default() += 1;
-        }
-        self.ends.extend(self.pool.dispatch(job));
-        self.time_waits();
-    }
-
-    fn time_waits(&mut self) {
-        for (attempt, until) in self.pool.new_waits() {
-            self.timers.insert_at(TimerKind::Socket(attempt), until);
-        }
-    }
-
-    /// Passes a list on: to the pool the addresses, to the module the members.
-    fn learn(&mut self, list: ServerList, cached: bool) {
-        let mut members: Vec<Endpoint> = list.lines.iter().map(|line| line.member).collect();
-        if list.full {
-            let listed = |id: &CacheId| members.iter().any(|member| member.id == *id);
-            let left: Vec<CacheId> = self
-                .servers
-                .keys()
-                .copied()
-                .filter(|id| !listed(id))
-                .collect();
-            left.into_iter().for_each(|id| self.delist(id));
-        }
-        list.lines.iter().for_each(|line| self.place(line));
-        // Danger: a list that is older than what was heard would have the host used again.
-        let heard = |member: &&mut Endpoint| {
-            member.state == EndpointState::Ready && self.hearsay.contains(&member.id)
-        };
-        members
-            .iter_mut()
-            .filter(heard)
-            .for_each(|member| member.state = EndpointState::Draining);
-        // With any list it can serve, an old one too: a restart that waited for discovery would serve nobody.
-        if !self.servers.is_empty() {
-            self.ready.send_replace(true);
-        }
-        self.tell(Event::EndpointList(match (cached, list.full) {
-            (true, _) => EndpointListUpdate::Cached(&members),
-            (false, true) => EndpointListUpdate::Full(&members),
-            (false, false) => EndpointListUpdate::Delta(&members),
-        }));
-    }
-
-    fn place(&mut self, line: &ServerEntry) {
-        let member = line.member;
-        if member.state == EndpointState::Removed {
-            return self.delist(member.id);
-        }
-        let origin = self.is_origin(&member);
-        let protocol = if origin {
-            Protocol::Http
-        } else {
-            Protocol::Resp
-        };
-        self.pool.set(
-            member.id,
-            UpstreamTarget {
-                address: line.address,
-                protocol,
-            },
-        );
-        let before = self.servers.insert(member.id, member);
-        self.dropped.retain(|other| *other != member.id);
-        if before.is_none() {
-            // The module knows servers by number alone, and so do its log lines.
-            info!(
-                "server {:012x} is {} at {}",
-                member.id.0, line.name, line.address
-            );
-        }
-        if !origin {
-            self.registry.listed(member.id);
-            if self.members.is_some() {
-                self.names.insert(member.id, line.name.clone());
-            }
-        }
-        // A process that has started anew knows nothing of connections made before.
-        if before.is_some_and(|before| before.incarnation != member.incarnation) {
-            self.pool.close_idle(member.id);
-        }
-        self.bar(member.id);
-    }
-
-    /// A list lacks a server or calls it gone. Where that alone does not bind the module goes by the server's own outcomes, and
-    /// may go on sending: its address stays.
-    fn delist(&mut self, id: CacheId) {
-        let stays = |member: &Endpoint| member.state == EndpointState::Ready;
-        if !self.dropped_stay_open || !self.servers.get(&id).is_some_and(stays) {
-            return self.forget(id);
-        }
-        self.dropped.retain(|other| *other != id);
-        self.dropped.push_back(id);
-        if self.dropped.len() > MAX_REMOVED_HOSTS {
-            if let Some(oldest) = self.dropped.pop_front() {
-                self.forget(oldest);
-            }
-        }
-    }
-
-    fn forget(&mut self, id: CacheId) {
-        self.servers.remove(&id);
-        self.names.remove(&id);
-        self.sent.remove(&id);
-        self.hearsay.remove(&id);
-        let servers = &self.servers;
-        self.registry.left(id, |other| servers.contains_key(&other));
-        self.pool.bar(id, true);
-        self.pool.end_waiting(id, &mut self.ends);
-        self.pool.forget(id);
-    }
+/// The settings with discovery by push: here the agent is watched at no cost, whichever mode the settings name for the
+/// simulator's discovery.
+fn for_push_discovery(settings: &Settings) -> Settings {
+    let mut settings = settings.clone();
+    settings.discovery = DiscoveryMode::Push;
+    settings
 }
--- a/crates/stairfront-balancer/src/lib.rs
+++ b/crates/stairfront-balancer/src/lib.rs
@@ -1,8 +1,20 @@
-//! The stairfront balancer round the decision module. The decision module decides; everything here carries messages,
-//! times and bytes to it and does what it says. `docs/architecture.md` follows one request through these parts.
+//! The balancer program: everything between the sockets and the decision module. The decision module
+//! (`stairfront-policy`) decides; this crate carries messages, times and bytes to it and carries its actions out.
+//! `docs/architecture.md` follows one request through these parts.
 //!
 //! It owns the sockets, the open requests and the timers of one balancer, all on one thread. The network and the clock
-//! stand behind `transport` and `clock`; it never decides which server, whether to retry or what is refused.
+//! are behind [`transport`] and [`clock`]. It never decides which server gets a request, whether an attempt is retried or
+//! which request is refused.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | [`configuration`] | the configuration file and the limits that follow from it |
+//! | [`lifecycle`] | start, upgrade and end of the process; the one place that puts the parts together |
+//! | [`client`] | the listener for clients and their connections |
+//! | [`stages`] | the stages of a request: parsed, admitted, routed, sent, relayed, completed |
+//! | [`engine`] | the task that owns the decision module and the open requests |
+//! | [`upstream`] | connections to cache hosts and to the origin |
+//! | [`control`] | discovery, reload, the admin API, the group's cordons and plans of maintenance |
 pub mod client;
 pub mod clock;
 pub mod configuration;
--- /dev/null
+++ b/crates/stairfront-balancer/src/lifecycle/assembly.rs
@@ -0,0 +1,411 @@
+//! Makes the parts of a balancer, each from what the others share with it.
+use std::cell::{Cell, OnceCell, RefCell};
+use std::future::Future;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use stairfront_codec::budget::Budget;
+use stairfront_membership_agent::MembershipAgent;
+use stairfront_policy::interface::Settings;
+use stairfront_raft_node::{AgreementSection, RaftNode};
+use stairfront_settings::Start;
+use tokio::sync::{mpsc, watch, Notify, Semaphore};
+use tokio::task::{spawn_local, JoinHandle};
+use tracing::info;
+
+use crate::client::admission::ConnectionPressure;
+use crate::client::context::ClientContext;
+use crate::clock::timer_duration;
+use crate::configuration::config::Config;
+use crate::configuration::limits::{stall_timeout, Memory, Sockets};
+use crate::configuration::request_catalog::RequestCatalog;
+use crate::control::admin_server::AdminServer;
+use crate::control::cordon_record::CordonRecord;
+use crate::control::discovery::{DiscoverySettings, DiscoveryWatch};
+use crate::control::gossip_transport::GossipTransport;
+use crate::control::maintenance::{MaintenanceHandles, MaintenanceService, Plans};
+use crate::control::pending_order::{OrderDispatcher, PendingOrder, MAX_WAITING};
+use crate::control::reload::ConfigReloader;
+use crate::counters::{Counters, OriginUsage};
+use crate::engine::{Engine, EngineHandles, GroupMembership};
+use crate::lifecycle::handover::{
+    HandedOverConnection, HandoverChannel, Predecessor, SuccessorHandler, UpgradeCoordinator,
+    MAX_HANDED_OVER,
+};
+use crate::lifecycle::handover_socket;
+use crate::lifecycle::handover_state::HandoverState;
+use crate::lifecycle::loop_monitor::{admission_controller, RuntimeHandles};
+use crate::lifecycle::server::ServerDependencies;
+use crate::lifecycle::shutdown::Phase;
+use crate::messages::EngineEvent;
+use crate::stages::parse::RequestParser;
+use crate::stages::route::Decide;
+use crate::transport::{Listener, Network};
+use crate::upstream::upstream_pool::{PoolSettings, UpstreamPool};
+
+/// Events that may wait for the engine; senders wait beyond that. Each is handled in some microseconds.
+const EVENT_QUEUE: usize = 1024;
+
+/// Tasks that run beside the engine and the listener.
+#[derive(Default)]
+pub(super) struct BackgroundTasks(Vec<JoinHandle<()>>);
+
+impl BackgroundTasks {
+    pub(super) fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
+        self.0.push(spawn_local(task));
+    }
+
+    pub(super) fn abort(&self) {
+        self.0.iter().for_each(JoinHandle::abort);
+    }
+}
+
+/// The engine's ends of the channels that lead to it and from it.
+pub(super) struct EngineEnds {
+    pub(super) events: mpsc::Receiver<EngineEvent>,
+    pub(super) orders: mpsc::Receiver<PendingOrder>,
+    pub(super) ready: watch::Sender<bool>,
+}
+
+/// What the parts of one balancer share.
+pub(super) struct Assembly {
+    pub(super) name: String,
+    pub(super) sockets: Sockets,
+    pub(super) runtime: RuntimeHandles,
+    seed: u64,
+    memory: Memory,
+    start: Start,
+    agreement: Option<AgreementSection>,
+    catalog: Rc<RefCell<RequestCatalog>>,
+    origin: Rc<OriginUsage>,
+    events: mpsc::Sender<EngineEvent>,
+    orders: OrderDispatcher,
+    predecessor: Rc<HandoverChannel>,
+    successor: Rc<HandoverChannel>,
+    ready: watch::Receiver<bool>,
+    phase: watch::Receiver<Phase>,
+    membership: Option<Rc<MembershipAgent>>,
+    maintenance: Rc<OnceCell<Rc<MaintenanceService>>>,
+    poll_agent: Rc<Notify>,
+    client_permits: Arc<Semaphore>,
+}
+
+impl Assembly {
+    pub(super) fn new<N, L>(
+        config: &Config,
+        dependencies: &ServerDependencies<N, L>,
+    ) -> (Self, EngineEnds) {
+        let (events, engine_events) = mpsc::channel(EVENT_QUEUE);
+        let (orders, engine_orders) = mpsc::channel(MAX_WAITING);
+        let (engine_ready, ready) = watch::channel(false);
+        let start = config.start.clone();
+        let clock = dependencies.clock;
+        let runtime = RuntimeHandles {
+            clock,
+            admission: admission_controller(&start.settings, clock, config.seed),
+            counters: Rc::new(Counters::default()),
+        };
+        let held_clients = held_connections(dependencies.predecessor.as_ref()).clients;
+        let free_clients = config.sockets.clients.saturating_sub(held_clients);
+        let predecessor = Rc::new(HandoverChannel::default());
+        let successor = Rc::clone(&dependencies.successor);
+        let assembly = Assembly {
+            name: config.name.clone(),
+            sockets: config.sockets,
+            runtime,
+            seed: config.seed,
+            memory: config.memory,
+            agreement: config.agreement.clone(),
+            catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
+            start,
+            origin: Rc::new(OriginUsage::default()),
+            events,
+            orders: OrderDispatcher {
+                orders,
+                peers: [Rc::clone(&predecessor), Rc::clone(&successor)],
+            },
+            predecessor,
+            successor,
+            ready,
+            phase: dependencies.phase.clone(),
+            membership: dependencies.membership.clone(),
+            maintenance: Rc::new(OnceCell::new()),
+            poll_agent: Rc::new(Notify::new()),
+            client_permits: Arc::new(Semaphore::new(free_clients)),
+        };
+        let engine_ends = EngineEnds {
+            events: engine_events,
+            orders: engine_orders,
+            ready: engine_ready,
+        };
+        (assembly, engine_ends)
+    }
+
+    pub(super) fn pool<N: Network>(
+        &self,
+        network: N,
+        predecessor: Option<&Predecessor>,
+    ) -> UpstreamPool<N> {
+        let settings = PoolSettings {
+            max_connections: self.sockets.servers,
+            held_by_predecessor: held_connections(predecessor).servers,
+            connect_timeout: timer_duration(self.start.settings.limits.connect_timeout),
+            servers_idle_timeout: timer_duration(self.start.host.idle),
+            stall_timeout: stall_timeout(&self.start.settings),
+            memory: self.memory,
+        };
+        UpstreamPool::new(
+            network,
+            settings,
+            self.start.names.report.clone(),
+            self.events.clone(),
+            Rc::clone(&self.runtime.counters),
+        )
+    }
+
+    pub(super) fn discovery_watch<N: Network>(
+        &self,
+        network: N,
+        agent: watch::Receiver<Option<SocketAddr>>,
+        known_index: u64,
+    ) -> DiscoveryWatch<N> {
+        let settings = DiscoverySettings {
+            agent,
+            names: self.start.names.clone(),
+            known_index,
+            seed: self.seed,
+            poll_now: Rc::clone(&self.poll_agent),
+        };
+        DiscoveryWatch::new(
+            network,
+            settings,
+            self.events.clone(),
+            Rc::clone(&self.runtime.counters),
+        )
+    }
+
+    pub(super) fn client_context(&self, predecessor: Option<&Predecessor>) -> Rc<ClientContext> {
+        let parser = RequestParser {
+            catalog: Rc::clone(&self.catalog),
+            clock: self.runtime.clock,
+            counters: Rc::clone(&self.runtime.counters),
+            admission: Rc::clone(&self.runtime.admission),
+            ready: self.ready.clone(),
+            membership: self.membership.clone(),
+            maintenance: Rc::clone(&self.maintenance),
+        };
+        Rc::new(ClientContext {
+            events: self.events.clone(),
+            parser,
+            counters: Rc::clone(&self.runtime.counters),
+            phase: self.phase.clone(),
+            pressure: ConnectionPressure::default(),
+            permits: Arc::clone(&self.client_permits),
+            held_by_predecessor: Cell::new(held_connections(predecessor).clients),
+            successor: Rc::clone(&self.successor),
+            budget: Budget::new(self.memory.commands),
+            large_budget: Budget::new(self.memory.large_commands),
+            next_id: Cell::new(0),
+        })
+    }
+
+    /// Starts the member of the group and waits for the cordons that the group holds: a balancer that starts without them
+    /// would send to hosts that the others hold out. `ask_members` if no process before this one knows them.
+    pub(super) async fn join_group(
+        &self,
+        tasks: &mut BackgroundTasks,
+        ask_members: bool,
+    ) -> Option<GroupMembership> {
+        let agent = Rc::clone(self.membership.as_ref()?);
+        tasks.spawn(Rc::clone(&agent).run());
+        let held_hosts = agent.held_at_start(ask_members).await;
+        Some(GroupMembership { agent, held_hosts })
+    }
+
+    pub(super) fn engine_handles(
+        &self,
+        ready: watch::Sender<bool>,
+        group: Option<GroupMembership>,
+        state_directory: Option<&Path>,
+    ) -> EngineHandles {
+        EngineHandles {
+            runtime: self.runtime.clone(),
+            ready,
+            record: CordonRecord::within(state_directory, &self.name),
+            catalog: Rc::clone(&self.catalog),
+            group,
+            origin: Rc::clone(&self.origin),
+        }
+    }
+
+    pub(super) fn engine<D: Decide, N: Network>(
+        &self,
+        build_policy: impl FnOnce(Settings, u64) -> D,
+        pool: UpstreamPool<N>,
+        handles: EngineHandles,
+    ) -> Engine<D, N> {
+        let build_policy = |settings| build_policy(settings, self.seed);
+        Engine::new(self.start.clone(), build_policy, self.memory, pool, handles)
+    }
+
+    pub(super) fn reloader(
+        &self,
+        config: Config,
+        agent: watch::Sender<Option<SocketAddr>>,
+    ) -> ConfigReloader {
+        let counters = Rc::clone(&self.runtime.counters);
+        ConfigReloader::new(config, agent, self.events.clone(), counters)
+    }
+
+    /// Reports to the engine, once, that this process is to end.
+    pub(super) fn report_shutdown(&self) -> impl Future<Output = ()> + 'static {
+        let mut phase = self.phase.clone();
+        let events = self.events.clone();
+        async move {
+            let ending = phase.wait_for(|phase| *phase != Phase::Running).await;
+            if ending.is_ok() {
+                // The engine ends only with the whole balancer.
+                let _ = events.send(EngineEvent::ShuttingDown).await;
+            }
+        }
+    }
+
+    pub(super) fn start_gossip(&self, tasks: &mut BackgroundTasks) {
+        if let Some(membership) = &self.membership {
+            let transport = GossipTransport {
+                membership: Rc::clone(membership),
+                orders: self.orders.clone(),
+                events: self.events.clone(),
+                poll_agent: Rc::clone(&self.poll_agent),
+            };
+            tasks.spawn(transport.run());
+        }
+    }
+
+    pub(super) fn start_maintenance(&self, tasks: &mut BackgroundTasks) {
+        let (Some(membership), Some(agreement)) = (&self.membership, &self.agreement) else {
+            return;
+        };
+        let group = membership.report().group;
+        let raft = RaftNode::new(
+            Rc::clone(membership),
+            (self.name.as_str(), group.as_str()),
+            &agreement.voters,
+            agreement.store.clone(),
+            self.seed,
+            Plans::default(),
+        );
+        let service = MaintenanceService::new(MaintenanceHandles {
+            raft,
+            membership: Rc::clone(membership),
+            orders: self.orders.clone(),
+            events: self.events.clone(),
+            counters: Rc::clone(&self.runtime.counters),
+            origin: Rc::clone(&self.origin),
+            zones: self.start.names.zones.clone(),
+            voters: agreement.voters.clone(),
+            name: self.name.clone(),
+        });
+        tasks.spawn(Rc::clone(&service).run());
+        // It is set here alone.
+        let _ = self.maintenance.set(service);
+    }
+
+    pub(super) fn start_admin_server<L: Listener>(
+        &self,
+        tasks: &mut BackgroundTasks,
+        listener: Option<L>,
+    ) -> io::Result<()> {
+        let Some(listener) = listener else {
+            return Ok(());
+        };
+        info!(address = %listener.local_address()?, "serving the admin API");
+        let server = AdminServer {
+            orders: self.orders.clone(),
+            ready: self.ready.clone(),
+            membership: self.membership.clone(),
+            maintenance: self.maintenance.get().cloned(),
+        };
+        tasks.spawn(server.run(listener));
+        Ok(())
+    }
+
+    pub(super) fn start_successor_handler<L: Listener>(
+        &self,
+        tasks: &mut BackgroundTasks,
+        state_directory: Option<&Path>,
+        listener: &L,
+    ) -> io::Result<()> {
+        let Some(directory) = state_directory else {
+            return Ok(());
+        };
+        let handler = SuccessorHandler {
+            path: handover_socket::path(directory, &self.name),
+            name: self.name.clone(),
+            listener: listener.duplicate()?,
+            channel: Rc::clone(&self.successor),
+            orders: self.orders.orders.clone(),
+            events: self.events.clone(),
+            client_permits: Arc::clone(&self.client_permits),
+            max_clients: self.sockets.clients,
+            ready: self.ready.clone(),
+            phase: self.phase.clone(),
+        };
+        tasks.spawn(handler.run());
+        Ok(())
+    }
+
+    /// Goes on with the upgrade where there is a process to take over from. Returns what that process knew, and where its
+    /// connections come.
+    pub(super) fn start_upgrade(
+        &self,
+        tasks: &mut BackgroundTasks,
+        predecessor: Option<Predecessor>,
+    ) -> (Option<HandoverState>, mpsc::Receiver<HandedOverConnection>) {
+        let (sender, handed_over) = mpsc::channel(MAX_HANDED_OVER);
+        let Some(mut predecessor) = predecessor else {
+            return (None, handed_over);
+        };
+        let inherited = predecessor.state.take();
+        let coordinator = UpgradeCoordinator {
+            predecessor,
+            channel: Rc::clone(&self.predecessor),
+            orders: self.orders.orders.clone(),
+            handed_over: sender,
+            events: self.events.clone(),
+        };
+        tasks.spawn(coordinator.run());
+        (inherited, handed_over)
+    }
+
+    /// Leaves the group, unless a successor stays in it.
+    pub(super) async fn leave_group(&self) {
+        let Some(membership) = &self.membership else {
+            return;
+        };
+        if self.phase.borrow().hands_over() {
+            return;
+        }
+        if let Some(maintenance) = self.maintenance.get() {
+            maintenance.leave();
+        }
+        membership.leave().await;
+    }
+}
+
+/// Connections that the process before this one keeps until it hands them over or ends.
+#[derive(Clone, Copy, Default)]
+struct HeldConnections {
+    clients: usize,
+    servers: usize,
+}
+
+fn held_connections(predecessor: Option<&Predecessor>) -> HeldConnections {
+    predecessor.map_or(HeldConnections::default(), |predecessor| HeldConnections {
+        clients: predecessor.client_connections,
+        servers: predecessor.server_connections,
+    })
+}
--- a/crates/stairfront-balancer/src/lifecycle/handover_socket.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover_socket.rs
@@ -1,7 +1,7 @@
-//! A local socket between two processes of one balancer: a message to a packet, some with a descriptor beside them.
+//! The local socket between two processes of one balancer: one message to a packet, some with a descriptor beside them.
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
-use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::fd::{AsFd, AsRawFd, BorrowedFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
 use rustix::net::{
@@ -14,40 +14,48 @@
 use tokio::net::{UnixListener, UnixStream};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Processes that may wait to be heard; there is one successor.
+/// Connections that may wait to be accepted; there is one successor.
 const BACKLOG: i32 = 4;
 
-/// Where the process that serves as `balancer` hears its successor.
-pub fn path(folder: &Path, balancer: &str) -> PathBuf {
-    folder.join(format!(
+/// Path of the socket at which the process that serves as `balancer` accepts its successor.
+pub fn path(directory: &Path, balancer: &str) -> PathBuf {
+    directory.join(format!(
         "stairfront-{:016x}.sock",
         xxh3_64(balancer.as_bytes())
     ))
 }
 
-/// Both ends see the end of the other as the end of the connection.
+/// One end of the connection between two processes. Each sees the end of the other as the end of the connection.
 ///
 /// The socket keeps packets apart (`SOCK_SEQPACKET`); tokio's stream type serves as the owner that waits for it.
 pub struct HandoverSocket(UnixStream);
 
 impl HandoverSocket {
+    /// Connects to the process that accepts at this path.
+    ///
+    /// # Errors
+    ///
+    /// If no process accepts there.
     pub fn connect(path: &Path) -> io::Result<Self> {
         let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None)?;
-        reach(path, |address| socket.connect(address))?;
-        Self::over(socket)
-    }
-
-    fn over(socket: Socket) -> io::Result<Self> {
+        with_address(path, |address| socket.connect(address))?;
         socket.set_nonblocking(true)?;
-        Ok(HandoverSocket(UnixStream::from_std(
-            OwnedFd::from(socket).into(),
-        )?))
+        let stream = UnixStream::from_std(OwnedFd::from(socket).into())?;
+        Ok(HandoverSocket(stream))
     }
 
-    /// A message goes whole or not at all. `beside` stays open here; the other side gets one of its own.
-    pub async fn send(&self, message: &Message, beside: Option<BorrowedFd<'_>>) -> io::Result<()> {
+    /// Sends a message as a whole or not at all. `descriptor` stays open here; the other side gets one of its own.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended.
+    pub async fn send(
+        &self,
+        message: &Message,
+        descriptor: Option<BorrowedFd<'_>>,
+    ) -> io::Result<()> {
         let packet = message.encode();
-        let descriptors: Vec<BorrowedFd<'_>> = beside.into_iter().collect();
+        let descriptors: Vec<BorrowedFd<'_>> = descriptor.into_iter().collect();
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = SendAncillaryBuffer::new(&mut space);
@@ -64,52 +72,64 @@
         self.0.async_io(Interest::WRITABLE, send).await.map(drop)
     }
 
-    /// The next message and what came beside it; none at the other side's end.
+    /// The next message and the descriptor that came beside it; `None` at the other side's end.
+    ///
+    /// # Errors
+    ///
+    /// If the socket fails, or `InvalidData` for a packet that is no message.
     pub async fn receive(&self) -> io::Result<Option<(Message, Option<OwnedFd>)>> {
         let mut packet = vec![0; MAX_PACKET_BYTES];
         let receive = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
-            let mut pieces = [IoSliceMut::new(&mut packet)];
-            let got = recvmsg(&self.0, &mut pieces, &mut control, RecvFlags::CMSG_CLOEXEC)?;
-            let beside = control.drain().find_map(|message| match message {
+            let mut slices = [IoSliceMut::new(&mut packet)];
+            let received = recvmsg(&self.0, &mut slices, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+            let descriptor = control.drain().find_map(|message| match message {
                 RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
                 _ => None,
             });
-            Ok((got.bytes, beside))
+            Ok((received.bytes, descriptor))
         };
-        let (length, beside) = match self.0.async_io(Interest::READABLE, receive).await {
+        let (length, descriptor) = match self.0.async_io(Interest::READABLE, receive).await {
             Ok((0, _)) => return Ok(None),
             Ok(received) => received,
-            // It has ended with something of ours unread.
-            Err(problem) if problem.kind() == ErrorKind::ConnectionReset => return Ok(None),
-            Err(problem) => return Err(problem),
+            // The other side has ended with a message of this side unread.
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => return Ok(None),
+            Err(error) => return Err(error),
         };
         let message = Message::decode(&packet[..length])
-            .map_err(|fault| io::Error::new(ErrorKind::InvalidData, fault))?;
-        Ok(Some((message, beside)))
+            .map_err(|error| io::Error::new(ErrorKind::InvalidData, error))?;
+        Ok(Some((message, descriptor)))
     }
 }
 
-/// Where a successor asks.
+/// The listener to which a successor connects.
 pub struct HandoverListener(UnixListener);
 
 impl HandoverListener {
-    /// Takes the path over from whoever had it before.
+    /// Listens at a path, which is taken over from whichever process had it before.
+    ///
+    /// # Errors
+    ///
+    /// If the path cannot be replaced or bound.
     pub fn open(path: &Path) -> io::Result<Self> {
         let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None)?;
         match std::fs::remove_file(path) {
-            Err(problem) if problem.kind() != ErrorKind::NotFound => return Err(problem),
+            Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
             _ => {}
         }
-        reach(path, |address| socket.bind(address))?;
+        with_address(path, |address| socket.bind(address))?;
         socket.listen(BACKLOG)?;
         socket.set_nonblocking(true)?;
-        Ok(HandoverListener(UnixListener::from_std(
-            OwnedFd::from(socket).into(),
-        )?))
+        let listener = UnixListener::from_std(OwnedFd::from(socket).into())?;
+        Ok(HandoverListener(listener))
     }
 
+    /// Accepts the next successor.
+    ///
+    /// # Errors
+    ///
+    /// If the system has no descriptor left.
     pub async fn accept(&self) -> io::Result<HandoverSocket> {
         self.0
             .accept()
@@ -118,18 +138,17 @@
     }
 }
 
-/// Danger: an address of a local socket has about a hundred bytes, and a folder's path may have more. The folder is
-/// then named by a descriptor of this process.
-fn reach(path: &Path, with: impl Fn(&SockAddr) -> io::Result<()>) -> io::Result<()> {
+/// Uses a path as the address of a local socket. Such an address has about a hundred bytes, and the path of a directory
+/// may have more; the directory is then named by a descriptor of this process.
+fn with_address(path: &Path, action: impl Fn(&SockAddr) -> io::Result<()>) -> io::Result<()> {
     if let Ok(address) = SockAddr::unix(path) {
-        return with(&address);
+        return action(&address);
     }
-    let (Some(folder), Some(file)) = (path.parent(), path.file_name()) else {
+    let (Some(directory), Some(file)) = (path.parent(), path.file_name()) else {
         return Err(ErrorKind::InvalidInput.into());
     };
-    let folder = std::fs::File::open(folder)?;
-    let number = std::os::fd::AsRawFd::as_raw_fd(&folder.as_fd());
-    with(&SockAddr::unix(
-        Path::new(&format!("/proc/self/fd/{number}")).join(file),
-    )?)
+    let directory = std::fs::File::open(directory)?;
+    let descriptor = directory.as_fd().as_raw_fd();
+    let short_path = Path::new(&format!("/proc/self/fd/{descriptor}")).join(file);
+    action(&SockAddr::unix(short_path)?)
 }
--- a/crates/stairfront-balancer/src/lifecycle/handover_state.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover_state.rs
@@ -2,18 +2,19 @@
 use serde::{Deserialize, Serialize};
 use stairfront_policy::interface::PolicySnapshot;
 
-/// What one process leaves to the next.
+/// The knowledge that one process leaves to the next, as JSON.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct HandoverState {
+    /// What the decision module has learned.
     pub knowledge: PolicySnapshot,
-    /// Numbers of all cache hosts that were ever listed: operators may name them still.
+    /// Numbers of all cache hosts that were ever listed, since operators may still name them.
     pub listed: Vec<u64>,
 }
 
 /// What the engine has to give to a successor.
 pub struct Snapshot {
-    /// A `HandoverState` as JSON.
+    /// A [`HandoverState`] as JSON.
     pub state: Vec<u8>,
-    /// Connections to servers that this process keeps.
-    pub servers: usize,
+    /// Number of connections to servers that this process keeps.
+    pub server_connections: usize,
 }
--- a/crates/stairfront-balancer/src/lifecycle/loop_monitor.rs
+++ b/crates/stairfront-balancer/src/lifecycle/loop_monitor.rs
@@ -1,97 +1,108 @@
-//! The beat by which a balancer learns how long its loop takes to come round.
+//! Measures how late the event loop of the balancer comes round, and reports it to the admission controller.
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
+use stairfront_common::time::{from_duration, Micros, MS};
 use stairfront_overload::{AdmissionController, AdmissionSettings};
-use stairfront_policy::interface::{Micros, Settings, MS};
+use stairfront_policy::interface::Settings;
 use tracing::info;
 
-use crate::clock::{micros, sleep_until, Clock, Instant};
+use crate::clock::{sleep_until, Clock, Instant};
 use crate::counters::Counters;
 
-/// Between two beats. A timer of tokio's is up to a millisecond late by itself.
-const BEAT: Duration = Duration::from_millis(10);
-const GRAIN: Micros = MS;
-/// Part of the tightest aim that a request may lose to the loop, and its bounds: below the one a timer's grain and a
-/// busy machine's own delays would count, above the other drains and pings would wait too long.
-const AIM_PART: Micros = 25;
+/// Between two measurements. A timer of tokio's is up to a millisecond late by itself.
+const MEASURE_INTERVAL: Duration = Duration::from_millis(10);
+/// Lateness that every timer has.
+const TIMER_GRANULARITY: Micros = MS;
+/// The tightest latency objective divided by this is the delay that a request may lose to the loop. It is bounded: below
+/// the lower bound a timer's granularity and a busy machine's own delays would count, above the upper one draining and
+/// health checks would wait too long.
+const OBJECTIVE_DIVISOR: Micros = 25;
 const MIN_TARGET: Micros = 5 * MS;
 const MAX_TARGET: Micros = 15 * MS;
-/// Taking less than this is told in the log, once until all is taken again.
-const TOLD_BELOW: f64 = 0.9;
+/// Admitting less than this fraction is logged, once until all is admitted again.
+const LOG_THRESHOLD: f64 = 0.9;
 
-/// The door of a balancer with these settings.
-pub fn door(set: &Settings, clock: Clock, seed: u64) -> Rc<RefCell<AdmissionController>> {
+/// The admission controller of a balancer with these settings.
+pub fn admission_controller(
+    settings: &Settings,
+    clock: Clock,
+    seed: u64,
+) -> Rc<RefCell<AdmissionController>> {
     Rc::new(RefCell::new(AdmissionController::new(
         clock.now(),
-        door_settings(set, seed),
+        admission_settings(settings, seed),
     )))
 }
 
-/// What the settings say to the door; a door that is there keeps its seed.
-pub fn door_settings(set: &Settings, seed: u64) -> AdmissionSettings {
-    let aim = set
+/// The part of the settings that an admission controller needs; one that exists already keeps its seed.
+pub fn admission_settings(settings: &Settings, seed: u64) -> AdmissionSettings {
+    let tightest_objective = settings
         .classes
         .iter()
         .map(|class| class.latency_objective)
         .min()
-        .unwrap_or(MAX_TARGET * AIM_PART);
+        .unwrap_or(MAX_TARGET * OBJECTIVE_DIVISOR);
     AdmissionSettings {
-        target: (aim / AIM_PART).clamp(MIN_TARGET, MAX_TARGET),
-        quotas: set
+        target: (tightest_objective / OBJECTIVE_DIVISOR).clamp(MIN_TARGET, MAX_TARGET),
+        quotas: settings
             .tenants
             .iter()
             .map(|tenant| tenant.quota_per_s)
             .collect(),
-        worths: set
+        worths: settings
             .classes
             .iter()
             .map(|class| class.priority_weight)
             .collect(),
-        most_advice_ms: set.limits.max_retry_after as f64 / MS as f64,
+        most_advice_ms: settings.limits.max_retry_after as f64 / MS as f64,
         seed,
     }
 }
 
-/// What a balancer knows of itself.
+/// What most parts of a balancer need: the clock, the admission controller and the counters.
 #[derive(Clone)]
 pub struct RuntimeHandles {
+    /// The one clock.
     pub clock: Clock,
-    pub door: Rc<RefCell<AdmissionController>>,
+    /// Decides what is admitted while this balancer itself is behind.
+    pub admission: Rc<RefCell<AdmissionController>>,
+    /// What `INFO` prints.
     pub counters: Rc<Counters>,
 }
 
-/// Beats for as long as the balancer runs, and tells the door how late each beat was.
-pub async fn beat(vitals: RuntimeHandles) {
+/// Measures for as long as the balancer runs, and reports to the admission controller how late each measurement was.
+pub async fn run(handles: RuntimeHandles) {
     let RuntimeHandles {
         clock,
-        door,
+        admission,
         counters,
-    } = vitals;
-    let mut told = false;
+    } = handles;
+    let mut logged = false;
     loop {
-        let due = Instant::now() + BEAT;
+        let due = Instant::now() + MEASURE_INTERVAL;
         sleep_until(due).await;
-        let late = micros(due.elapsed()) - GRAIN;
-        let (part, behind) = {
-            let mut door = door.borrow_mut();
-            door.timer(clock.now(), late);
-            (door.part(), door.worst())
+        let delay = from_duration(due.elapsed()) - TIMER_GRANULARITY;
+        let (admitted, behind) = {
+            let mut admission = admission.borrow_mut();
+            admission.timer(clock.now(), delay);
+            (admission.part(), admission.worst())
         };
         counters.loop_behind_us.set(behind.max(0) as u64);
-        counters.taking_permille.set((part * 1000.0) as u64);
-        if part < TOLD_BELOW && !told {
-            told = true;
+        counters.taking_permille.set((admitted * 1000.0) as u64);
+        if admitted < LOG_THRESHOLD && !logged {
+            logged = true;
             info!(
-                "behind by {} ms, taking {part:.2} of the requests",
-                behind / MS
+                behind_ms = behind / MS,
+                admitted = format_args!("{admitted:.2}"),
+                "event loop is behind, shedding load"
             );
-        } else if part >= 1.0 && told {
-            told = false;
+        } else if admitted >= 1.0 && logged {
+            logged = false;
             info!(
-                "in time again, taking all requests; {} were turned away since the start",
-                counters.shed.get()
+                shed = counters.shed.get(),
+                "event loop is in time again, admitting all requests"
             );
         }
     }
--- a/crates/stairfront-balancer/src/lifecycle/mod.rs
+++ b/crates/stairfront-balancer/src/lifecycle/mod.rs
@@ -1,3 +1,5 @@
+//! Start, upgrade and end of the process. [`server`] is the only place that puts the parts of a balancer together.
+mod assembly;
 pub mod handover;
 pub mod handover_socket;
 pub mod handover_state;
--- a/crates/stairfront-balancer/src/lifecycle/shutdown.rs
+++ b/crates/stairfront-balancer/src/lifecycle/shutdown.rs
@@ -1,48 +1,52 @@
-//! The end of a balancer's life: SIGTERM, and the phases that follow.
+//! The end of a balancer process: SIGTERM, and the phases that follow.
 use std::io;
 use std::time::Duration;
 
-use stairfront_policy::interface::{Micros, Settings, MS, SECOND};
+use stairfront_common::time::{Micros, MS, SECOND};
+use stairfront_policy::interface::Settings;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 use tracing::info;
 
 use crate::clock::sleep;
 
-/// New connections go on coming for 0.2 to 0.4 s after SIGTERM; those accepted by the machine must be served.
-const STILL_COMING: Duration = Duration::from_millis(500);
-/// What comes later than 0.7 s after SIGTERM is lost if SIGKILL finds it unanswered: better it is not read.
-const STILL_READ: Duration = Duration::from_millis(200);
-
+/// New connections still arrive 0.2 to 0.4 s after SIGTERM; those that the kernel has accepted must be served.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+/// A request that arrives later than 0.7 s after SIGTERM is lost if SIGKILL finds it unanswered; it is not read.
+const READ_PERIOD: Duration = Duration::from_millis(200);
 /// SIGKILL comes no sooner than the longest deadline, of which no more than this counts...
-const LONGEST_SPARED: Micros = 3 * SECOND;
+const MAX_DEADLINE: Micros = 3 * SECOND;
 /// ...and 0.7 s more after SIGTERM, less what an answer may take to be written.
-const SPARED_BEYOND: Micros = 650 * MS;
+const MARGIN: Micros = 650 * MS;
 
 /// How long a process lives at least after it has been told to end.
-pub fn life_left(settings: &Settings) -> Micros {
+pub fn min_remaining_lifetime(settings: &Settings) -> Micros {
     let longest = settings.classes.iter().map(|class| class.deadline).max();
-    longest.unwrap_or(LONGEST_SPARED).min(LONGEST_SPARED) + SPARED_BEYOND
+    longest.unwrap_or(MAX_DEADLINE).min(MAX_DEADLINE) + MARGIN
 }
 
+/// How far the end of this process has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
+    /// Not told to end.
     Running,
     /// Connections are still accepted, and closed between requests.
     Draining,
     /// The listener is closed, and idle connections with it; busy ones are still read from.
     Closing,
-    /// Nothing is read any more; what is open is answered.
+    /// Nothing is read any more; open requests are answered.
     Last,
     /// A successor has the listener and gets the connections, each as soon as no request on it is open.
     HandingOver,
 }
 
 impl Phase {
+    /// Whether this process accepts no further connection.
     pub fn listener_closed(self) -> bool {
         matches!(self, Phase::Closing | Phase::Last | Phase::HandingOver)
     }
 
+    /// Whether connections go to a successor.
     pub fn hands_over(self) -> bool {
         self == Phase::HandingOver
     }
@@ -57,8 +61,12 @@
     }
 }
 
-/// Moves the phase on at SIGTERM (or SIGINT, for a person at a terminal).
-/// `has_successor` tells whether another process has the listener.
+/// Moves the phase on at SIGTERM (or SIGINT, for a person at a terminal). `has_successor` says whether another process
+/// has the listener.
+///
+/// # Errors
+///
+/// If the signals cannot be caught.
 pub async fn watch_signals(
     phase: watch::Sender<Phase>,
     has_successor: impl Fn() -> bool,
@@ -70,18 +78,18 @@
         _ = interrupt.recv() => {}
     }
     if has_successor() {
-        info!("told to stop: handing connections over between requests");
+        info!("stopping: handing connections over between requests");
         phase.send_replace(Phase::HandingOver);
         phase.closed().await;
         return Ok(());
     }
-    info!("told to stop: closing connections between requests");
+    info!("stopping: closing connections between requests");
     phase.send_replace(Phase::Draining);
-    sleep(STILL_COMING).await;
+    sleep(ACCEPT_PERIOD).await;
     phase.send_replace(Phase::Closing);
-    sleep(STILL_READ).await;
+    sleep(READ_PERIOD).await;
     phase.send_replace(Phase::Last);
-    // The receivers' side ends the run; until then the phase must stay known.
+    // The receivers' side ends the process; until then the phase must stay readable.
     phase.closed().await;
     Ok(())
 }
