--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -6,8 +6,9 @@
 use bytes::Bytes;
 use stairfront_codec::budget::Claim;
 use stairfront_codec::part::LARGEST_WHOLE;
+use stairfront_common::time::Micros;
 use stairfront_policy::interface::{
-    CacheId, CacheStatus, Endpoint, LoadReport, Micros, Outcome, Request, RequestId,
+    CacheId, CacheStatus, Endpoint, LoadReport, Outcome, Request, RequestId,
 };
 use stairfront_settings::Retuned;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
@@ -23,12 +24,16 @@
     Value(Bytes),
     /// The head of a value of so many bytes, which follow.
     Large(usize),
-    /// Refused; the client may come back after so many milliseconds, where a time is told.
+    /// The request is refused.
     Busy {
+        /// Milliseconds after which the client may retry, where such a time is known.
         after_ms: Option<u64>,
     },
+    /// No server has answered the request.
     Failed,
+    /// The answer to `PING`.
     Pong,
+    /// A command that changes nothing here.
     Ok,
     /// An error line of this balancer's own.
     Error(&'static str),
@@ -36,43 +41,53 @@
     Text(String),
 }
 
-/// An answer on its way to the client's connection, with the room that its value takes until it is written.
+/// An answer on its way to the client's connection, with the memory that its value takes until it is written.
 #[derive(Debug)]
 pub struct FinalAnswer {
+    /// The answer, or the head of a large one.
     pub answer: Answer,
-    pub room: Option<OwnedSemaphorePermit>,
-    /// The pieces of a large one.
-    pub pieces: Option<mpsc::Receiver<BodyChunk>>,
+    /// Memory reserved for the value.
+    pub memory: Option<OwnedSemaphorePermit>,
+    /// The chunks of a large value.
+    pub chunks: Option<mpsc::Receiver<BodyChunk>>,
 }
 
 impl From<Answer> for FinalAnswer {
     fn from(answer: Answer) -> Self {
         FinalAnswer {
             answer,
-            room: None,
-            pieces: None,
+            memory: None,
+            chunks: None,
         }
     }
 }
 
+/// The two commands that become requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
+    /// Reads a value.
     Get,
+    /// Writes a value.
     Set,
 }
 
 /// The parts of a client's command that go on to servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
+    /// Read or write.
     pub verb: Verb,
+    /// The key.
     pub key: Bytes,
+    /// The client's own id of the request.
     pub id: Bytes,
     /// The list of names and values as it came.
     pub info: Bytes,
+    /// The value of a write.
     pub value: Option<Bytes>,
 }
 
 impl Command {
+    /// Number of bytes that its parts take.
     pub fn bytes(&self) -> usize {
         let value = self.value.as_ref().map_or(0, Bytes::len);
         self.key.len() + self.id.len() + self.info.len() + value
@@ -82,20 +97,22 @@
 /// A command on its way to one server, with the time that is left for it.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
+    /// The command.
     pub command: Command,
+    /// Milliseconds that this balancer will wait for the reply.
     pub left_ms: u64,
 }
 
 impl Outgoing {
-    /// A value that is written behind its command by itself, so that it is not copied first.
-    pub fn apart(&self) -> Option<&Bytes> {
+    /// A value that is written separately behind its command, so that it is not copied first.
+    pub fn separate_value(&self) -> Option<&Bytes> {
         self.command
             .value
             .as_ref()
             .filter(|value| value.len() > LARGEST_WHOLE)
     }
 
-    /// The list of names and values with `d` telling how long this balancer will wait; all else as it came.
+    /// The list of names and values with `d` set to the time that this balancer will wait; all else as it came.
     pub fn info(&self) -> Vec<u8> {
         let info = &self.command.info;
         let mut list = Vec::with_capacity(info.len() + 8);
@@ -113,167 +130,215 @@
     }
 }
 
-/// A request taken from a client.
+/// A request read from a client.
 #[derive(Debug)]
 pub struct Arrival {
+    /// What the decision module needs to know of it.
     pub request: Request,
-    /// When it was taken in.
-    pub came: Micros,
+    /// When it was read.
+    pub arrived_at: Micros,
+    /// What goes on to servers.
     pub command: Command,
-    /// What a large value takes, until the request is over.
-    pub room: Option<Claim>,
+    /// Memory that a large value takes until the request is finished.
+    pub memory: Option<Claim>,
+    /// Gets the final answer.
     pub answer: oneshot::Sender<FinalAnswer>,
-    /// Raised by the client's connection as its client leaves, whatever waits before the engine then.
-    pub over: Rc<Cell<bool>>,
+    /// Set by the client's connection as soon as its client leaves, ahead of all events that wait for the engine then.
+    pub finished: Rc<Cell<bool>>,
 }
 
+/// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
+    /// The request.
     pub request: RequestId,
+    /// Number of the attempt among those of the request, from 0.
     pub number: u8,
 }
 
-/// How an attempt ended.
+/// What an attempt has brought.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Verdict {
+pub struct AttemptOutcome {
+    /// How it ended.
     pub outcome: Outcome,
-    pub note: CacheStatus,
+    /// What the cache reported of the key.
+    pub cache_status: CacheStatus,
+    /// The server's load report; empty where it sent none.
     pub load: LoadReport,
-    /// Present if and only if served; a large one follows the end of its attempt in pieces.
+    /// Present if and only if served; a large value follows the end of its attempt in chunks.
     pub value: Option<Bytes>,
 }
 
-impl Verdict {
-    pub fn bare(outcome: Outcome) -> Self {
-        Verdict {
+impl AttemptOutcome {
+    /// An outcome that the server has reported nothing about.
+    pub fn without_report(outcome: Outcome) -> Self {
+        AttemptOutcome {
             outcome,
-            note: CacheStatus::None,
+            cache_status: CacheStatus::None,
             load: LoadReport::default(),
             value: None,
         }
     }
 }
 
+/// The end of an attempt.
 #[derive(Debug)]
 pub struct AttemptEnd {
+    /// The attempt.
     pub attempt: AttemptId,
+    /// The server.
     pub cache: CacheId,
-    pub begun: Instant,
-    pub verdict: Verdict,
-    /// A large value, which has begun to come: for the attempt that is its end.
-    pub rest: Option<AnswerBody>,
+    /// When the attempt got a socket.
+    pub started_at: Instant,
+    /// What it has brought.
+    pub result: AttemptOutcome,
+    /// A large value whose first bytes have come, which ends the attempt.
+    pub body: Option<AnswerBody>,
 }
 
 /// A large value on its way.
 #[derive(Debug)]
 pub struct AnswerBody {
+    /// Number of bytes in all.
     pub length: usize,
-    /// AbortOnDrop without `BodyChunk::End` if the value can't be brought to its end.
-    pub pieces: mpsc::Receiver<BodyChunk>,
+    /// Ends without [`BodyChunk::End`] if the value cannot be completed.
+    pub chunks: mpsc::Receiver<BodyChunk>,
 }
 
+/// A part of a large value.
 #[derive(Debug)]
 pub enum BodyChunk {
+    /// The next bytes.
     Bytes(Bytes),
-    /// All have come, and the reply was good to its last byte.
+    /// All bytes have come, and the reply was well-formed to its last byte.
     End,
 }
 
 /// One attempt on its way to one server.
 #[derive(Debug)]
 pub struct Job {
+    /// The attempt.
     pub attempt: AttemptId,
+    /// The server.
     pub cache: CacheId,
+    /// What is sent.
     pub command: Command,
     /// When it was decided.
-    pub sent_at: Instant,
-    /// When it got a socket. Danger: a wait for one of this balancer's own is not the server's slowness.
-    pub begun: Instant,
-    pub give_up: Instant,
-    /// From when on the whole command may no longer come to the server: its class bounds a repeat to a window.
-    pub lapses: Option<Instant>,
-    /// Told when the attempt is given up before its time; a sender that is dropped means nothing.
+    pub decided_at: Instant,
+    /// When it got a socket: a wait for one of this balancer's own is not the server's slowness.
+    pub started_at: Instant,
+    /// When the attempt times out.
+    pub give_up_at: Instant,
+    /// The command must not reach the server as a whole after this, since its class bounds a retry to a window.
+    pub window_end: Option<Instant>,
+    /// Resolves when the attempt is cancelled; a sender that is dropped means nothing.
     pub cancel: oneshot::Receiver<()>,
-    /// Its request has been answered, or its client has left.
-    pub over: Rc<Cell<bool>>,
+    /// Whether its request has been answered or its client has left.
+    pub finished: Rc<Cell<bool>>,
 }
 
 impl Job {
-    /// Whether it may still begin. Danger: a job may lie before a connection's task, or wait for a connection that comes up
-    /// as its time ends: the request has been answered, and whoever has the answer sees it sent on all the same.
+    /// Whether it may still begin. A job may have waited for its connection's task, or for a connection that came up as
+    /// its time ended; the request may have been answered by then, and must not be sent after its answer.
     pub fn may_begin(&self) -> bool {
-        !self.over.get() && self.cancel.is_empty() && Instant::now() < self.whole_by()
+        !self.finished.get() && self.cancel.is_empty() && Instant::now() < self.send_deadline()
     }
 
-    /// Until when the attempt may wait for a socket and a connection together: both count in its time.
-    pub fn connect_limit(&self, connect_timeout: Duration) -> Instant {
-        self.whole_by().min(self.sent_at + connect_timeout)
+    /// Until when the attempt may wait for a socket and a connection together, since both count as its time.
+    pub fn connect_deadline(&self, connect_timeout: Duration) -> Instant {
+        self.send_deadline().min(self.decided_at + connect_timeout)
     }
 
-    /// Until when its last byte has to be written. Danger: the server may have forgotten the attempt before this one by
-    /// then, and do the work a second time.
-    pub fn whole_by(&self) -> Instant {
-        self.lapses
-            .map_or(self.give_up, |lapses| lapses.min(self.give_up))
+    /// Until when its last byte has to be written. Later the server may have forgotten the attempt before this one, and
+    /// would do the work a second time.
+    pub fn send_deadline(&self) -> Instant {
+        self.window_end
+            .map_or(self.give_up_at, |end| end.min(self.give_up_at))
     }
 
-    /// Its window has closed, which is no fault of the server's.
-    pub fn has_lapsed(&self) -> bool {
-        self.lapses.is_some_and(|lapses| Instant::now() >= lapses)
+    /// Whether its window has closed, which is no fault of the server's.
+    pub fn window_is_closed(&self) -> bool {
+        self.window_end.is_some_and(|end| Instant::now() >= end)
     }
 
-    pub fn end(&self, verdict: Verdict) -> AttemptEnd {
+    /// The end of this attempt.
+    pub fn end(&self, result: AttemptOutcome) -> AttemptEnd {
         AttemptEnd {
             attempt: self.attempt,
             cache: self.cache,
-            begun: self.begun,
-            verdict,
-            rest: None,
+            started_at: self.started_at,
+            result,
+            body: None,
         }
     }
 }
 
+/// Number of a connection to a server, never used again in one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What a connection's task tells the pool. The socket is closed before `Closed` is told.
+/// What a connection's task reports to the pool. The socket is closed before `Closed` is reported.
 #[derive(Debug)]
 pub enum PoolEvent {
+    /// The connection can take another attempt.
     Idle {
+        /// Which connection.
         connection: ConnectionId,
+        /// The attempt that has ended on it.
         end: Option<AttemptEnd>,
     },
     /// The attempt has ended with a large value; the connection is in use until all of it has come.
-    Begun { end: AttemptEnd },
+    BodyStarted {
+        /// The attempt.
+        end: AttemptEnd,
+    },
+    /// The connection has ended.
     Closed {
+        /// Which connection.
         connection: ConnectionId,
+        /// The attempt that has ended with it.
         end: Option<AttemptEnd>,
+        /// An attempt of which nothing was sent, for another connection.
         unsent: Option<Box<Job>>,
-        /// More has come on it than was asked for.
+        /// Whether more came on it than was asked for.
         surplus: bool,
     },
 }
 
-/// What the engine is told.
+/// A cache host of the list in use.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListedHost {
+    /// Its name.
+    pub name: String,
+    /// What the list says of it.
+    pub endpoint: Endpoint,
+}
+
+/// What the engine handles, one at a time.
 pub enum EngineEvent {
+    /// A client has sent a request.
     Arrived(Arrival),
-    ClientGone(RequestId),
-    UpstreamPool(PoolEvent),
-    List(ServerList),
-    /// A successor asks what this process knows; from then on it keeps a part of the descriptors alone.
+    /// The client of an open request has left.
+    ClientDisconnected(RequestId),
+    /// A connection to a server reports.
+    Pool(PoolEvent),
+    /// Discovery, or a configuration without discovery, gives a list of servers.
+    EndpointList(ServerList),
+    /// A successor asks what this process knows; from then on this process keeps a part of the descriptors alone.
     Snapshot(oneshot::Sender<Snapshot>),
-    /// Whoever keeps the plans asks for the cache hosts that are listed.
-    Hosts(oneshot::Sender<Vec<(String, Endpoint)>>),
-    /// Other settings, all at once.
+    /// The maintenance service asks for the cache hosts of the list in use.
+    ListCacheHosts(oneshot::Sender<Vec<ListedHost>>),
+    /// New settings, which are taken over all at once.
     Retune(Box<Retuned>),
     /// There is no other process of this balancer any more.
-    TakeAll,
+    PeerEnded,
     /// This process has been told to end.
-    Ending,
-    /// Another member of the group has newer news of a cache host than this balancer's discovery: nothing new goes
-    /// there, or its own list counts again.
-    Hearsay {
+    ShuttingDown,
+    /// Another member of the group has a newer endpoint list than this balancer, or a hint of that kind has ended.
+    DrainHint {
+        /// Name of the cache host.
         host: String,
-        stop: bool,
+        /// Whether the host drains by that list and gets nothing new here; otherwise this balancer's own list counts.
+        draining: bool,
     },
 }
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -1,4 +1,4 @@
-//! Second stage: a request gets its place in the table of open requests.
+//! Second stage: a request gets its entry in the table of open requests.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -6,148 +6,167 @@
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use stairfront_codec::budget::Claim;
-use stairfront_policy::interface::{CacheId, Micros, Request, RequestId};
+use stairfront_common::time::Micros;
+use stairfront_policy::interface::{CacheId, Request, RequestId};
 use tokio::sync::{oneshot, Semaphore};
 
 use crate::clock::Instant;
 use crate::configuration::limits::Memory;
 use crate::messages::{Answer, Arrival, Command, FinalAnswer};
 
-/// An attempt whose end has not been heard.
+/// An attempt whose end has not been handled.
 pub struct OutstandingAttempt {
+    /// Its number among the attempts of the request.
     pub number: u8,
-    /// Used to have the attempt ended early.
+    /// Cancels the attempt; `None` once it is cancelled.
     pub cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A send that waits for the end of an attempt that was just cancelled.
+/// A send that was decided and may have to wait for the end of a cancelled attempt.
 #[derive(Clone, Copy)]
-pub struct Deferred {
+pub struct PlannedSend {
+    /// Number of the attempt.
     pub number: u8,
+    /// The server.
     pub cache: CacheId,
+    /// Time for the attempt.
     pub timeout: Micros,
-    pub lapses: Option<Instant>,
+    /// The command must not reach the server as a whole after this.
+    pub window_end: Option<Instant>,
 }
 
 /// An open request, from admission until it is answered and its last attempt has ended.
 pub struct OpenRequest {
+    /// What is sent to servers.
     pub command: Command,
-    /// What it takes of the room for requests; a large value has room of its own.
+    /// What it takes of the memory for requests; a large value has memory of its own.
     pub bytes: usize,
-    pub room: Option<Claim>,
-    /// None once answered, or when the engine has heard that the client left.
+    /// Memory of a large value.
+    pub memory: Option<Claim>,
+    /// Gets the final answer; `None` once it is answered, or once the engine knows that the client has left.
     pub answer: Option<oneshot::Sender<FinalAnswer>>,
-    pub sent: u8,
-    /// How often it may be sent, as when it was taken.
-    pub most: u8,
-    pub out: Vec<OutstandingAttempt>,
-    pub deferred: Option<Deferred>,
-    /// Raised as the answer is given or the client leaves; shared with its client's connection and with its attempts, which
-    /// look before the first byte.
-    pub over: Rc<Cell<bool>>,
+    /// Attempts sent so far.
+    pub attempts_sent: u8,
+    /// Attempts allowed, by the settings at its admission.
+    pub max_attempts: u8,
+    /// Attempts whose end has not been handled.
+    pub outstanding: Vec<OutstandingAttempt>,
+    /// A send that waits for a cancelled attempt.
+    pub deferred: Option<PlannedSend>,
+    /// Set as the answer is given or the client leaves; shared with the client's connection and with the attempts, which
+    /// check it before the first byte.
+    pub finished: Rc<Cell<bool>>,
 }
 
 impl OpenRequest {
-    /// Its client has left, and the engine has not heard it yet.
-    pub fn is_deserted(&self) -> bool {
-        self.over.get() && self.answer.is_some()
+    /// Whether its client has left without the engine having handled that yet.
+    pub fn is_abandoned(&self) -> bool {
+        self.finished.get() && self.answer.is_some()
     }
 
-    /// What the final answer goes to, once; none if the client has had it or has left. The only place where it is taken.
-    pub fn end(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
-        self.over.set(true);
+    /// Takes the sender of the final answer; `None` if the client has had it or has left. No other code takes it.
+    pub fn finish(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
+        self.finished.set(true);
         self.answer.take()
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
     /// Another open request has its id.
-    IdOpen,
-    /// One too many: memory has an end.
-    NoRoom,
+    #[error("an open request has this id")]
+    DuplicateId,
+    /// The table is full, by number or by memory.
+    #[error("the table of open requests is full")]
+    NoCapacity,
 }
 
-/// The open requests; each is taken off in one place, `complete`.
+impl AdmissionError {
+    fn answer(self) -> Answer {
+        match self {
+            AdmissionError::DuplicateId => Answer::Error("ERR id is open already"),
+            AdmissionError::NoCapacity => Answer::Busy { after_ms: None },
+        }
+    }
+}
+
+/// The open requests. Each is removed by [`RequestTable::complete`] alone.
 pub struct RequestTable {
+    /// By the number that this balancer gives them.
     pub open: FxHashMap<RequestId, OpenRequest>,
     /// The clients' own ids of the open requests.
     pub ids: FxHashSet<Bytes>,
+    /// Memory of the open requests.
     pub bytes: usize,
     /// Bytes left for values on their way to clients.
-    pub room: Arc<Semaphore>,
-    most: usize,
-    most_bytes: usize,
+    pub answer_memory: Arc<Semaphore>,
+    max_open: usize,
+    max_bytes: usize,
 }
 
 impl RequestTable {
-    pub fn new(most: usize, memory: Memory) -> Self {
+    /// An empty table for at most `max_open` requests.
+    pub fn new(max_open: usize, memory: Memory) -> Self {
         RequestTable {
             open: FxHashMap::default(),
             ids: FxHashSet::default(),
             bytes: 0,
-            room: Arc::new(Semaphore::new(memory.answers)),
-            most,
-            most_bytes: memory.requests,
+            answer_memory: Arc::new(Semaphore::new(memory.answers)),
+            max_open,
+            max_bytes: memory.requests,
         }
     }
 
-    /// Another limit on open requests; those beyond it stay.
-    pub fn set_most(&mut self, most: usize) {
-        self.most = most;
+    /// Sets another limit on open requests; those beyond it stay.
+    pub fn set_max_open(&mut self, max_open: usize) {
+        self.max_open = max_open;
     }
 
-    /// Enters a request that may be sent so often, or answers it at once.
-    pub fn admit(
-        &mut self,
-        arrival: Arrival,
-        most_attempts: u8,
-    ) -> Result<Request, AdmissionError> {
-        let Arrival {
-            request,
-            command,
-            room,
-            answer,
-            over,
-            ..
-        } = arrival;
-        let large = command
+    /// Enters a request that may be sent `max_attempts` times.
+    ///
+    /// # Errors
+    ///
+    /// [`AdmissionError`] if it is not admitted; the client then has its answer.
+    pub fn admit(&mut self, arrival: Arrival, max_attempts: u8) -> Result<Request, AdmissionError> {
+        let large_value = arrival
+            .command
             .value
             .as_ref()
-            .filter(|_| room.is_some())
+            .filter(|_| arrival.memory.is_some())
             .map_or(0, Bytes::len);
-        let bytes = command.bytes() - large;
-        let problem = if self.ids.contains(&command.id) {
-            // Danger: servers know a request by its id alone. A second one under it would count as a second copy, and
-            // be answered with what was made for the first.
-            Some((
-                AdmissionError::IdOpen,
-                Answer::Error("ERR id is open already"),
-            ))
-        } else if self.open.len() >= self.most || self.bytes + bytes > self.most_bytes {
-            Some((AdmissionError::NoRoom, Answer::Busy { after_ms: None }))
-        } else {
-            None
-        };
-        if let Some((problem, told)) = problem {
+        let bytes = arrival.command.bytes() - large_value;
+        if let Err(error) = self.check(&arrival.command.id, bytes) {
             // A client that has left needs no answer.
-            let _ = answer.send(FinalAnswer::from(told));
-            return Err(problem);
+            let _ = arrival.answer.send(FinalAnswer::from(error.answer()));
+            return Err(error);
         }
-        self.ids.insert(command.id.clone());
+        self.ids.insert(arrival.command.id.clone());
         self.bytes += bytes;
         let open = OpenRequest {
-            command,
+            command: arrival.command,
             bytes,
-            room,
-            answer: Some(answer),
-            sent: 0,
-            most: most_attempts,
-            out: Vec::new(),
+            memory: arrival.memory,
+            answer: Some(arrival.answer),
+            attempts_sent: 0,
+            max_attempts,
+            outstanding: Vec::new(),
             deferred: None,
-            over,
+            finished: arrival.finished,
         };
-        self.open.insert(request.id, open);
-        Ok(request)
+        self.open.insert(arrival.request.id, open);
+        Ok(arrival.request)
+    }
+
+    /// Servers know a request by its id alone: a second one with the same id would count as a retry of the first, and
+    /// would be answered with the value of the first.
+    fn check(&self, id: &Bytes, bytes: usize) -> Result<(), AdmissionError> {
+        if self.ids.contains(id) {
+            return Err(AdmissionError::DuplicateId);
+        }
+        if self.open.len() >= self.max_open || self.bytes + bytes > self.max_bytes {
+            return Err(AdmissionError::NoCapacity);
+        }
+        Ok(())
     }
 }
--- a/crates/stairfront-balancer/src/stages/complete.rs
+++ b/crates/stairfront-balancer/src/stages/complete.rs
@@ -1,19 +1,20 @@
-//! Last stage: what has ended is counted, and a request that nothing is open for leaves the table.
+//! Last stage: a request that is answered and has no attempt in flight leaves the table.
 use stairfront_policy::interface::RequestId;
 
 use crate::stages::admit::RequestTable;
 
 impl RequestTable {
-    /// Takes a request off once it is answered and its last attempt has ended: the only place that does.
+    /// Removes a request once it is answered and its last attempt has ended. No other code removes one.
     pub fn complete(&mut self, request: RequestId) {
-        let over = |open: &super::admit::OpenRequest| {
-            open.answer.is_none() && open.out.is_empty() && open.deferred.is_none()
+        let Some(open) = self.open.get(&request) else {
+            return;
         };
-        if self.open.get(&request).is_some_and(over) {
-            if let Some(open) = self.open.remove(&request) {
-                self.bytes -= open.bytes;
-                self.ids.remove(&open.command.id);
-            }
+        if open.answer.is_some() || !open.outstanding.is_empty() || open.deferred.is_some() {
+            return;
+        }
+        if let Some(open) = self.open.remove(&request) {
+            self.bytes -= open.bytes;
+            self.ids.remove(&open.command.id);
         }
     }
 }
--- a/crates/stairfront-balancer/src/stages/mod.rs
+++ b/crates/stairfront-balancer/src/stages/mod.rs
@@ -1,4 +1,4 @@
-//! The stages of a request, in this order: taken in, admitted, routed, sent, relayed, booked.
+//! The stages of a request, in this order: parsed, admitted, routed, sent, relayed, completed.
 pub mod admit;
 pub mod complete;
 pub mod parse;
--- a/crates/stairfront-balancer/src/stages/parse.rs
+++ b/crates/stairfront-balancer/src/stages/parse.rs
@@ -1,11 +1,12 @@
-//! First stage: a client's command becomes a request, or is answered on the spot.
+//! First stage: a client's command becomes a request, or is answered at once.
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
 
 use bytes::Bytes;
+use stairfront_common::time::{Micros, MS};
 use stairfront_membership_agent::MembershipAgent;
 use stairfront_overload::{AdmissionController, AdmissionDecision, Arrival};
-use stairfront_policy::interface::{ClassId, Key, Micros, Request, RequestId, TenantId, MS};
+use stairfront_policy::interface::{ClassId, Key, Request, RequestId, TenantId};
 use tokio::sync::watch;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -15,95 +16,190 @@
 use crate::counters::Counters;
 use crate::messages::{Answer, Command, Verb};
 
-/// Longest key, id or list of names and values. They go on in an HTTP head, which servers bound.
-const LONGEST_WORD: usize = 1024;
-/// Longest time that a client can say it waits; more is taken for this.
-const LONGEST_WAIT_MS: u64 = 3_600_000;
+/// Longest key, id or list of names and values, in bytes. They go on in an HTTP head, which servers bound.
+const MAX_WORD_BYTES: usize = 1024;
+/// Longest time that a client can say it waits; a longer one counts as this.
+const MAX_WAIT_MS: u64 = 3_600_000;
 
 const BAD_COMMAND: &str = "ERR invalid arguments";
 const UNKNOWN_COMMAND: &str = "ERR unknown command";
 const UNKNOWN_CLASS: &str = "ERR unknown class";
 const NOT_READY: &str = "LOADING no list of servers yet";
 
-/// What a command is read against.
+/// Turns commands into requests.
 pub struct RequestParser {
-    /// The engine replaces them as it replaces its own settings.
-    pub terms: Rc<RefCell<RequestCatalog>>,
+    /// Names and rules of classes and tenants; the engine replaces them together with its own settings.
+    pub catalog: Rc<RefCell<RequestCatalog>>,
+    /// The one clock.
     pub clock: Clock,
+    /// What `INFO` prints.
     pub counters: Rc<Counters>,
-    /// Says what is taken while this balancer itself is behind.
-    pub door: Rc<RefCell<AdmissionController>>,
-    /// There is a list of servers to serve from.
+    /// Decides what is admitted while this balancer itself is behind.
+    pub admission: Rc<RefCell<AdmissionController>>,
+    /// Whether there is a list of servers to serve from.
     pub ready: watch::Receiver<bool>,
-    /// The others of this balancer's group, where there is one.
-    pub members: Option<Rc<MembershipAgent>>,
-    /// The plans that the group agrees on, once they are there.
-    pub keeper: Rc<OnceCell<Rc<MaintenanceService>>>,
+    /// The member of the group, where there is a group.
+    pub membership: Option<Rc<MembershipAgent>>,
+    /// The maintenance service, once it is started.
+    pub maintenance: Rc<OnceCell<Rc<MaintenanceService>>>,
+}
+
+/// What a command becomes.
+pub enum Accepted {
+    /// A request.
+    Request {
+        /// What goes on to servers.
+        command: Command,
+        /// What the decision module needs to know of it.
+        request: Request,
+    },
+    /// A command that is answered at once.
+    Answered(Answer),
+    /// The same, and the client has asked for the end of the connection.
+    Last(Answer),
+}
+
+/// Why a command becomes no request.
+enum Rejection {
+    /// It has an error.
+    Invalid(&'static str),
+    /// This balancer is behind.
+    Shed { after_ms: Option<u64> },
 }
 
 impl RequestParser {
+    /// Parses a command, given as its words.
+    pub fn parse(&self, words: Vec<Bytes>) -> Accepted {
+        let Some(name) = words.first().map(|word| word.to_ascii_uppercase()) else {
+            return self.reject(BAD_COMMAND);
+        };
+        let verb = match &name[..] {
+            b"C.GET" => Verb::Get,
+            b"C.SET" => Verb::Set,
+            b"PING" if *self.ready.borrow() => return Accepted::Answered(Answer::Pong),
+            b"PING" => return Accepted::Answered(Answer::Error(NOT_READY)),
+            b"INFO" => return Accepted::Answered(Answer::Text(self.info())),
+            b"CLIENT" | b"SELECT" => return Accepted::Answered(Answer::Ok),
+            b"QUIT" => return Accepted::Last(Answer::Ok),
+            _ => return self.reject(UNKNOWN_COMMAND),
+        };
+        let Some(command) = command(verb, words) else {
+            return self.reject(BAD_COMMAND);
+        };
+        match self.request(&command) {
+            Ok(request) => Accepted::Request { command, request },
+            Err(Rejection::Invalid(text)) => self.reject(text),
+            Err(Rejection::Shed { after_ms }) => {
+                self.counters.shed.add();
+                Accepted::Answered(Answer::Busy { after_ms })
+            }
+        }
+    }
+
     fn info(&self) -> String {
         let group = self
-            .members
+            .membership
             .as_ref()
-            .map_or(String::new(), |members| members.metrics_text());
-        let plans = self
-            .keeper
+            .map_or(String::new(), |membership| membership.metrics_text());
+        let maintenance = self
+            .maintenance
             .get()
-            .map_or(String::new(), |keeper| keeper.figures());
-        format!("{}{group}{plans}", self.counters)
+            .map_or(String::new(), |maintenance| maintenance.metrics_text());
+        format!("{}{group}{maintenance}", self.counters)
+    }
+
+    fn reject(&self, text: &'static str) -> Accepted {
+        self.counters.rejected.add();
+        Accepted::Answered(Answer::Error(text))
+    }
+
+    fn request(&self, command: &Command) -> Result<Request, Rejection> {
+        let now = self.clock.now();
+        let catalog = self.catalog.borrow();
+        let info = RequestInfo::read(&command.info)?;
+        let class = info.class.and_then(|name| catalog.class(now, name));
+        let (class, rules) = class.ok_or(Rejection::Invalid(UNKNOWN_CLASS))?;
+        let tenant = info
+            .tenant
+            .map_or(TenantId(u32::MAX), |name| catalog.tenant(name));
+        self.check_admission(class, tenant, info.retry)?;
+        // No client waits longer than its class allows, whatever it says.
+        let wait = info.wait.unwrap_or(rules.deadline).min(rules.deadline);
+        Ok(Request {
+            id: RequestId(0),
+            class,
+            tenant,
+            key: Some(Key(xxh3_64(&command.key))),
+            expires_at: now + wait,
+            write: command.verb == Verb::Set,
+            retry: info.retry,
+        })
+    }
+
+    /// Asks the admission controller, before the key is hashed or anything is entered, so that a request that is shed
+    /// costs little more than its reading.
+    fn check_admission(
+        &self,
+        class: ClassId,
+        tenant: TenantId,
+        retry: bool,
+    ) -> Result<(), Rejection> {
+        let arrival = Arrival {
+            tenant: usize::try_from(tenant.0).ok(),
+            class: usize::from(class.0),
+            retry,
+        };
+        match self.admission.borrow_mut().ask(arrival) {
+            AdmissionDecision::Take => Ok(()),
+            AdmissionDecision::Refuse { after_ms } => Err(Rejection::Shed { after_ms }),
+        }
     }
 }
 
-pub enum Accepted {
-    Request {
-        command: Command,
-        request: Request,
-    },
-    Answered(Answer),
-    /// The client asked for the end of the connection after this answer.
-    Last(Answer),
+/// What a request's list of names and values says to the balancer.
+#[derive(Default)]
+struct RequestInfo<'a> {
+    class: Option<&'a [u8]>,
+    tenant: Option<&'a [u8]>,
+    wait: Option<Micros>,
+    retry: bool,
 }
 
-pub fn parse(words: Vec<Bytes>, intake: &RequestParser) -> Accepted {
-    let Some(name) = words.first().map(|word| word.to_ascii_uppercase()) else {
-        return reject(intake, BAD_COMMAND);
-    };
-    let verb = match &name[..] {
-        b"C.GET" => Verb::Get,
-        b"C.SET" => Verb::Set,
-        b"PING" if *intake.ready.borrow() => return Accepted::Answered(Answer::Pong),
-        b"PING" => return Accepted::Answered(Answer::Error(NOT_READY)),
-        b"INFO" => return Accepted::Answered(Answer::Text(intake.info())),
-        b"CLIENT" | b"SELECT" => return Accepted::Answered(Answer::Ok),
-        b"QUIT" => return Accepted::Last(Answer::Ok),
-        _ => return reject(intake, UNKNOWN_COMMAND),
-    };
-    let Some(command) = command(verb, words) else {
-        return reject(intake, BAD_COMMAND);
-    };
-    match request(&command, intake) {
-        Ok(request) => Accepted::Request { command, request },
-        Err(Rejection::Unfit(problem)) => reject(intake, problem),
-        Err(Rejection::Shed { after_ms }) => {
-            intake.counters.shed.add();
-            Accepted::Answered(Answer::Busy { after_ms })
+impl<'a> RequestInfo<'a> {
+    /// Reads the list. A class or a time that stands twice is an error: one could be believed here and the other at the
+    /// server. Of other names the last counts.
+    fn read(list: &'a [u8]) -> Result<Self, Rejection> {
+        let mut info = RequestInfo::default();
+        for pair in list.split(|b| *b == b',') {
+            match pair {
+                [b'c', b'=', name @ ..] => set_once(&mut info.class, name)?,
+                [b't', b'=', name @ ..] => info.tenant = Some(name),
+                [b'd', b'=', ms @ ..] => {
+                    let wait = milliseconds(ms).ok_or(Rejection::Invalid(BAD_COMMAND))?;
+                    set_once(&mut info.wait, wait)?;
+                }
+                [b'r', b'=', mark @ ..] => info.retry = mark == b"1",
+                _ => {}
+            }
         }
+        Ok(info)
     }
 }
 
-fn reject(intake: &RequestParser, problem: &'static str) -> Accepted {
-    intake.counters.rejected.add();
-    Accepted::Answered(Answer::Error(problem))
+fn set_once<T>(field: &mut Option<T>, value: T) -> Result<(), Rejection> {
+    match field.replace(value) {
+        None => Ok(()),
+        Some(_) => Err(Rejection::Invalid(BAD_COMMAND)),
+    }
 }
 
 fn command(verb: Verb, words: Vec<Bytes>) -> Option<Command> {
     let mut words = words.into_iter().skip(1);
     let (key, id, info) = (words.next()?, words.next()?, words.next()?);
     let value = words.next();
-    let whole = value.is_some() == (verb == Verb::Set) && words.next().is_none();
-    let fit = [&key, &id, &info].iter().all(|word| is_word(word));
-    (whole && fit).then_some(Command {
+    let has_all_words = value.is_some() == (verb == Verb::Set) && words.next().is_none();
+    let is_valid = [&key, &id, &info].iter().all(|word| is_word(word));
+    (has_all_words && is_valid).then_some(Command {
         verb,
         key,
         id,
@@ -112,83 +208,19 @@
     })
 }
 
-/// Danger: a line break or another control character would break out of the HTTP head in which it goes on.
+/// Whether a word can go on in an HTTP head: a line break or another control character would end the line there.
 fn is_word(word: &[u8]) -> bool {
-    (1..=LONGEST_WORD).contains(&word.len()) && word.iter().all(u8::is_ascii_graphic)
-}
-
-/// Why a command becomes no request.
-enum Rejection {
-    Unfit(&'static str),
-    Shed { after_ms: Option<u64> },
-}
-
-impl From<&'static str> for Rejection {
-    fn from(problem: &'static str) -> Self {
-        Rejection::Unfit(problem)
-    }
-}
-
-/// Asked before the key is hashed or anything is entered, so that what is turned away costs little more than its reading.
-fn knock(
-    intake: &RequestParser,
-    class: ClassId,
-    tenant: TenantId,
-    retry: bool,
-) -> Result<(), Rejection> {
-    let arrival = Arrival {
-        tenant: usize::try_from(tenant.0).ok(),
-        class: usize::from(class.0),
-        retry,
-    };
-    match intake.door.borrow_mut().ask(arrival) {
-        AdmissionDecision::Take => Ok(()),
-        AdmissionDecision::Refuse { after_ms } => Err(Rejection::Shed { after_ms }),
-    }
-}
-
-fn request(command: &Command, intake: &RequestParser) -> Result<Request, Rejection> {
-    let (now, terms) = (intake.clock.now(), intake.terms.borrow());
-    let (mut class, mut tenant, mut wait, mut repeat) = (None, TenantId(u32::MAX), None, false);
-    let mut told = [0; 2];
-    for pair in command.info.split(|b| *b == b',') {
-        // Danger: of two classes or two times one would be believed here and the other at the server.
-        told[0] += usize::from(pair.starts_with(b"c="));
-        told[1] += usize::from(pair.starts_with(b"d="));
-        match pair {
-            [b'c', b'=', name @ ..] => class = terms.class(now, name),
-            [b't', b'=', name @ ..] => tenant = terms.tenant(name),
-            [b'd', b'=', ms @ ..] => wait = Some(milliseconds(ms).ok_or(BAD_COMMAND)?),
-            [b'r', b'=', mark @ ..] => repeat = mark == b"1",
-            _ => {}
-        }
-    }
-    if told.iter().any(|times| *times > 1) {
-        return Err(BAD_COMMAND.into());
-    }
-    let (class, rules) = class.ok_or(UNKNOWN_CLASS)?;
-    knock(intake, class, tenant, repeat)?;
-    Ok(Request {
-        id: RequestId(0),
-        class,
-        tenant,
-        key: Some(Key(xxh3_64(&command.key))),
-        // No client waits longer than its class allows, whatever it says.
-        expires_at: now + wait.unwrap_or(rules.deadline).min(rules.deadline),
-        write: command.verb == Verb::Set,
-        retry: repeat,
-    })
+    (1..=MAX_WORD_BYTES).contains(&word.len()) && word.iter().all(u8::is_ascii_graphic)
 }
 
-/// Whole or fractional milliseconds.
+/// Whole or fractional milliseconds. Infinity and signs, which parse as numbers too, are errors.
 fn milliseconds(text: &[u8]) -> Option<Micros> {
-    // Danger: infinity parses as a number, and so does a sign.
-    let digits = text.first().is_some_and(u8::is_ascii_digit);
+    let starts_with_digit = text.first().is_some_and(u8::is_ascii_digit);
     let ms = std::str::from_utf8(text)
         .ok()
-        .filter(|_| digits)?
+        .filter(|_| starts_with_digit)?
         .parse::<f64>()
         .ok()?;
     ms.is_finite()
-        .then(|| (ms.min(LONGEST_WAIT_MS as f64) * MS as f64) as Micros)
+        .then(|| (ms.min(MAX_WAIT_MS as f64) * MS as f64) as Micros)
 }
--- a/crates/stairfront-balancer/src/stages/relay.rs
+++ b/crates/stairfront-balancer/src/stages/relay.rs
@@ -1,61 +1,62 @@
-//! Fifth stage: the end of an attempt is passed on, its value to the client, its outcome to the decision module.
+//! Fifth stage: what an attempt has brought goes on, its value to the client and its outcome to the decision module.
 use std::sync::Arc;
 
 use bytes::Bytes;
+use stairfront_common::time::from_duration;
 use stairfront_policy::interface::{AttemptResult, RequestId};
 
-use crate::clock::micros;
 use crate::messages::{Answer, AnswerBody, AttemptEnd, FinalAnswer};
 use crate::stages::admit::{OpenRequest, RequestTable};
 
 impl RequestTable {
     /// Gives the client its final answer; false if it has had one or has left.
     pub fn answer(&mut self, request: RequestId, answer: impl Into<FinalAnswer>) -> bool {
-        let sender = self.open.get_mut(&request).and_then(OpenRequest::end);
-        // A client that left in this moment is told of by its connection.
+        let sender = self.open.get_mut(&request).and_then(OpenRequest::finish);
+        // If the client leaves at this moment, its connection reports that.
         sender.is_some_and(|sender| sender.send(answer.into()).is_ok())
     }
 
-    /// Danger: clients that ask for large values and read none of them would have all memory filled with answers.
-    fn with_room(&self, value: &Bytes) -> FinalAnswer {
+    /// A value with the memory that it takes until it is written, or a failure where there is none: otherwise clients
+    /// that ask for large values and read none of them could fill all memory with answers.
+    fn reserve_memory(&self, value: &Bytes) -> FinalAnswer {
         let bytes = u32::try_from(value.len()).unwrap_or(u32::MAX);
-        match Arc::clone(&self.room).try_acquire_many_owned(bytes) {
-            Ok(room) => FinalAnswer {
-                room: Some(room),
+        match Arc::clone(&self.answer_memory).try_acquire_many_owned(bytes) {
+            Ok(memory) => FinalAnswer {
+                memory: Some(memory),
                 ..FinalAnswer::from(Answer::Value(value.clone()))
             },
             Err(_) => FinalAnswer::from(Answer::Failed),
         }
     }
 
-    /// What the decision module hears; the first value goes to the client and ends the request.
+    /// Gives the value of an attempt to the client, if it is the first of the request, and returns what the decision
+    /// module is notified of.
     pub fn relay(&mut self, end: &mut AttemptEnd) -> AttemptResult {
         let id = end.attempt.request;
         if let Some(open) = self.open.get_mut(&id) {
-            open.out.retain(|out| out.number != end.attempt.number);
+            open.outstanding
+                .retain(|outstanding| outstanding.number != end.attempt.number);
         }
-        if let Some(value) = &end.verdict.value {
-            self.answer(id, self.with_room(value));
+        if let Some(value) = &end.result.value {
+            self.answer(id, self.reserve_memory(value));
         }
-        if let Some(AnswerBody { length, pieces }) = end.rest.take() {
-            // Where nobody waits for it any more, its connection sees that and ends.
-            self.answer(
-                id,
-                FinalAnswer {
-                    pieces: Some(pieces),
-                    ..FinalAnswer::from(Answer::Large(length))
-                },
-            );
+        if let Some(AnswerBody { length, chunks }) = end.body.take() {
+            let answer = FinalAnswer {
+                chunks: Some(chunks),
+                ..FinalAnswer::from(Answer::Large(length))
+            };
+            // If no client waits for it any more, the server's connection notices that and ends.
+            self.answer(id, answer);
         }
         AttemptResult {
             id,
             attempt: end.attempt.number,
             cache: end.cache,
-            outcome: end.verdict.outcome,
+            outcome: end.result.outcome,
             request_finished: self.open.get(&id).is_none_or(|open| open.answer.is_none()),
-            elapsed: micros(end.begun.elapsed()),
-            cache_status: end.verdict.note,
-            load: end.verdict.load,
+            elapsed: from_duration(end.started_at.elapsed()),
+            cache_status: end.result.cache_status,
+            load: end.result.load,
         }
     }
 }
--- a/crates/stairfront-balancer/src/stages/route.rs
+++ b/crates/stairfront-balancer/src/stages/route.rs
@@ -1,12 +1,15 @@
-//! Third stage: the decision module is told and asked.
+//! Third stage: the decision module is notified, and decides.
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use stairfront_policy::interface::{Action, Event, Micros, PolicySnapshot};
+use stairfront_common::time::Micros;
+use stairfront_policy::interface::{Action, Event, PolicySnapshot};
 use stairfront_policy::Policy;
 use tracing::error;
 
-/// What decides which server, whether to retry and what is refused: events and a time in, actions out.
+/// Decides which server gets a request, whether an attempt is retried and which request is refused: events and a time go
+/// in, actions come out.
 pub trait Decide: 'static {
+    /// Handles one event and adds what it decides to `actions`.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
     /// What a process that takes over from this one should know; nothing by default.
     fn snapshot(&self, _now: Micros) -> PolicySnapshot {
@@ -24,8 +27,8 @@
     }
 }
 
-/// Hands one event over. Danger: a panic in a decision would end every request in flight; it is logged, what was
-/// decided before it is carried out, and false returned.
+/// Hands one event to the decision module; false if it has panicked. A panic is logged, and what was decided before it
+/// stays in `actions`, because it would otherwise end every request in flight.
 pub fn route(
     policy: &mut impl Decide,
     now: Micros,
@@ -34,7 +37,7 @@
 ) -> bool {
     let decided = catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, actions)));
     if decided.is_err() {
-        error!("the decision module panicked on {event:?}");
+        error!(?event, "decision module panicked");
     }
     decided.is_ok()
 }
--- a/crates/stairfront-balancer/src/stages/send.rs
+++ b/crates/stairfront-balancer/src/stages/send.rs
@@ -1,123 +1,128 @@
 //! Fourth stage: a send that was decided becomes a job for the pool of connections.
 use std::rc::Rc;
 
-use stairfront_policy::interface::{CacheId, Micros, Outcome, RequestId};
+use stairfront_common::time::Micros;
+use stairfront_policy::interface::{CacheId, Outcome, RequestId};
 use tokio::sync::oneshot;
 
-use crate::clock::{duration, Instant};
-use crate::messages::{AttemptEnd, AttemptId, Job, Verdict};
-use crate::stages::admit::{Deferred, OutstandingAttempt, RequestTable};
+use crate::clock::{timer_duration, Instant};
+use crate::messages::{AttemptEnd, AttemptId, AttemptOutcome, Job};
+use crate::stages::admit::{OpenRequest, OutstandingAttempt, PlannedSend, RequestTable};
 
+/// What becomes of a send.
 pub enum SendDecision {
+    /// It goes to the pool.
     Job(Job),
-    /// Over before it began: the request has ended or its time is up.
+    /// It has ended before it began: the request has ended or its time is up.
     Ended(AttemptEnd),
-    /// Sent as soon as a cancelled attempt's connection has ended.
+    /// It waits until the connection of a cancelled attempt has ended.
     Deferred,
 }
 
 impl RequestTable {
+    /// Sends a request to a server, for at most `timeout`, and not after `send_within`.
     pub fn send(
         &mut self,
         request: RequestId,
         cache: CacheId,
         timeout: Micros,
-        lapses: Option<Micros>,
+        send_within: Option<Micros>,
     ) -> SendDecision {
         let Some(open) = self.open.get_mut(&request) else {
             let attempt = AttemptId { request, number: 0 };
-            return SendDecision::Ended(moot(attempt, cache));
+            return SendDecision::Ended(never_sent(attempt, cache));
         };
-        let number = open.sent;
-        open.sent = open.sent.saturating_add(1);
-        let lapses = lapses.map(|within| Instant::now() + duration(within));
-        if open.over.get() || number >= open.most || timeout < 0 {
-            return SendDecision::Ended(moot(AttemptId { request, number }, cache));
+        let number = open.attempts_sent;
+        let attempt = AttemptId { request, number };
+        open.attempts_sent = open.attempts_sent.saturating_add(1);
+        let window_end = send_within.map(|within| Instant::now() + timer_duration(within));
+        if open.finished.get() || number >= open.max_attempts || timeout < 0 {
+            return SendDecision::Ended(never_sent(attempt, cache));
         }
-        // Danger: two attempts of one request must not be out at once, and a cancelled one is out until its
+        let send = PlannedSend {
+            number,
+            cache,
+            timeout,
+            window_end,
+        };
+        // Two attempts of one request must not be in flight at once, and a cancelled one is in flight until its
         // connection is closed.
-        if open.out.iter().any(|out| out.cancel.is_none()) {
-            open.deferred = Some(Deferred {
-                number,
-                cache,
-                timeout,
-                lapses,
-            });
+        if open.has_cancelled_attempt() {
+            open.deferred = Some(send);
             return SendDecision::Deferred;
         }
-        SendDecision::Job(job(
-            open,
-            AttemptId { request, number },
-            cache,
-            timeout,
-            lapses,
-        ))
+        SendDecision::Job(open.start(attempt, send))
     }
 
-    /// The send that waited for the end of a cancelled attempt.
+    /// The send that has waited for the end of a cancelled attempt.
     pub fn send_deferred(&mut self, request: RequestId) -> Option<SendDecision> {
         let open = self.open.get_mut(&request)?;
-        if open.out.iter().any(|out| out.cancel.is_none()) {
+        if open.has_cancelled_attempt() {
             return None;
         }
-        let Deferred {
-            number,
-            cache,
-            timeout,
-            lapses,
-        } = open.deferred.take()?;
-        let attempt = AttemptId { request, number };
-        // Danger: nothing more may go out for a request that has had its answer meanwhile.
-        Some(if open.over.get() {
-            SendDecision::Ended(moot(attempt, cache))
+        let send = open.deferred.take()?;
+        let attempt = AttemptId {
+            request,
+            number: send.number,
+        };
+        // Nothing more may be sent for a request that has been answered meanwhile.
+        Some(if open.finished.get() {
+            SendDecision::Ended(never_sent(attempt, send.cache))
         } else {
-            SendDecision::Job(job(open, attempt, cache, timeout, lapses))
+            SendDecision::Job(open.start(attempt, send))
         })
     }
 
+    /// Cancels an attempt; one that has just ended needs no cancelling.
     pub fn cancel(&mut self, request: RequestId, number: u8) {
-        let outs = self.open.get_mut(&request).map(|open| &mut open.out);
-        if let Some(out) = outs.and_then(|outs| outs.iter_mut().find(|out| out.number == number)) {
-            // An attempt that has just ended needs no cancelling.
-            let _ = out.cancel.take().map(|cancel| cancel.send(()));
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
+        let attempt = open
+            .outstanding
+            .iter_mut()
+            .find(|attempt| attempt.number == number);
+        if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
+            // The attempt may have ended at this moment.
+            let _ = cancel.send(());
         }
     }
 }
 
-fn job(
-    open: &mut super::admit::OpenRequest,
-    attempt: AttemptId,
-    cache: CacheId,
-    timeout: Micros,
-    lapses: Option<Instant>,
-) -> Job {
-    let (cancel, cancelled) = oneshot::channel();
-    open.out.push(OutstandingAttempt {
-        number: attempt.number,
-        cancel: Some(cancel),
-    });
-    let sent_at = Instant::now();
-    let give_up = sent_at + duration(timeout);
-    let (command, over) = (open.command.clone(), Rc::clone(&open.over));
-    Job {
-        attempt,
-        cache,
-        command,
-        sent_at,
-        begun: sent_at,
-        give_up,
-        lapses,
-        cancel: cancelled,
-        over,
+impl OpenRequest {
+    fn has_cancelled_attempt(&self) -> bool {
+        self.outstanding
+            .iter()
+            .any(|attempt| attempt.cancel.is_none())
+    }
+
+    fn start(&mut self, attempt: AttemptId, send: PlannedSend) -> Job {
+        let (cancel, cancelled) = oneshot::channel();
+        self.outstanding.push(OutstandingAttempt {
+            number: attempt.number,
+            cancel: Some(cancel),
+        });
+        let now = Instant::now();
+        Job {
+            attempt,
+            cache: send.cache,
+            command: self.command.clone(),
+            decided_at: now,
+            started_at: now,
+            give_up_at: now + timer_duration(send.timeout),
+            window_end: send.window_end,
+            cancel: cancelled,
+            finished: Rc::clone(&self.finished),
+        }
     }
 }
 
-fn moot(attempt: AttemptId, cache: CacheId) -> AttemptEnd {
+fn never_sent(attempt: AttemptId, cache: CacheId) -> AttemptEnd {
     AttemptEnd {
         attempt,
         cache,
-        begun: Instant::now(),
-        verdict: Verdict::bare(Outcome::NeverSent),
-        rest: None,
+        started_at: Instant::now(),
+        result: AttemptOutcome::without_report(Outcome::NeverSent),
+        body: None,
     }
 }
--- a/crates/stairfront-balancer/src/transport.rs
+++ b/crates/stairfront-balancer/src/transport.rs
@@ -1,6 +1,6 @@
-//! The one seam between the balancer and its network: connect, listen, accept, read and write, whether anything
-//! unread has come, close (by dropping). All network code is generic over it, so that the same code runs on the
-//! kernel's sockets and on a network that a test makes up.
+//! The one interface between the balancer and its network: connect, listen, accept, read and write, whether anything
+//! unread has come, close (by dropping). All network code is generic over it, so that the same code runs on the kernel's
+//! sockets and on a simulated network of a test.
 use std::future::Future;
 use std::io;
 use std::io::ErrorKind;
@@ -14,13 +14,15 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tracing::debug;
 
-/// Connections that may wait to be accepted; as tokio's own listeners have it.
+/// Connections that may wait to be accepted; the number of tokio's own listeners.
 const BACKLOG: u32 = 1024;
 
 /// What has come on a connection and was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
+    /// Nothing.
     Nothing,
+    /// Bytes.
     Bytes,
     /// The connection has ended or is broken.
     End,
@@ -28,22 +30,31 @@
 
 /// One connection; dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// What is there now and was not read. Danger: an event loop knows only what was there when it last looked.
+    /// What has come and was not read, by the network itself: the event loop knows only what had come when it last
+    /// polled.
     fn unread(&self) -> Unread;
-    /// Whether the other side has ended, also behind bytes that nobody has read.
+    /// Whether the other side has ended, also behind bytes that were not read.
     fn has_ended(&self) -> bool {
         self.unread() == Unread::End
     }
     /// Waits until something can be read or the connection has ended; reads nothing.
     fn arrival(&self) -> impl Future<Output = ()>;
     /// Gives the connection up as a descriptor, for another process.
+    ///
+    /// # Errors
+    ///
+    /// If this network has no descriptors, or the connection is broken.
     fn release(self) -> io::Result<OwnedFd>
     where
         Self: Sized,
     {
         Err(ErrorKind::Unsupported.into())
     }
-    /// Takes a connection up that another process has given up.
+    /// Adopts a connection that another process has given up.
+    ///
+    /// # Errors
+    ///
+    /// If this network has no descriptors, or the descriptor is not a connection.
     fn adopt(_: OwnedFd) -> io::Result<Self>
     where
         Self: Sized,
@@ -52,19 +63,33 @@
     }
 }
 
+/// Accepts connections at one address.
 pub trait Listener: 'static {
+    /// What it accepts.
     type Stream: Stream;
+    /// The next connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
+    /// The address it listens at.
+    ///
+    /// # Errors
+    ///
+    /// If the system does not know it.
     fn local_address(&self) -> io::Result<SocketAddr>;
-    /// Another descriptor of it, for another process.
+    /// Another descriptor of the listener, for another process.
+    ///
+    /// # Errors
+    ///
+    /// If this network has no descriptors, or none is left.
     fn duplicate(&self) -> io::Result<OwnedFd> {
         Err(ErrorKind::Unsupported.into())
     }
 }
 
+/// Makes connections.
 pub trait Network: Clone + 'static {
+    /// What it makes.
     type Stream: Stream;
-    /// AbortOnDrop with an error as soon as it is known that the connection cannot be made; the caller bounds the time.
+    /// Makes a connection. It fails as soon as it is known that none can be made; the caller bounds the time.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
@@ -89,8 +114,8 @@
     async fn accept(&self) -> io::Result<TcpStream> {
         let (socket, _) = TcpListener::accept(self).await?;
         // Answers are small and each is waited for; without it they only come later.
-        if let Err(problem) = socket.set_nodelay(true) {
-            debug!("no TCP_NODELAY: {problem}");
+        if let Err(error) = socket.set_nodelay(true) {
+            debug!(%error, "TCP_NODELAY not set");
         }
         Ok(socket)
     }
@@ -104,7 +129,12 @@
     }
 }
 
-/// Listens where another process may listen too: one that hands nothing over must not keep its successor from starting.
+/// Listens at an address where another process may listen too: one that hands nothing over must not keep its successor
+/// from starting.
+///
+/// # Errors
+///
+/// If the address cannot be bound.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() {
         TcpSocket::new_v4()
@@ -118,16 +148,12 @@
 }
 
 impl Stream for TcpStream {
-    /// Asks the kernel itself.
     fn unread(&self) -> Unread {
         match SockRef::from(self).peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => Unread::End,
             Ok(_) => Unread::Bytes,
-            Err(problem)
-                if matches!(
-                    problem.kind(),
-                    ErrorKind::WouldBlock | ErrorKind::Interrupted
-                ) =>
+            Err(error)
+                if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
                 Unread::Nothing
             }
@@ -135,10 +161,10 @@
         }
     }
 
-    /// The event queue tells the end by itself, wherever reading stands.
+    /// The event queue reports the end by itself, however far the input has been read.
     fn has_ended(&self) -> bool {
-        let told = self.ready(Interest::READABLE).now_or_never();
-        told.is_some_and(|ready| ready.map_or(true, |ready| ready.is_read_closed()))
+        let ready = self.ready(Interest::READABLE).now_or_never();
+        ready.is_some_and(|ready| ready.map_or(true, |ready| ready.is_read_closed()))
             || self.unread() == Unread::End
     }
 
@@ -153,7 +179,7 @@
     }
 
     async fn arrival(&self) {
-        // An error is an end, which the next read tells.
+        // An error is an end, which the next read reports.
         let _ = self.peek(&mut [0]).await;
     }
 }
--- a/crates/stairfront-balancer/src/upstream/cache_host.rs
+++ b/crates/stairfront-balancer/src/upstream/cache_host.rs
@@ -1,5 +1,5 @@
-//! How cache hosts are spoken to: RESP2, one command at a time on a connection. Only the protocol's own forms count as
-//! answers; anything else has spoilt the attempt, which may have run, and the connection.
+//! The protocol of cache hosts: RESP2, one command at a time on a connection. Only the protocol's own forms count as
+//! replies; anything else is malformed: the attempt may have run, and the connection is closed.
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -10,20 +10,21 @@
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::messages::{Outgoing, Verb, Verdict};
-use crate::upstream::connection::UpstreamProtocol;
+use crate::messages::{AttemptOutcome, Outgoing, Verb};
+use crate::upstream::connection::{InterpretedReply, UpstreamProtocol};
 use crate::upstream::load_report::load_report;
 
-/// Longest word on how a request went.
-const LONGEST_NOTE: usize = 16;
+/// Longest word on the key's state, in bytes.
+const MAX_STATUS_BYTES: usize = 16;
 
-/// Commands out, replies in.
+/// Encodes commands and decodes replies.
 #[derive(Debug)]
 pub struct CacheCodec(PartReader);
 
 impl CacheCodec {
-    pub fn new(largest_value: usize, budget: &Rc<Budget>) -> Self {
-        CacheCodec(PartReader::new(largest_value, budget))
+    /// A codec that reads values of at most `max_value_bytes`; `budget` is for replies that have not come as a whole.
+    pub fn new(max_value_bytes: usize, budget: &Rc<Budget>) -> Self {
+        CacheCodec(PartReader::new(max_value_bytes, budget))
     }
 }
 
@@ -45,15 +46,15 @@
             Verb::Get => (&b"C.GET"[..], 4),
             Verb::Set => (&b"C.SET"[..], 4 + usize::from(command.value.is_some())),
         };
-        let apart = outgoing.apart().map_or(0, Bytes::len);
-        dst.reserve(command.bytes() - apart + 64);
+        let separate = outgoing.separate_value().map_or(0, Bytes::len);
+        dst.reserve(command.bytes() - separate + 64);
         put_number(dst, b'*', words);
         put_bulk(dst, verb);
         put_bulk(dst, &command.key);
         put_bulk(dst, &command.id);
         put_bulk(dst, &outgoing.info());
         match (command.verb, &command.value) {
-            (Verb::Set, Some(value)) if apart > 0 => put_number(dst, b'$', value.len()),
+            (Verb::Set, Some(value)) if separate > 0 => put_number(dst, b'$', value.len()),
             (Verb::Set, Some(value)) => put_bulk(dst, value),
             _ => {}
         }
@@ -63,22 +64,22 @@
 
 impl UpstreamProtocol for CacheCodec {
     type Reply = Value;
-    const BEHIND: &'static [u8] = b"\r\n";
+    const VALUE_TERMINATOR: &'static [u8] = b"\r\n";
 
-    fn new(_: SocketAddr, largest_value: usize, budget: &Rc<Budget>) -> Self {
-        CacheCodec::new(largest_value, budget)
+    fn new(_: SocketAddr, max_value_bytes: usize, budget: &Rc<Budget>) -> Self {
+        CacheCodec::new(max_value_bytes, budget)
     }
 
-    fn verdict(reply: Value, report: &[String]) -> (Verdict, bool) {
-        let verdict = match reply {
-            Value::Array(items) => cache_reply(items, report),
-            Value::Error(line) => error_reply(&line, report),
+    fn interpret(reply: Value, report_fields: &[String]) -> InterpretedReply {
+        let result = match reply {
+            Value::Array(items) => cache_reply(items, report_fields),
+            Value::Error(line) => error_reply(&line, report_fields),
             _ => None,
         };
-        match verdict {
-            Some(verdict) => (verdict, true),
-            None => (Verdict::bare(Outcome::Malformed), false),
-        }
+        result.map_or_else(InterpretedReply::malformed, |result| InterpretedReply {
+            result,
+            reusable: true,
+        })
     }
 
     fn is_malformed(error: &RespError) -> bool {
@@ -86,16 +87,18 @@
     }
 }
 
-/// An array of three: the value or null, how it went or null, the load report or null.
-fn cache_reply(items: Vec<Value>, report: &[String]) -> Option<Verdict> {
-    let [value, note, load] = <[Value; 3]>::try_from(items).ok()?;
-    let note = match note {
+/// Reads an array of three: the value or null, the key's state or null, the load report or null.
+fn cache_reply(items: Vec<Value>, report_fields: &[String]) -> Option<AttemptOutcome> {
+    let [value, status, load] = <[Value; 3]>::try_from(items).ok()?;
+    let cache_status = match status {
         Value::Null => CacheStatus::None,
         Value::Bulk(word) => match &word[..] {
             b"hit" => CacheStatus::Hit,
             b"miss" => CacheStatus::Fetched,
             b"pending" => CacheStatus::FetchPending,
-            other if other.len() <= LONGEST_NOTE && other.iter().all(u8::is_ascii_alphabetic) => {
+            other
+                if other.len() <= MAX_STATUS_BYTES && other.iter().all(u8::is_ascii_alphabetic) =>
+            {
                 CacheStatus::None
             }
             _ => return None,
@@ -104,7 +107,7 @@
     };
     let load = match load {
         Value::Null => LoadReport::default(),
-        Value::Bulk(text) => load_report(&text, report),
+        Value::Bulk(text) => load_report(&text, report_fields),
         _ => return None,
     };
     let (outcome, value) = match value {
@@ -112,17 +115,17 @@
         Value::Null => (Outcome::Miss, None),
         _ => return None,
     };
-    Some(Verdict {
+    Some(AttemptOutcome {
         outcome,
-        note,
+        cache_status,
         load,
         value,
     })
 }
 
-/// `BUSY` or `ERR failed`, perhaps with a load report behind a space. Danger: a line that only begins like `BUSY` would
-/// pass for proof that nothing ran.
-fn error_reply(line: &[u8], report: &[String]) -> Option<Verdict> {
+/// Reads `BUSY` or `ERR failed`, perhaps with a load report behind a space. The line must match as a whole: `BUSY` proves
+/// that the request did not run, and a line that only begins like it does not.
+fn error_reply(line: &[u8], report_fields: &[String]) -> Option<AttemptOutcome> {
     let forms = [
         (&b"BUSY"[..], Outcome::Full),
         (b"ERR failed", Outcome::Errored),
@@ -130,17 +133,17 @@
     forms.into_iter().find_map(|(form, outcome)| {
         let load = match line.strip_prefix(form)? {
             [] => LoadReport::default(),
-            [b' ', text @ ..] if is_report(text, report) => load_report(text, report),
+            [b' ', text @ ..] if is_report(text, report_fields) => load_report(text, report_fields),
             _ => return None,
         };
-        Some(Verdict {
+        Some(AttemptOutcome {
             load,
-            ..Verdict::bare(outcome)
+            ..AttemptOutcome::without_report(outcome)
         })
     })
 }
 
-/// Whether a text names fields of a load report and nothing else; their figures may be anything.
+/// Whether a text names fields of a load report and nothing else; their values may be anything.
 fn is_report(text: &[u8], fields: &[String]) -> bool {
     text.split(|b| *b == b',').all(|pair| {
         let mut parts = pair.splitn(2, |b| *b == b'=');
--- a/crates/stairfront-balancer/src/upstream/connection.rs
+++ b/crates/stairfront-balancer/src/upstream/connection.rs
@@ -1,377 +1,349 @@
-//! One connection to a server: a task that owns the socket, carries one attempt at a time and gives the socket back
-//! by ending.
+//! One connection to a server: a task that owns the socket, carries one attempt at a time, and ends by closing the socket.
 use std::cell::Cell;
-use std::fmt::Debug;
+use std::fmt::{Debug, Display};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::Buf;
-use futures_util::{SinkExt, StreamExt};
+use futures_util::StreamExt;
 use stairfront_codec::budget::Budget;
 use stairfront_codec::part::Part;
-use stairfront_codec::resp::shrink;
 use stairfront_policy::interface::Outcome;
-use tokio::io::AsyncWriteExt;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio_util::codec::{Decoder, Encoder, Framed};
 use tracing::debug;
 
-use crate::clock::{sleep_until, timeout, timeout_at, Instant};
+use crate::clock::{timeout, timeout_at, Instant};
 use crate::counters::Counters;
 use crate::messages::{
-    AnswerBody, AttemptEnd, BodyChunk, ConnectionId, EngineEvent, Job, Outgoing, PoolEvent, Verdict,
+    AnswerBody, AttemptEnd, AttemptOutcome, BodyChunk, ConnectionId, EngineEvent, Job, Outgoing,
+    PoolEvent,
 };
 use crate::transport::{Network, Stream, Unread};
+use crate::upstream::exchange::{cancelled, exchange, ExchangeOutcome};
 
-/// Pieces of a large value that wait for its client.
+/// Chunks of a large value that wait for its client.
 const MAX_QUEUED_CHUNKS: usize = 1;
-/// The most that one piece of a large value has. Danger: each costs two system calls and two wakes, and with the few
-/// kilobytes that a codec reads at once a part of a core is used up by them alone.
-const PIECE: usize = 32 * 1024;
-/// With less room than this a buffer is not read into any more.
-const LEAST_ROOM: usize = 4 * 1024;
+/// The most bytes that one chunk of a large value has. Each costs two system calls and two wakes; with the few kilobytes
+/// that a codec reads at once they would take a part of a core by themselves.
+const CHUNK_BYTES: usize = 32 * 1024;
+/// With less free space than this a buffer is not read into any more.
+const MIN_BUFFER_SPACE: usize = 4 * 1024;
 
-/// How one kind of server is spoken to.
+/// The protocol of one kind of server.
 pub trait UpstreamProtocol:
-    Decoder<Item = Part<Self::Reply>> + Encoder<Outgoing, Error = <Self as Decoder>::Error> + Sized
+    Decoder<Item = Part<Self::Reply>, Error: Display + 'static>
+    + Encoder<Outgoing, Error = <Self as Decoder>::Error>
+    + Sized
 {
+    /// A reply as the codec reads it.
     type Reply: Debug;
-    /// What stands behind a value that was written apart from its command.
-    const BEHIND: &'static [u8];
-    fn new(address: SocketAddr, largest_value: usize, budget: &Rc<Budget>) -> Self;
-    /// What a reply means, and whether the connection can carry another request.
-    fn verdict(reply: Self::Reply, report: &[String]) -> (Verdict, bool);
-    /// Whether what came could not be read, or nothing more could come.
+    /// What follows a value that was written separately from its command.
+    const VALUE_TERMINATOR: &'static [u8];
+    /// A codec for one connection.
+    fn new(address: SocketAddr, max_value_bytes: usize, budget: &Rc<Budget>) -> Self;
+    /// What a reply means, with the load report's fields by their order in the settings.
+    fn interpret(reply: Self::Reply, report_fields: &[String]) -> InterpretedReply;
+    /// Whether the input could not be read, as opposed to a connection that failed.
     fn is_malformed(error: &<Self as Decoder>::Error) -> bool;
 }
 
-/// What every connection's task needs to know.
+/// What a reply means.
+#[derive(Debug)]
+pub struct InterpretedReply {
+    /// What the attempt has brought.
+    pub result: AttemptOutcome,
+    /// Whether the connection can carry another request.
+    pub reusable: bool,
+}
+
+impl InterpretedReply {
+    /// A reply in none of the protocol's forms: the attempt may have run, and the connection cannot be used again.
+    pub fn malformed() -> Self {
+        InterpretedReply {
+            result: AttemptOutcome::without_report(Outcome::Malformed),
+            reusable: false,
+        }
+    }
+}
+
+/// What every connection's task needs.
 pub struct ConnectionContext<N> {
+    /// Makes connections.
     pub network: N,
-    pub inbox: mpsc::Sender<EngineEvent>,
+    /// Leads to the engine.
+    pub events: mpsc::Sender<EngineEvent>,
+    /// What `INFO` prints.
     pub counters: Rc<Counters>,
-    pub report: Vec<String>,
+    /// Names of the load report's fields.
+    pub report_fields: Vec<String>,
+    /// For making a connection.
     pub connect_timeout: Cell<Duration>,
-    pub idle_limit: Cell<Duration>,
-    /// A server that brings no byte for so long of a value that it has begun is gone.
-    pub stall_limit: Cell<Duration>,
-    pub largest_value: usize,
-    /// For replies that are not whole yet.
+    /// After this an idle connection is closed.
+    pub idle_timeout: Cell<Duration>,
+    /// A server that sends no byte of a value for this long counts as failed.
+    pub stall_timeout: Cell<Duration>,
+    /// The largest value that is read.
+    pub max_value_bytes: usize,
+    /// Memory for replies that have not come as a whole.
     pub budget: Rc<Budget>,
 }
 
 /// The owner of one socket.
 pub struct ConnectionTask<N: Network> {
+    /// Number of the connection.
     pub id: ConnectionId,
+    /// The server.
     pub address: SocketAddr,
-    /// Raised when nothing new may be begun at this server.
+    /// Set when nothing new may be begun at this server.
     pub barred: Rc<Cell<bool>>,
-    pub common: Rc<ConnectionContext<N>>,
+    /// Shared by all connections.
+    pub context: Rc<ConnectionContext<N>>,
+    /// Further attempts; the pool drops the sender to have an idle connection closed.
     pub jobs: mpsc::Receiver<Job>,
+    /// When the last attempt began.
+    pub used_at: Instant,
+}
+
+/// What the end of a connection is reported with.
+#[derive(Default)]
+struct Closing {
+    end: Option<AttemptEnd>,
+    unsent: Option<Job>,
+    surplus: bool,
 }
 
 impl<N: Network> ConnectionTask<N> {
-    pub async fn run<S: UpstreamProtocol>(mut self, first: Job)
-    where
-        <S as Decoder>::Error: std::fmt::Display + 'static,
-    {
+    /// Connects and carries attempts, `first` before all others, until the connection ends.
+    pub async fn run<P: UpstreamProtocol>(mut self, first: Job) {
         let mut job = first;
-        let mut wire = match self.connect::<S>(&mut job).await {
-            Ok(wire) => wire,
+        let mut framed = match self.connect::<P>(&mut job).await {
+            Ok(framed) => framed,
             Err(outcome) => {
-                let outcome = if job.has_lapsed() {
+                let outcome = if job.window_is_closed() {
                     Outcome::NeverSent
                 } else {
                     outcome
                 };
-                return self
-                    .closed(Some(job.end(Verdict::bare(outcome))), None)
-                    .await;
+                return self.report_closed(ended(&job, outcome)).await;
             }
         };
+        // In each case the socket is closed before its end is reported: late bytes must never reach another request, and
+        // the attempt must be over for the server before another one is sent.
         loop {
-            if self.barred.get() {
-                // The socket goes first, as always; not a byte of the attempt was written.
-                drop(wire);
-                return self
-                    .closed(Some(job.end(Verdict::bare(Outcome::NeverSent))), None)
-                    .await;
-            }
-            // The server may count from here at the earliest: its answer, or this loop, may have been late.
-            let used = Instant::now();
-            let exchanged = match job.may_begin() {
-                true => exchange(&mut wire, &mut job, &self.common.report).await,
-                // Nothing was written: the connection is as good as it was.
-                false => ExchangeOutcome::Over(Verdict::bare(Outcome::NeverSent), true),
-            };
-            let (end, reusable) = match exchanged {
-                ExchangeOutcome::Over(verdict, reusable) => (Some(job.end(verdict)), reusable),
-                ExchangeOutcome::Begun(verdict, length) => {
-                    let (pieces, coming) = mpsc::channel(MAX_QUEUED_CHUNKS);
-                    let rest = Some(AnswerBody {
-                        length,
-                        pieces: coming,
-                    });
-                    let end = AttemptEnd {
-                        rest,
-                        ..job.end(verdict)
-                    };
-                    self.tell(PoolEvent::Begun { end }).await;
-                    (None, pass_on(&mut wire, &pieces, &self.common).await)
-                }
-            };
-            let surplus = reusable && !is_quiet(&wire);
-            // One that its server has closed behind the answer brings nothing more.
-            let more = surplus && has_more(&wire);
-            if surplus {
-                self.common.counters.server_connections_surplus.add();
-            }
-            if !reusable || surplus {
-                // Danger: late bytes must never reach another request, and the attempt must be over for the
-                // server before another one is sent. So the socket is closed before the end is told.
-                drop(wire);
-                return self.closed_with(end, None, more).await;
+            if let Err(closing) = self.carry(&mut framed, job).await {
+                drop(framed);
+                return self.report_closed(closing).await;
             }
-            self.tell(PoolEvent::Idle {
-                connection: self.id,
-                end,
-            })
-            .await;
-            let until = used + self.common.idle_limit.get();
-            let next = self.next_job(&mut wire, until).await;
-            let quiet = is_quiet(&wire);
-            match next {
-                // Danger: a loop that stood still finds the job and the end of the time at once.
-                Some(next) if quiet && Instant::now() < until => job = next,
-                next => {
-                    let surplus = has_more(&wire);
-                    if surplus {
-                        self.common.counters.server_connections_surplus.add();
-                    }
-                    drop(wire);
+            match self.wait_for_job(&mut framed).await {
+                Ok(next) => job = next,
+                Err(mut closing) => {
+                    drop(framed);
                     self.jobs.close();
-                    let unsent = next.or_else(|| self.jobs.try_recv().ok());
-                    return self.closed_with(None, unsent, surplus).await;
+                    closing.unsent = closing.unsent.or_else(|| self.jobs.try_recv().ok());
+                    return self.report_closed(closing).await;
                 }
             }
         }
     }
 
-    async fn connect<S: UpstreamProtocol>(
+    async fn connect<P: UpstreamProtocol>(
         &self,
         job: &mut Job,
-    ) -> Result<Framed<N::Stream, S>, Outcome> {
-        let limit = job.connect_limit(self.common.connect_timeout.get());
+    ) -> Result<Framed<N::Stream, P>, Outcome> {
+        let context = &self.context;
+        let deadline = job.connect_deadline(context.connect_timeout.get());
         tokio::select! {
             biased;
             () = cancelled(&mut job.cancel) => Err(Outcome::Cancelled),
-            connected = timeout_at(limit, self.common.network.connect(self.address)) => match connected {
+            connected = timeout_at(deadline, context.network.connect(self.address)) => match connected {
                 Ok(Ok(socket)) => {
-                    let ConnectionContext { largest_value, budget, .. } = &*self.common;
-                    Ok(Framed::new(socket, S::new(self.address, *largest_value, budget)))
+                    let codec = P::new(self.address, context.max_value_bytes, &context.budget);
+                    Ok(Framed::new(socket, codec))
                 }
                 Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
             },
         }
     }
 
-    /// The next attempt for this connection; none if it has ended, stood idle too long or is to close.
-    async fn next_job<S: UpstreamProtocol>(
+    /// Carries one attempt and reports its end; an error if the connection cannot carry another one.
+    async fn carry<P: UpstreamProtocol>(
         &mut self,
-        wire: &mut Framed<N::Stream, S>,
-        until: Instant,
-    ) -> Option<Job> {
-        tokio::select! {
-            biased;
-            // The end of the connection, or bytes that nobody asked for: either way it is of no more use.
-            () = wire.get_ref().arrival() => None,
-            job = timeout_at(until, self.jobs.recv()) => job.ok().flatten(),
+        framed: &mut Framed<N::Stream, P>,
+        mut job: Job,
+    ) -> Result<(), Box<Closing>> {
+        if self.barred.get() {
+            // Not a byte of the attempt was written.
+            return Err(ended(&job, Outcome::NeverSent));
         }
+        self.used_at = Instant::now();
+        let outcome = if job.may_begin() {
+            exchange(framed, &mut job, &self.context.report_fields).await
+        } else {
+            // Nothing was written, and the connection can be used again.
+            ExchangeOutcome::Finished(InterpretedReply {
+                result: AttemptOutcome::without_report(Outcome::NeverSent),
+                reusable: true,
+            })
+        };
+        let (end, reusable) = match outcome {
+            ExchangeOutcome::Finished(reply) => (Some(job.end(reply.result)), reply.reusable),
+            ExchangeOutcome::BodyStarted { result, length } => {
+                (None, self.stream_body(framed, &job, result, length).await)
+            }
+        };
+        let has_surplus = reusable && !is_quiet(framed);
+        if reusable && !has_surplus {
+            let connection = self.id;
+            self.report(PoolEvent::Idle { connection, end }).await;
+            return Ok(());
+        }
+        if has_surplus {
+            self.context.counters.server_connections_surplus.add();
+        }
+        Err(Box::new(Closing {
+            end,
+            unsent: None,
+            // A connection that the server has closed behind the answer brings nothing more.
+            surplus: has_surplus && has_more_input(framed),
+        }))
     }
 
-    async fn closed(self, end: Option<AttemptEnd>, unsent: Option<Job>) {
-        self.closed_with(end, unsent, false).await;
+    /// Reports that a large value has begun to come, and forwards it; whether the connection can be used again.
+    async fn stream_body<P: UpstreamProtocol>(
+        &self,
+        framed: &mut Framed<N::Stream, P>,
+        job: &Job,
+        result: AttemptOutcome,
+        length: usize,
+    ) -> bool {
+        let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let end = AttemptEnd {
+            body: Some(AnswerBody { length, chunks }),
+            ..job.end(result)
+        };
+        self.report(PoolEvent::BodyStarted { end }).await;
+        forward_body(framed, &sender, &self.context).await
     }
 
-    async fn closed_with(self, end: Option<AttemptEnd>, unsent: Option<Job>, surplus: bool) {
-        let (connection, unsent) = (self.id, unsent.map(Box::new));
-        self.tell(PoolEvent::Closed {
-            connection,
-            end,
-            unsent,
-            surplus,
+    /// The next attempt for this connection; an error if the connection has ended, was idle too long or is to close.
+    async fn wait_for_job<P: UpstreamProtocol>(
+        &mut self,
+        framed: &mut Framed<N::Stream, P>,
+    ) -> Result<Job, Box<Closing>> {
+        // The server may count its own idle time from the last use at the earliest: its answer, or this loop, may have been
+        // late.
+        let deadline = self.used_at + self.context.idle_timeout.get();
+        let next = tokio::select! {
+            biased;
+            // The end of the connection, or bytes that were not asked for: in both cases it is of no more use.
+            () = framed.get_ref().arrival() => None,
+            job = timeout_at(deadline, self.jobs.recv()) => job.ok().flatten(),
+        };
+        // A loop that stood still finds the job and the deadline at once.
+        let usable = is_quiet(framed) && Instant::now() < deadline;
+        match next {
+            Some(job) if usable => Ok(job),
+            unsent => {
+                let surplus = has_more_input(framed);
+                if surplus {
+                    self.context.counters.server_connections_surplus.add();
+                }
+                Err(Box::new(Closing {
+                    end: None,
+                    unsent,
+                    surplus,
+                }))
+            }
+        }
+    }
+
+    async fn report_closed(self, closing: Box<Closing>) {
+        self.report(PoolEvent::Closed {
+            connection: self.id,
+            end: closing.end,
+            unsent: closing.unsent.map(Box::new),
+            surplus: closing.surplus,
         })
         .await;
     }
 
-    async fn tell(&self, news: PoolEvent) {
-        // The engine is gone only when the whole balancer ends.
-        let _ = self
-            .common
-            .inbox
-            .send(EngineEvent::UpstreamPool(news))
-            .await;
+    async fn report(&self, event: PoolEvent) {
+        // The engine ends only with the whole balancer.
+        let _ = self.context.events.send(EngineEvent::Pool(event)).await;
     }
 }
 
-/// Danger: a reply names no request. What stands behind a good one would answer the next request on the connection.
-fn is_quiet<T: Stream, S>(wire: &Framed<T, S>) -> bool {
-    wire.read_buffer().is_empty() && wire.get_ref().unread() == Unread::Nothing
-}
-
-/// Bytes stand behind what was asked for.
-fn has_more<T: Stream, S>(wire: &Framed<T, S>) -> bool {
-    !wire.read_buffer().is_empty() || wire.get_ref().unread() == Unread::Bytes
+/// A connection that ends with an attempt of which the server has reported nothing.
+fn ended(job: &Job, outcome: Outcome) -> Box<Closing> {
+    Box::new(Closing {
+        end: Some(job.end(AttemptOutcome::without_report(outcome))),
+        ..Closing::default()
+    })
 }
 
-async fn cancelled(cancel: &mut oneshot::Receiver<()>) {
-    if cancel.await.is_err() {
-        std::future::pending().await
-    }
+/// Whether nothing has come behind the last reply. A reply names no request: what stands behind a well-formed one would
+/// answer the next request on the connection.
+fn is_quiet<T: Stream, P>(framed: &Framed<T, P>) -> bool {
+    framed.read_buffer().is_empty() && framed.get_ref().unread() == Unread::Nothing
 }
 
-/// What became of a command.
-enum ExchangeOutcome {
-    /// The attempt is over; whether the connection can be used again.
-    Over(Verdict, bool),
-    /// A value of so many bytes has begun to come.
-    Begun(Verdict, usize),
+/// Whether bytes have come behind what was asked for.
+fn has_more_input<T: Stream, P>(framed: &Framed<T, P>) -> bool {
+    !framed.read_buffer().is_empty() || framed.get_ref().unread() == Unread::Bytes
 }
 
-/// Passes a large value on as it comes; whether the connection can be used again. Danger: read ahead of its client, values
-/// together far over the memory limit would be held. What is not wanted yet stays with the server.
-async fn pass_on<T: Stream, S: UpstreamProtocol, N>(
-    wire: &mut Framed<T, S>,
-    pieces: &mpsc::Sender<BodyChunk>,
-    common: &ConnectionContext<N>,
-) -> bool
-where
-    <S as Decoder>::Error: std::fmt::Display + 'static,
-{
+/// Forwards a large value as it comes; whether the connection can be used again. Only one chunk is read ahead of the
+/// client, since such values together may be far larger than the memory limit; the rest stays with the server.
+async fn forward_body<T: Stream, P: UpstreamProtocol, N>(
+    framed: &mut Framed<T, P>,
+    chunks: &mpsc::Sender<BodyChunk>,
+    context: &ConnectionContext<N>,
+) -> bool {
     loop {
-        // What is left of the last buffer is filled first: many small pieces share one.
-        let buffer = wire.read_buffer_mut();
-        if buffer.capacity() - buffer.len() < LEAST_ROOM {
-            buffer.reserve(PIECE);
-        }
-        let part = match timeout(common.stall_limit.get(), wire.next()).await {
-            Ok(Some(Ok(part))) => part,
-            Ok(Some(Err(problem))) => {
-                debug!("a large value broke: {problem}");
-                break;
-            }
-            Ok(None) | Err(_) => break,
+        let Some(part) = read_body_part(framed, context.stall_timeout.get()).await else {
+            break;
         };
-        let (piece, reusable) = match part {
+        let (chunk, reusable) = match part {
             Part::Piece(bytes) => (BodyChunk::Bytes(bytes), None),
-            Part::Done(reply) => match S::verdict(reply, &common.report) {
-                (
-                    Verdict {
-                        outcome: Outcome::Served,
-                        ..
-                    },
-                    reusable,
-                ) => (BodyChunk::End, Some(reusable)),
-                // What stands behind the value belongs to no answer: the value may be wrong as well.
-                _ => break,
-            },
+            Part::Done(reply) => {
+                let reply = P::interpret(reply, &context.report_fields);
+                // What stands behind the value belongs to no answer, so the value may be wrong as well.
+                if reply.result.outcome != Outcome::Served {
+                    break;
+                }
+                (BodyChunk::End, Some(reply.reusable))
+            }
             Part::Whole(_) | Part::Begun(..) => break,
         };
         // The client has left, or reads nothing.
-        if pieces.send(piece).await.is_err() {
+        if chunks.send(chunk).await.is_err() {
             return false;
         }
         if let Some(reusable) = reusable {
             return reusable;
         }
     }
-    common.counters.streams_broken.add();
+    context.counters.streams_broken.add();
     false
 }
 
-/// One command and what comes back.
-async fn exchange<T: Stream, S: UpstreamProtocol>(
-    wire: &mut Framed<T, S>,
-    job: &mut Job,
-    report: &[String],
-) -> ExchangeOutcome
-where
-    <S as Decoder>::Error: std::fmt::Display + 'static,
-{
-    let left = job.give_up.saturating_duration_since(Instant::now());
-    let outgoing = Outgoing {
-        command: job.command.clone(),
-        left_ms: left.as_millis() as u64,
-    };
-    let whole_by = job.whole_by();
-    let mut written = false;
-    let talk = async {
-        let apart = outgoing.apart().cloned();
-        let sent = async {
-            wire.send(outgoing).await?;
-            if let Some(value) = apart {
-                let socket = wire.get_mut();
-                socket
-                    .write_all_buf(&mut Buf::chain(value, S::BEHIND))
-                    .await?;
-                socket.flush().await?;
-            }
-            Ok::<(), <S as Encoder<Outgoing>>::Error>(())
-        };
-        match timeout_at(whole_by, sent).await {
-            Ok(Ok(())) => {}
-            Ok(Err(problem)) => {
-                debug!("request not written: {problem}");
-                return ExchangeOutcome::Over(Verdict::bare(Outcome::ConnectFailed), false);
-            }
-            // Closed before its last byte was written, it never ran.
-            Err(_) => return ExchangeOutcome::Over(Verdict::bare(Outcome::ConnectFailed), false),
-        }
-        written = true;
-        shrink(wire.write_buffer_mut());
-        match wire.next().await {
-            Some(Ok(Part::Whole(reply))) => {
-                let (verdict, reusable) = S::verdict(reply, report);
-                ExchangeOutcome::Over(verdict, reusable)
-            }
-            Some(Ok(Part::Begun(length, reply))) => {
-                let (verdict, _) = S::verdict(reply, report);
-                ExchangeOutcome::Begun(
-                    Verdict {
-                        value: None,
-                        ..verdict
-                    },
-                    length,
-                )
-            }
-            // No reader yields these first.
-            Some(Ok(Part::Piece(_) | Part::Done(_))) => {
-                ExchangeOutcome::Over(Verdict::bare(Outcome::Malformed), false)
-            }
-            Some(Err(problem)) => {
-                debug!("reply not read: {problem}");
-                let outcome = if S::is_malformed(&problem) {
-                    Outcome::Malformed
-                } else {
-                    Outcome::Reset
-                };
-                ExchangeOutcome::Over(Verdict::bare(outcome), false)
-            }
-            None => ExchangeOutcome::Over(Verdict::bare(Outcome::Reset), false),
+/// The next part of a large value; `None` if the server stalls or the connection fails.
+async fn read_body_part<T: Stream, P: UpstreamProtocol>(
+    framed: &mut Framed<T, P>,
+    limit: Duration,
+) -> Option<Part<P::Reply>> {
+    // What is left of the last buffer is filled first, so that many small chunks share one.
+    let buffer = framed.read_buffer_mut();
+    if buffer.capacity() - buffer.len() < MIN_BUFFER_SPACE {
+        buffer.reserve(CHUNK_BYTES);
+    }
+    match timeout(limit, framed.next()).await {
+        Ok(Some(Ok(part))) => Some(part),
+        Ok(Some(Err(error))) => {
+            debug!(%error, "large value broken off");
+            None
         }
-    };
-    let outcome = tokio::select! {
-        biased;
-        done = talk => return done,
-        () = cancelled(&mut job.cancel) => Outcome::Cancelled,
-        () = sleep_until(job.give_up) => Outcome::TimedOut,
-    };
-    // What was never written whole never ran.
-    let outcome = if !written && outcome == Outcome::TimedOut {
-        Outcome::ConnectFailed
-    } else {
-        outcome
-    };
-    ExchangeOutcome::Over(Verdict::bare(outcome), false)
+        Ok(None) | Err(_) => None,
+    }
 }
--- /dev/null
+++ b/crates/stairfront-balancer/src/upstream/exchange.rs
@@ -0,0 +1,129 @@
+//! One command on a connection to a server, and what comes back.
+use bytes::Buf;
+use futures_util::{SinkExt, StreamExt};
+use stairfront_codec::part::Part;
+use stairfront_codec::resp::shrink;
+use stairfront_policy::interface::Outcome;
+use tokio::io::AsyncWriteExt;
+use tokio::sync::oneshot;
+use tokio_util::codec::{Encoder, Framed};
+use tracing::debug;
+
+use crate::clock::{sleep_until, timeout_at, Instant};
+use crate::messages::{AttemptOutcome, Job, Outgoing};
+use crate::transport::Stream;
+use crate::upstream::connection::{InterpretedReply, UpstreamProtocol};
+
+/// What became of a command.
+pub(super) enum ExchangeOutcome {
+    /// The attempt has ended.
+    Finished(InterpretedReply),
+    /// A large value has begun to come.
+    BodyStarted {
+        result: AttemptOutcome,
+        length: usize,
+    },
+}
+
+impl ExchangeOutcome {
+    /// The attempt has failed, and the connection cannot be used again.
+    fn failed(outcome: Outcome) -> Self {
+        ExchangeOutcome::Finished(InterpretedReply {
+            result: AttemptOutcome::without_report(outcome),
+            reusable: false,
+        })
+    }
+}
+
+/// Sends the command of a job and reads the head of the reply, until the job is cancelled or its time is over.
+pub(super) async fn exchange<T: Stream, P: UpstreamProtocol>(
+    framed: &mut Framed<T, P>,
+    job: &mut Job,
+    report_fields: &[String],
+) -> ExchangeOutcome {
+    let left = job.give_up_at.saturating_duration_since(Instant::now());
+    let outgoing = Outgoing {
+        command: job.command.clone(),
+        left_ms: left.as_millis() as u64,
+    };
+    let send_deadline = job.send_deadline();
+    let mut written = false;
+    let talk = async {
+        match timeout_at(send_deadline, send(framed, outgoing)).await {
+            Ok(Ok(())) => {}
+            Ok(Err(error)) => {
+                debug!(%error, "request not written");
+                return ExchangeOutcome::failed(Outcome::ConnectFailed);
+            }
+            // The connection is closed before the last byte is written, so the request never runs.
+            Err(_) => return ExchangeOutcome::failed(Outcome::ConnectFailed),
+        }
+        written = true;
+        shrink(framed.write_buffer_mut());
+        read_reply(framed, report_fields).await
+    };
+    let outcome = tokio::select! {
+        biased;
+        done = talk => return done,
+        () = cancelled(&mut job.cancel) => Outcome::Cancelled,
+        () = sleep_until(job.give_up_at) => Outcome::TimedOut,
+    };
+    // A request that was not written as a whole never runs.
+    if !written && outcome == Outcome::TimedOut {
+        return ExchangeOutcome::failed(Outcome::ConnectFailed);
+    }
+    ExchangeOutcome::failed(outcome)
+}
+
+async fn send<T: Stream, P: UpstreamProtocol>(
+    framed: &mut Framed<T, P>,
+    outgoing: Outgoing,
+) -> Result<(), <P as Encoder<Outgoing>>::Error> {
+    let separate_value = outgoing.separate_value().cloned();
+    framed.send(outgoing).await?;
+    if let Some(value) = separate_value {
+        let socket = framed.get_mut();
+        socket
+            .write_all_buf(&mut Buf::chain(value, P::VALUE_TERMINATOR))
+            .await?;
+        socket.flush().await?;
+    }
+    Ok(())
+}
+
+async fn read_reply<T: Stream, P: UpstreamProtocol>(
+    framed: &mut Framed<T, P>,
+    report_fields: &[String],
+) -> ExchangeOutcome {
+    match framed.next().await {
+        Some(Ok(Part::Whole(reply))) => {
+            ExchangeOutcome::Finished(P::interpret(reply, report_fields))
+        }
+        Some(Ok(Part::Begun(length, reply))) => {
+            let reply = P::interpret(reply, report_fields);
+            let result = AttemptOutcome {
+                value: None,
+                ..reply.result
+            };
+            ExchangeOutcome::BodyStarted { result, length }
+        }
+        // No codec yields these first.
+        Some(Ok(Part::Piece(_) | Part::Done(_))) => ExchangeOutcome::failed(Outcome::Malformed),
+        Some(Err(error)) => {
+            debug!(%error, "reply not read");
+            ExchangeOutcome::failed(if P::is_malformed(&error) {
+                Outcome::Malformed
+            } else {
+                Outcome::Reset
+            })
+        }
+        None => ExchangeOutcome::failed(Outcome::Reset),
+    }
+}
+
+/// Resolves when an attempt is cancelled; never if the sender is dropped.
+pub(super) async fn cancelled(cancel: &mut oneshot::Receiver<()>) {
+    if cancel.await.is_err() {
+        std::future::pending().await
+    }
+}
--- a/crates/stairfront-balancer/src/upstream/mod.rs
+++ b/crates/stairfront-balancer/src/upstream/mod.rs
@@ -1,5 +1,7 @@
+//! The upstream side: connections to cache hosts (RESP2) and to the origin (HTTP/1.1).
 pub mod cache_host;
 pub mod connection;
+mod exchange;
 pub mod load_report;
 pub mod origin;
 pub mod upstream_pool;
--- a/crates/stairfront-balancer/src/upstream/origin.rs
+++ b/crates/stairfront-balancer/src/upstream/origin.rs
@@ -1,4 +1,4 @@
-//! How the origin is spoken to: HTTP/1.1, one request at a time on a connection.
+//! The protocol of the origin: HTTP/1.1, one request at a time on a connection.
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,10 +10,11 @@
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::messages::{Outgoing, Verb, Verdict};
-use crate::upstream::connection::UpstreamProtocol;
+use crate::messages::{AttemptOutcome, Outgoing, Verb};
+use crate::upstream::connection::{InterpretedReply, UpstreamProtocol};
 use crate::upstream::load_report::load_report;
 
+/// Encodes requests and decodes responses.
 #[derive(Debug)]
 pub struct OriginCodec {
     http: HttpCodec,
@@ -41,9 +42,9 @@
 
     fn encode(&mut self, outgoing: Outgoing, dst: &mut BytesMut) -> Result<(), HttpError> {
         let info = Bytes::from(outgoing.info());
-        let apart = outgoing.apart().map(Bytes::len);
+        let separate = outgoing.separate_value().map(Bytes::len);
         let command = outgoing.command;
-        let (method, body) = match (command.verb, apart) {
+        let (method, body) = match (command.verb, separate) {
             (Verb::Get, _) => ("GET", Body::None),
             (Verb::Set, Some(length)) => ("PUT", Body::Behind(length)),
             (Verb::Set, None) => ("PUT", Body::Here(command.value.unwrap_or_default())),
@@ -65,7 +66,8 @@
     }
 }
 
-/// Danger: a key with a space or a line break in it would end the request line and begin another request.
+/// The path for a key, percent-encoded: a space or a line break in it would end the request line and could begin another
+/// request.
 fn target(key: &[u8]) -> String {
     let mut target = String::with_capacity(key.len() + 1);
     target.push('/');
@@ -85,36 +87,36 @@
 
 impl UpstreamProtocol for OriginCodec {
     type Reply = Response;
-    const BEHIND: &'static [u8] = b"";
+    const VALUE_TERMINATOR: &'static [u8] = b"";
 
-    fn new(address: SocketAddr, largest_value: usize, budget: &Rc<Budget>) -> Self {
+    fn new(address: SocketAddr, max_value_bytes: usize, budget: &Rc<Budget>) -> Self {
         OriginCodec {
-            http: HttpCodec::new(largest_value, budget),
+            http: HttpCodec::new(max_value_bytes, budget),
             host: Bytes::from(address.to_string()),
         }
     }
 
-    fn verdict(reply: Response, report: &[String]) -> (Verdict, bool) {
+    fn interpret(reply: Response, report_fields: &[String]) -> InterpretedReply {
         let outcome = match reply.status {
             200 => Outcome::Served,
             503 | 504 if reply.not_started => Outcome::Full,
             500..=599 => Outcome::Errored,
-            // Not a word of the origin's: what it meant is not known.
-            _ => return (Verdict::bare(Outcome::Malformed), false),
+            // A status that the origin does not use: what it means is not known.
+            _ => return InterpretedReply::malformed(),
         };
-        let load = reply
-            .load
-            .map_or(LoadReport::default(), |text| load_report(&text, report));
+        let load = reply.load.map_or(LoadReport::default(), |text| {
+            load_report(&text, report_fields)
+        });
         let value = (outcome == Outcome::Served).then_some(reply.body);
-        (
-            Verdict {
+        InterpretedReply {
+            result: AttemptOutcome {
                 outcome,
-                note: CacheStatus::None,
+                cache_status: CacheStatus::None,
                 load,
                 value,
             },
-            !reply.last,
-        )
+            reusable: !reply.last,
+        }
     }
 
     fn is_malformed(error: &HttpError) -> bool {
--- a/crates/stairfront-balancer/src/upstream/upstream_pool.rs
+++ b/crates/stairfront-balancer/src/upstream/upstream_pool.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to cache hosts and the origin: how many there are, which stand idle, and which attempts
-//! wait for one. Each connection is owned by its task (`connection.rs`).
+//! The pool of connections to cache hosts and the origin: how many there are, which are idle, and which attempts wait for
+//! one. Each connection is owned by its task (`connection.rs`).
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,48 +15,56 @@
 use crate::clock::Instant;
 use crate::configuration::limits::Memory;
 use crate::counters::Counters;
-use crate::messages::{AttemptEnd, AttemptId, ConnectionId, EngineEvent, Job, PoolEvent, Verdict};
+use crate::messages::{
+    AttemptEnd, AttemptId, AttemptOutcome, ConnectionId, EngineEvent, Job, PoolEvent,
+};
 use crate::transport::Network;
 use crate::upstream::cache_host::CacheCodec;
 use crate::upstream::connection::{ConnectionContext, ConnectionTask};
 use crate::upstream::origin::OriginCodec;
 
-/// Part of the servers' own idle limit after which a connection is closed here. Danger: a request written to a
-/// connection that the server is just closing ends as a reset, and may have run.
-const IDLE_PART: f64 = 0.8;
-
-/// Second answers come some milliseconds after the first. Danger: on a connection that has been used again by then one
-/// would answer the next request, with what was made for another.
-const REST: Duration = Duration::from_millis(50);
+/// Part of the servers' own idle timeout after which a connection is closed here. A request written to a connection that
+/// the server is just closing ends as a reset, and may have run.
+const IDLE_TIMEOUT_RATIO: f64 = 0.8;
+/// How long a connection rests between two attempts where surplus answers were seen. A second answer to one request comes
+/// some milliseconds after the first; on a connection that has been used again by then it would answer the next request,
+/// with the value of another one.
+const REST_PERIOD: Duration = Duration::from_millis(50);
 /// How long connections rest after one on which more came than was asked for.
-const REST_MEMORY: Duration = Duration::from_secs(60);
+const SURPLUS_TTL: Duration = Duration::from_secs(60);
 
+/// How a server is spoken to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
+    /// RESP2: a cache host.
     Resp,
+    /// HTTP/1.1: the origin.
     Http,
 }
 
+/// Where a server is and how it is spoken to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamTarget {
+    /// Its address.
     pub address: SocketAddr,
+    /// Its protocol.
     pub protocol: Protocol,
 }
 
 struct Host {
-    endpoint: UpstreamTarget,
-    /// Raised when connections made so far are not to be used again.
+    target: UpstreamTarget,
+    /// Increased when connections made so far are not to be used again.
     epoch: u64,
-    /// Nothing new may be begun there. EngineHandles with its connections' tasks, which look before the first byte.
+    /// Whether nothing new may be begun there. Shared with its connections' tasks, which check it before the first byte.
     barred: Rc<Cell<bool>>,
-    /// Idle connections, the one used last at the end: reusing that one lets the others run into their limit.
+    /// Idle connections, the one used last at the end: reusing that one lets the others reach their idle timeout.
     idle: Vec<ConnectionId>,
 }
 
 impl Host {
-    fn at(endpoint: UpstreamTarget) -> Self {
+    fn new(target: UpstreamTarget) -> Self {
         Host {
-            endpoint,
+            target,
             epoch: 0,
             barred: Rc::default(),
             idle: Vec::new(),
@@ -72,103 +80,102 @@
     jobs: Option<mpsc::Sender<Job>>,
 }
 
+/// The connections to all servers.
 pub struct UpstreamPool<N: Network> {
-    common: Rc<ConnectionContext<N>>,
+    context: Rc<ConnectionContext<N>>,
     hosts: FxHashMap<CacheId, Host>,
     connections: FxHashMap<ConnectionId, Connection>,
-    most: usize,
-    /// What `most` is without another process of this balancer.
-    most_alone: usize,
+    max_connections: usize,
+    /// The same without another process of this balancer.
+    max_connections_alone: usize,
     /// Connections told to close that still hold their socket.
     closing: usize,
     waiting: VecDeque<Job>,
-    /// Those that began to wait since the engine last asked, and until when they may.
+    /// Attempts that began to wait since the engine last asked, and until when each may.
     new_waits: Vec<(AttemptId, Instant)>,
-    next: u64,
-    /// Until when connections rest between two attempts, where there is room for others.
+    next_id: u64,
+    /// Until when connections rest between two attempts, where there is capacity for others.
     rest_until: Option<Instant>,
 }
 
+/// Limits and times of a pool.
 pub struct PoolSettings {
-    pub connections: usize,
+    /// The most connections.
+    pub max_connections: usize,
     /// How many of them the old process of this balancer keeps until its end.
-    pub elsewhere: usize,
+    pub held_by_predecessor: usize,
+    /// For making a connection.
     pub connect_timeout: Duration,
     /// After this the servers close an idle connection themselves.
-    pub servers_idle_limit: Duration,
+    pub servers_idle_timeout: Duration,
     /// How long a server may pause in the middle of a large value.
-    pub stall_limit: Duration,
+    pub stall_timeout: Duration,
+    /// Limits on memory.
     pub memory: Memory,
 }
 
 impl<N: Network> UpstreamPool<N> {
+    /// A pool without servers. `report_fields` are the names of the load report's fields.
     pub fn new(
         network: N,
-        limits: PoolSettings,
-        report: Vec<String>,
-        inbox: mpsc::Sender<EngineEvent>,
+        settings: PoolSettings,
+        report_fields: Vec<String>,
+        events: mpsc::Sender<EngineEvent>,
         counters: Rc<Counters>,
     ) -> Self {
-        let PoolSettings {
-            connections: most,
-            elsewhere,
-            connect_timeout,
-            servers_idle_limit,
-            stall_limit,
-            memory,
-        } = limits;
-        let (largest_value, budget) = (memory.largest_value, Budget::new(memory.replies));
-        let idle_limit = servers_idle_limit.mul_f64(IDLE_PART);
+        let max_connections_alone = settings.max_connections;
+        let max_connections = max_connections_alone.saturating_sub(settings.held_by_predecessor);
+        let context = ConnectionContext {
+            network,
+            events,
+            counters,
+            report_fields,
+            connect_timeout: Cell::new(settings.connect_timeout),
+            idle_timeout: Cell::new(settings.servers_idle_timeout.mul_f64(IDLE_TIMEOUT_RATIO)),
+            stall_timeout: Cell::new(settings.stall_timeout),
+            max_value_bytes: settings.memory.max_value_bytes,
+            budget: Budget::new(settings.memory.replies),
+        };
         UpstreamPool {
-            common: Rc::new(ConnectionContext {
-                network,
-                inbox,
-                counters,
-                report,
-                connect_timeout: Cell::new(connect_timeout),
-                idle_limit: Cell::new(idle_limit),
-                stall_limit: Cell::new(stall_limit),
-                largest_value,
-                budget,
-            }),
+            context: Rc::new(context),
             hosts: FxHashMap::default(),
             connections: FxHashMap::default(),
-            most: most.saturating_sub(elsewhere).max(1),
-            most_alone: most,
+            max_connections: max_connections.max(1),
+            max_connections_alone,
             closing: 0,
             waiting: VecDeque::new(),
             new_waits: Vec::new(),
-            next: 0,
+            next_id: 0,
             rest_until: None,
         }
     }
 
-    /// Where a server is from now on. Connections to another address are not used again.
-    pub fn set(&mut self, cache: CacheId, endpoint: UpstreamTarget) {
-        let host = self.hosts.entry(cache).or_insert(Host::at(endpoint));
-        if host.endpoint != endpoint {
-            host.endpoint = endpoint;
+    /// Sets where a server is from now on. Connections to another address are not used again.
+    pub fn set_target(&mut self, cache: CacheId, target: UpstreamTarget) {
+        let host = self.hosts.entry(cache).or_insert(Host::new(target));
+        if host.target != target {
+            host.target = target;
             self.close_idle(cache);
         }
     }
 
-    /// Whether nothing new may be begun at a server. Danger: a job may lie before a connection's task, or wait for a
-    /// connection that is still coming up, long after its server began to drain.
-    pub fn bar(&mut self, cache: CacheId, barred: bool) {
+    /// Sets whether nothing new may be begun at a server. A job may wait for a connection's task, or for a connection that
+    /// is still being made, long after its server has begun to drain.
+    pub fn set_barred(&mut self, cache: CacheId, barred: bool) {
         let Some(host) = self.hosts.get(&cache) else {
             return;
         };
         if barred && !host.barred.replace(true) {
             self.close_idle(cache);
         } else if !barred && host.barred.get() {
-            // Those that saw the old one stay barred: their attempts were decided under it.
+            // Jobs that hold the old flag stay barred, since their attempts were decided under it.
             self.hosts
                 .entry(cache)
                 .and_modify(|host| host.barred = Rc::default());
         }
     }
 
-    /// Attempts at a host that have not ended: on a connection, or waiting for one.
+    /// Number of attempts at a host that have not ended: on a connection, or waiting for one.
     pub fn in_use(&self, cache: CacheId) -> u64 {
         let busy =
             |connection: &&Connection| connection.cache == cache && connection.idle_since.is_none();
@@ -176,7 +183,7 @@
         (busy + self.waiting.iter().filter(|job| job.cache == cache).count()) as u64
     }
 
-    /// Closes what stands idle now and, as they end their attempts, the connections in use.
+    /// Closes the idle connections to a host now and, as their attempts end, those in use.
     pub fn close_idle(&mut self, cache: CacheId) {
         let Some(host) = self.hosts.get_mut(&cache) else {
             return;
@@ -187,57 +194,58 @@
         }
     }
 
-    pub fn forget(&mut self, cache: CacheId) {
+    /// Removes a host that gets nothing more.
+    pub fn remove_target(&mut self, cache: CacheId) {
         self.close_idle(cache);
         self.hosts.remove(&cache);
     }
 
-    /// Other times from now on; a connection that stands idle keeps the limit that it began with.
+    /// Sets other times from now on; a connection that is idle keeps the timeout that it began with.
     pub fn retune(
         &self,
         connect_timeout: Duration,
-        servers_idle_limit: Duration,
-        stall_limit: Duration,
+        servers_idle_timeout: Duration,
+        stall_timeout: Duration,
     ) {
-        self.common.connect_timeout.set(connect_timeout);
-        self.common
-            .idle_limit
-            .set(servers_idle_limit.mul_f64(IDLE_PART));
-        self.common.stall_limit.set(stall_limit);
+        self.context.connect_timeout.set(connect_timeout);
+        self.context
+            .idle_timeout
+            .set(servers_idle_timeout.mul_f64(IDLE_TIMEOUT_RATIO));
+        self.context.stall_timeout.set(stall_timeout);
     }
 
-    /// Leaves half of the connections to a successor; more, if so many are in use, stay here. Returns how many stay.
-    pub fn share(&mut self) -> usize {
+    /// Leaves half of the connections to a successor, or fewer if more are in use here. Returns how many stay.
+    pub fn share_connections(&mut self) -> usize {
         let in_use = self
             .connections
             .values()
             .filter(|c| c.idle_since.is_none())
             .count();
-        self.most = (self.most_alone / 2)
+        self.max_connections = (self.max_connections_alone / 2)
             .max(in_use)
-            .min(self.most_alone - self.most_alone / 4);
+            .min(self.max_connections_alone - self.max_connections_alone / 4);
         self.make_room();
-        self.most
+        self.max_connections
     }
 
-    /// No other process has a part of the connections any more.
-    pub fn take_all(&mut self, ends: &mut impl Extend<AttemptEnd>) {
-        self.most = self.most_alone;
+    /// Uses all connections again, since there is no other process any more.
+    pub fn use_all_connections(&mut self, ends: &mut impl Extend<AttemptEnd>) {
+        self.max_connections = self.max_connections_alone;
         self.serve_waiting(ends);
     }
 
-    /// Attempts that began to wait for a socket, and when `give_up_waiting` is due for each.
+    /// Attempts that have begun to wait for a socket since the last call, and when `give_up_waiting` is due for each.
     pub fn new_waits(&mut self) -> std::vec::Drain<'_, (AttemptId, Instant)> {
         self.new_waits.drain(..)
     }
 
-    /// AbortOnDrop the attempts to a server that still wait for a socket. Danger: they would be sent to it long after
-    /// discovery told that it drains.
+    /// Ends the attempts at a server that still wait for a socket: they would be sent to it long after it has begun to
+    /// drain.
     pub fn end_waiting(&mut self, cache: CacheId, ends: &mut impl Extend<AttemptEnd>) {
         self.waiting.retain(|job| {
             let stays = job.cache != cache;
             if !stays {
-                ends.extend([job.end(Verdict::bare(Outcome::NeverSent))]);
+                ends.extend([job.end(AttemptOutcome::without_report(Outcome::NeverSent))]);
             }
             stays
         });
@@ -247,26 +255,44 @@
     pub fn dispatch(&mut self, job: Job) -> Option<AttemptEnd> {
         // Its request ended while it waited for a socket: none is opened for it.
         if !job.may_begin() {
-            return Some(job.end(Verdict::bare(Outcome::NeverSent)));
+            return Some(job.end(AttemptOutcome::without_report(Outcome::NeverSent)));
         }
-        let Some(host) = self.hosts.get_mut(&job.cache) else {
-            return Some(job.end(Verdict::bare(Outcome::ConnectFailed)));
+        if !self.hosts.contains_key(&job.cache) {
+            return Some(job.end(AttemptOutcome::without_report(Outcome::ConnectFailed)));
+        }
+        let job = Job {
+            started_at: Instant::now(),
+            ..job
         };
-        let now = Instant::now();
-        let mut job = Job { begun: now, ..job };
-        let room = self.connections.len() < self.most;
-        let resting = self.rest_until.is_some_and(|until| now < until) && room;
-        // The one used last is first, or the last of those that have rested.
-        let rested = |connections: &FxHashMap<ConnectionId, Connection>, id: &ConnectionId| {
+        let job = self.send_to_idle(job)?;
+        if self.connections.len() < self.max_connections {
+            self.open(job);
+            return None;
+        }
+        let deadline = job.connect_deadline(self.context.connect_timeout.get());
+        self.new_waits.push((job.attempt, deadline));
+        self.waiting.push_back(job);
+        self.make_room();
+        None
+    }
+
+    /// Gives a job to an idle connection; returned if there is none. The connection used last is taken, or the last of
+    /// those that have rested.
+    fn send_to_idle(&mut self, mut job: Job) -> Option<Job> {
+        let host = self.hosts.get_mut(&job.cache)?;
+        let now = job.started_at;
+        let has_capacity = self.connections.len() < self.max_connections;
+        let resting = self.rest_until.is_some_and(|until| now < until) && has_capacity;
+        let has_rested = |connections: &FxHashMap<ConnectionId, Connection>, id: &ConnectionId| {
             let since = connections
                 .get(id)
                 .and_then(|connection| connection.idle_since);
-            !resting || since.is_none_or(|since| now >= since + REST)
+            !resting || since.is_none_or(|since| now >= since + REST_PERIOD)
         };
         while let Some(i) = host
             .idle
             .iter()
-            .rposition(|id| rested(&self.connections, id))
+            .rposition(|id| has_rested(&self.connections, id))
         {
             let id = host.idle.remove(i);
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -278,40 +304,30 @@
             };
             match jobs.try_send(job) {
                 Ok(()) => return None,
-                // Its task is just ending; the attempt goes to another connection.
+                // The task is just ending; the attempt goes to another connection.
                 Err(unsent) => job = unsent.into_inner(),
             }
         }
-        if self.connections.len() < self.most {
-            self.open(job);
-        } else {
-            self.new_waits.push((
-                job.attempt,
-                job.connect_limit(self.common.connect_timeout.get()),
-            ));
-            self.waiting.push_back(job);
-            self.make_room();
-        }
-        None
+        Some(job)
     }
 
-    /// AbortOnDrop an attempt that still waits for a socket. Danger: a want of sockets here would count as a failure of the
-    /// server, and all of them would rest. It was never issued.
+    /// Ends an attempt that still waits for a socket, as never sent: a want of sockets here must not count as a failure of
+    /// the server, or all servers would be ejected.
     pub fn give_up_waiting(&mut self, attempt: AttemptId) -> Option<AttemptEnd> {
         let i = self.waiting.iter().position(|job| job.attempt == attempt)?;
         self.waiting
             .remove(i)
-            .map(|job| job.end(Verdict::bare(Outcome::NeverSent)))
+            .map(|job| job.end(AttemptOutcome::without_report(Outcome::NeverSent)))
     }
 
-    /// Books what a connection tells; ends of attempts go into `ends`.
-    pub fn hear(&mut self, news: PoolEvent, ends: &mut impl Extend<AttemptEnd>) {
-        match news {
+    /// Handles what a connection reports; ends of attempts go into `ends`.
+    pub fn handle(&mut self, event: PoolEvent, ends: &mut impl Extend<AttemptEnd>) {
+        match event {
             PoolEvent::Idle { connection, end } => {
                 ends.extend(end);
                 self.keep(connection, ends);
             }
-            PoolEvent::Begun { end } => ends.extend([end]),
+            PoolEvent::BodyStarted { end } => ends.extend([end]),
             PoolEvent::Closed {
                 connection,
                 end,
@@ -320,11 +336,11 @@
             } => {
                 ends.extend(end);
                 if surplus {
-                    self.rest_until = Some(Instant::now() + REST_MEMORY);
+                    self.rest_until = Some(Instant::now() + SURPLUS_TTL);
                 }
                 if let Some(connection) = self.connections.remove(&connection) {
                     self.closing -= usize::from(connection.jobs.is_none());
-                    self.common.counters.server_connections_open.sub();
+                    self.context.counters.server_connections_open.sub();
                 }
                 ends.extend(unsent.and_then(|job| self.dispatch(*job)));
             }
@@ -333,7 +349,7 @@
     }
 
     fn serve_waiting(&mut self, ends: &mut impl Extend<AttemptEnd>) {
-        while self.connections.len() < self.most {
+        while self.connections.len() < self.max_connections {
             let Some(job) = self.waiting.pop_front() else {
                 break;
             };
@@ -346,8 +362,8 @@
         let Some(host) = self.hosts.get(&job.cache) else {
             return;
         };
-        let id = ConnectionId(self.next);
-        self.next += 1;
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
         let (sender, jobs) = mpsc::channel(1);
         let connection = Connection {
             cache: job.cache,
@@ -356,23 +372,23 @@
             jobs: Some(sender),
         };
         self.connections.insert(id, connection);
-        self.common.counters.server_connections_opened.add();
-        self.common.counters.server_connections_open.add();
-        let (address, barred) = (host.endpoint.address, Rc::clone(&host.barred));
+        self.context.counters.server_connections_opened.add();
+        self.context.counters.server_connections_open.add();
         let task = ConnectionTask {
             id,
-            address,
-            barred,
-            common: Rc::clone(&self.common),
+            address: host.target.address,
+            barred: Rc::clone(&host.barred),
+            context: Rc::clone(&self.context),
             jobs,
+            used_at: Instant::now(),
         };
-        match host.endpoint.protocol {
+        match host.target.protocol {
             Protocol::Resp => spawn_local(task.run::<CacheCodec>(job)),
             Protocol::Http => spawn_local(task.run::<OriginCodec>(job)),
         };
     }
 
-    /// A connection that has ended its attempt is kept, used by one that waits, or closed.
+    /// Keeps a connection whose attempt has ended, uses it for one that waits, or closes it.
     fn keep(&mut self, id: ConnectionId, ends: &mut impl Extend<AttemptEnd>) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -388,7 +404,7 @@
         host.idle.push(id);
         let cache = connection.cache;
         while let Some(i) = self.waiting.iter().position(|job| job.cache == cache) {
-            // Only an attempt whose request is over ends at once, and leaves the connection to the next.
+            // Only an attempt whose request is finished ends at once, and leaves the connection to the next.
             match self.waiting.remove(i).and_then(|job| self.dispatch(job)) {
                 Some(end) => ends.extend([end]),
                 None => return,
@@ -404,9 +420,11 @@
     }
 
     /// Closes the connections idle longest, one for each attempt that waits for a socket and for each connection beyond
-    /// the limit. This walks all of them, but only while the limit is reached.
+    /// the limit. It goes through all connections, but only while the limit is reached.
     fn make_room(&mut self) {
-        while self.closing < self.waiting.len() + self.connections.len().saturating_sub(self.most) {
+        while self.closing
+            < self.waiting.len() + self.connections.len().saturating_sub(self.max_connections)
+        {
             let idle = self
                 .connections
                 .iter()
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -1,7 +1,7 @@
 //! What the balancer makes of its messages on the wire.
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
-use stairfront_balancer::client::server::ClientCodec;
+use stairfront_balancer::client::codec::ClientCodec;
 use stairfront_balancer::messages::{Answer, Command, Outgoing, Verb};
 use stairfront_balancer::upstream::cache_host::CacheCodec;
 use stairfront_codec::budget::Budget;
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -91,7 +91,7 @@
     Twice(Vec<u8>, Duration, Vec<u8>),
     /// Keeps the connection and says nothing.
     Silence,
-    /// AbortOnDrop the connection without an answer.
+    /// Ends the connection without an answer.
     End,
     /// Says a part of an answer and ends the connection.
     Cut(Vec<u8>),
@@ -326,7 +326,7 @@
     pub address: SocketAddr,
     pub phase: watch::Sender<Phase>,
     pub hangups: mpsc::Sender<()>,
-    pub operators: SocketAddr,
+    pub admin: SocketAddr,
     pub done: JoinHandle<()>,
 }
 
@@ -372,38 +372,38 @@
     /// Starts one and does not wait until it is ready.
     pub async fn begin(folder: Option<&Path>, listener: TcpListener, config: Config) -> Self {
         let address = listener.local_addr().unwrap();
-        let door = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let operators = door.local_addr().unwrap();
+        let admin_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let admin = admin_listener.local_addr().unwrap();
         let (phase, phases) = watch::channel(Phase::Running);
-        let (hangups, rings) = mpsc::channel(1);
+        let (hangups, hangup_receiver) = mpsc::channel(1);
         let clock = Clock::start();
-        let around = ServerDependencies {
+        let dependencies = ServerDependencies {
             network: Tcp,
             listener,
-            operators: Some(door),
-            folder: folder.map(Path::to_path_buf),
+            admin_listener: Some(admin_listener),
+            state_directory: folder.map(Path::to_path_buf),
             predecessor: None,
             successor: Rc::default(),
-            members: None,
+            membership: None,
             clock,
             phase: phases,
-            hangups: rings,
+            hangups: hangup_receiver,
         };
-        let served = server::serve(config, Policy::new, around);
+        let served = server::serve(config, Policy::new, dependencies);
         let done = spawn_local(async move { served.await.unwrap() });
         Balancer {
             address,
             phase,
             hangups,
-            operators,
+            admin,
             done,
         }
     }
 
-    /// One call at the operators' door: the status and the whole answer.
+    /// One call of the admin API: the status and the whole answer.
     pub async fn call(&self, method: &str, path: &str) -> (u16, String) {
         say(
-            self.operators,
+            self.admin,
             &format!("{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n"),
         )
         .await
--- a/crates/stairfront-balancer/tests/config.rs
+++ b/crates/stairfront-balancer/tests/config.rs
@@ -3,8 +3,8 @@
 
 use common::{config, line};
 use serde_json::{json, Value};
-use stairfront_balancer::configuration::config::{Config, ConfigError};
 use stairfront_balancer::configuration::limits::Memory;
+use stairfront_balancer::configuration::{config::Config, error::ConfigError};
 
 fn good() -> Value {
     let address = "127.0.0.1:6379".parse().unwrap();
@@ -20,7 +20,7 @@
     let config = read(&good()).unwrap();
     assert_eq!((config.sockets.clients, config.sockets.servers), (31, 35));
     assert_eq!(config.seed, 0x2a);
-    assert_eq!(config.known.lines.len(), 1);
+    assert_eq!(config.known.entries.len(), 1);
     let mut text = good();
     text["limits"]["sockets"] = 100_000.into();
     let config = read(&text).unwrap();
@@ -35,7 +35,7 @@
     }
     text["more"] = json!({"x": 1});
     let config = read(&text).unwrap();
-    assert!(config.known.lines.is_empty());
+    assert!(config.known.entries.is_empty());
 }
 
 #[test]
@@ -118,7 +118,7 @@
             commands,
             large_commands,
             replies,
-            largest_value,
+            max_value_bytes,
         } = memory(mb);
         let held = requests + answers + commands + large_commands + replies;
         assert!(held <= mb * 1024 * 1024 * 6 / 10, "{mb} MB: {held}");
@@ -128,7 +128,7 @@
         );
         // Those above 64 KiB are passed on and not held.
         assert!(
-            largest_value == 4 << 20 && replies >= 16 * 64 * 1024,
+            max_value_bytes == 4 << 20 && replies >= 16 * 64 * 1024,
             "{mb} MB"
         );
     }
--- a/crates/stairfront-balancer/tests/departures.rs
+++ b/crates/stairfront-balancer/tests/departures.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::{cache, commands, config, get, hit, line, ms, run, until, Client, Log};
-use stairfront_balancer::client::server::{self, ClientContext, ConnectionPressure};
+use stairfront_balancer::client::{accept, admission::ConnectionPressure, context::ClientContext};
 use stairfront_balancer::clock::Clock;
 use stairfront_balancer::configuration::config::Config;
 use stairfront_balancer::configuration::limits::Memory;
@@ -49,26 +49,26 @@
     let (inbox, inputs) = mpsc::channel(room);
     let (phase, phases) = watch::channel(Phase::Running);
     let (clock, start, memory) = (Clock::start(), &config.start, config.memory);
-    let intake = RequestParser {
-        terms: Rc::new(RefCell::new(RequestCatalog::of(start))),
+    let parser = RequestParser {
+        catalog: Rc::new(RefCell::new(RequestCatalog::of(start))),
         clock,
         counters: Rc::default(),
-        door: loop_monitor::door(&start.settings, clock, 0),
+        admission: loop_monitor::admission_controller(&start.settings, clock, 0),
         ready: watch::channel(true).1,
-        members: None,
-        keeper: Rc::default(),
+        membership: None,
+        maintenance: Rc::default(),
     };
     let context = ClientContext {
-        inbox,
-        intake,
+        events: inbox,
+        parser,
         counters: Rc::default(),
         phase: phases,
-        crowd: ConnectionPressure::default(),
-        places: Arc::new(Semaphore::new(8)),
-        elsewhere: Cell::new(0),
+        pressure: ConnectionPressure::default(),
+        permits: Arc::new(Semaphore::new(8)),
+        held_by_predecessor: Cell::new(0),
         successor: Rc::default(),
         budget: Budget::new(memory.commands),
-        large: Budget::new(memory.large_commands),
+        large_budget: Budget::new(memory.large_commands),
         next_id: Cell::new(0),
     };
     (Rc::new(context), inputs, phase)
@@ -83,20 +83,20 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (_handing, handed) = mpsc::channel(1);
-        spawn_local(server::serve(listener, Rc::clone(&context), 8, handed));
+        spawn_local(accept::serve(listener, Rc::clone(&context), 8, handed));
         let mut client = Client::connect(address).await.unwrap();
         for id in ["1", "2", "3"] {
             client.send(&get("k", id, 1400)).await;
         }
         // All three are taken, and fill what room there is.
-        until(|| context.inbox.capacity() == 0).await;
+        until(|| context.events.capacity() == 0).await;
         drop(client);
         let over: Vec<Rc<Cell<bool>>> = {
             // It is noticed at a read, with nothing heard by the engine.
             sleep(ms(50)).await;
             (0..3)
                 .map(|_| match inputs.try_recv() {
-                    Ok(EngineEvent::Arrived(arrival)) => arrival.over,
+                    Ok(EngineEvent::Arrived(arrival)) => arrival.finished,
                     _ => panic!("three arrivals are first"),
                 })
                 .collect()
@@ -138,25 +138,25 @@
         let (_orders, ordered) = mpsc::channel(1);
         let (clock, start, memory) = (Clock::start(), config.start.clone(), Memory::of(64));
         let limits = PoolSettings {
-            connections: 4,
-            elsewhere: 0,
+            max_connections: 4,
+            held_by_predecessor: 0,
             connect_timeout: ms(250),
-            servers_idle_limit: ms(10_000),
-            stall_limit: ms(10_000),
+            servers_idle_timeout: ms(10_000),
+            stall_timeout: ms(10_000),
             memory,
         };
         let pool = UpstreamPool::new(Tcp, limits, Vec::new(), inbox.clone(), Rc::default());
-        let door = loop_monitor::door(&start.settings, clock, 0);
+        let admission = loop_monitor::admission_controller(&start.settings, clock, 0);
         let shared = EngineHandles {
-            vitals: RuntimeHandles {
+            runtime: RuntimeHandles {
                 clock,
-                door,
+                admission,
                 counters: Rc::default(),
             },
             ready: watch::channel(false).0,
             record: CordonRecord::within(None, "b"),
-            terms: Rc::new(RefCell::new(RequestCatalog::of(&start))),
-            members: None,
+            catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
+            group: None,
             origin: Rc::default(),
         };
         let told = Rc::new(RefCell::new(Vec::new()));
@@ -188,15 +188,15 @@
             info: word,
             value: None,
         };
-        let over = Rc::new(Cell::new(true));
+        let finished = Rc::new(Cell::new(true));
         drop(receiver);
         let arrival = Arrival {
             request,
-            came: clock.now(),
+            arrived_at: clock.now(),
             command,
-            room: None,
+            memory: None,
             answer,
-            over,
+            finished,
         };
         inbox
             .send(EngineEvent::Arrived(arrival))
--- a/crates/stairfront-balancer/tests/discovery.rs
+++ b/crates/stairfront-balancer/tests/discovery.rs
@@ -5,7 +5,7 @@
 
 use common::{bulk, cache, commands, hit, http, line, ms, origin, run, until, Balancer, Log, Step};
 use serde_json::{json, Value};
-use stairfront_balancer::control::discovery::DiscoveryWatch;
+use stairfront_balancer::control::discovery::{DiscoverySettings, DiscoveryWatch};
 use stairfront_balancer::control::server_list::{cache_id, RawList};
 use stairfront_balancer::messages::EngineEvent;
 use stairfront_balancer::transport::Tcp;
@@ -224,7 +224,7 @@
         .read(&names)
         .unwrap();
     assert_eq!((list.index, list.full), (41, true));
-    let (one, two) = (list.lines[0].member, list.lines[1].member);
+    let (one, two) = (list.entries[0].endpoint, list.entries[1].endpoint);
     assert_eq!(one.id, cache_id("s-1"));
     assert_eq!((one.zone, one.kind, one.cell), (Zone(1), Kind(1), Cell(3)));
     assert_eq!(
@@ -262,25 +262,34 @@
         let (inbox, mut inputs) = mpsc::channel(1);
         // No room: the engine is behind.
         inbox
-            .send(EngineEvent::TakeAll)
+            .send(EngineEvent::PeerEnded)
             .await
             .unwrap_or_else(|_| panic!("closed"));
-        let ask_now = Rc::new(Notify::new());
-        let watch = DiscoveryWatch::new(Tcp, at, Names::default(), 1, 0, inbox, Rc::default());
-        let watching = spawn_local(watch.asked_by(Rc::clone(&ask_now)).run());
+        let poll_now = Rc::new(Notify::new());
+        let settings = DiscoverySettings {
+            agent: at,
+            names: Names::default(),
+            known_index: 1,
+            seed: 0,
+            poll_now: Rc::clone(&poll_now),
+        };
+        let watch = DiscoveryWatch::new(Tcp, settings, inbox, Rc::default());
+        let watching = spawn_local(watch.run());
         until(|| !targets(&log).is_empty()).await;
         // The answer has been read, and its list waits.
         sleep(ms(50)).await;
-        ask_now.notify_one();
+        poll_now.notify_one();
         until(|| targets(&log).len() > 1).await;
         assert!(
             targets(&log)[1].starts_with("GET /api/targets?from=1&"),
             "{:?}",
             targets(&log)
         );
-        assert!(matches!(inputs.recv().await, Some(EngineEvent::TakeAll)));
+        assert!(matches!(inputs.recv().await, Some(EngineEvent::PeerEnded)));
         match inputs.recv().await {
-            Some(EngineEvent::List(list)) => assert_eq!((list.index, list.lines.len()), (5, 1)),
+            Some(EngineEvent::EndpointList(list)) => {
+                assert_eq!((list.index, list.entries.len()), (5, 1))
+            }
             _ => panic!("the list is lost"),
         }
         watching.abort();
--- a/crates/stairfront-balancer/tests/operators.rs
+++ b/crates/stairfront-balancer/tests/operators.rs
@@ -46,7 +46,7 @@
             "rubbish\r\n\r\n",
             &format!("GET /{} HTTP/1.1\r\n", "x".repeat(40_000)),
         ] {
-            assert_eq!(say(balancer.operators, broken).await.0, 400, "{broken:.20}");
+            assert_eq!(say(balancer.admin, broken).await.0, 400, "{broken:.20}");
         }
     });
 }
@@ -71,7 +71,7 @@
         let balancer = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
         let mut mute = Vec::new();
         for i in 0..60 {
-            let mut caller = TcpStream::connect(balancer.operators).await.unwrap();
+            let mut caller = TcpStream::connect(balancer.admin).await.unwrap();
             if i % 2 == 0 {
                 caller
                     .write_all(b"POST /admin/cordon/s-1 HT")
--- a/crates/stairfront-balancer/tests/pool.rs
+++ b/crates/stairfront-balancer/tests/pool.rs
@@ -37,19 +37,19 @@
         },
         Instant::now(),
     );
-    let give_up = now + ms(1000);
+    let give_up_at = now + ms(1000);
     let over = Rc::default();
     (
         Job {
             attempt,
             cache: CACHE,
             command,
-            sent_at: now,
-            begun: now,
-            give_up,
-            lapses: None,
+            decided_at: now,
+            started_at: now,
+            give_up_at,
+            window_end: None,
             cancel: cancelled,
-            over,
+            finished: over,
         },
         cancel,
     )
@@ -70,9 +70,9 @@
     let mut ends: Vec<AttemptEnd> = Vec::new();
     while ends.is_empty() {
         match inputs.recv().await {
-            Some(EngineEvent::UpstreamPool(news)) => {
-                let idle = matches!(news, PoolEvent::Idle { .. });
-                pool.hear(news, &mut ends);
+            Some(EngineEvent::Pool(event)) => {
+                let idle = matches!(event, PoolEvent::Idle { .. });
+                pool.handle(event, &mut ends);
                 assert!(!idle || !ends.is_empty());
             }
             other => panic!("nothing else is told: {}", other.is_some()),
@@ -93,19 +93,19 @@
     network: N,
     address: std::net::SocketAddr,
     most: usize,
-    servers_idle_limit: std::time::Duration,
+    servers_idle_timeout: std::time::Duration,
 ) -> (UpstreamPool<N>, mpsc::Receiver<EngineEvent>) {
     let (inbox, inputs) = mpsc::channel(16);
     let limits = PoolSettings {
-        connections: most,
-        elsewhere: 0,
+        max_connections: most,
+        held_by_predecessor: 0,
         connect_timeout: ms(250),
-        servers_idle_limit,
-        stall_limit: ms(10_000),
+        servers_idle_timeout,
+        stall_timeout: ms(10_000),
         memory: Memory::of(64),
     };
     let mut pool = UpstreamPool::new(network, limits, Vec::new(), inbox, Rc::default());
-    pool.set(
+    pool.set_target(
         CACHE,
         UpstreamTarget {
             address,
@@ -125,16 +125,16 @@
         let (mut pool, mut inputs) = pool(address, 1);
         // Its connection is still coming up as the request is answered; the connection stays.
         let (first, _kept) = job(1);
-        let over = Rc::clone(&first.over);
+        let over = Rc::clone(&first.finished);
         assert!(pool.dispatch(first).is_none());
         over.set(true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::NeverSent
         );
         // It lies before the task of the idle connection, and is cancelled; another waits for the socket meanwhile.
         let ((second, cancel), (third, _kept), (fourth, _kept_too)) = (job(2), job(3), job(4));
-        let over = Rc::clone(&third.over);
+        let over = Rc::clone(&third.finished);
         for job in [second, third, fourth] {
             assert!(pool.dispatch(job).is_none());
         }
@@ -144,13 +144,13 @@
         assert_eq!(
             ended
                 .iter()
-                .map(|end| end.verdict.outcome)
+                .map(|end| end.result.outcome)
                 .collect::<Vec<_>>(),
             [Outcome::NeverSent; 2]
         );
         assert_eq!(commands(&log, "cache").len(), 0, "nothing was asked for");
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(
@@ -170,25 +170,25 @@
         // Its connection is still coming up.
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
-        pool.bar(CACHE, true);
+        pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::NeverSent
         );
         // Free again, it is served, and its connection stands idle.
-        pool.bar(CACHE, false);
+        pool.set_barred(CACHE, false);
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
         // It lies before the task of the idle connection, which has not looked yet.
         let (third, _kept) = job(3);
         assert!(pool.dispatch(third).is_none());
-        pool.bar(CACHE, true);
+        pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::NeverSent
         );
         assert_eq!(
@@ -202,15 +202,15 @@
             count(&log, &Seen::Opened("cache"))
         );
         // What is under way when the bar falls is left to its end.
-        pool.bar(CACHE, false);
+        pool.set_barred(CACHE, false);
         let (fourth, _kept) = job(4);
         assert!(pool.dispatch(fourth).is_none());
         while commands(&log, "cache").len() < 2 {
             tokio::task::yield_now().await;
         }
-        pool.bar(CACHE, true);
+        pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
     });
@@ -241,28 +241,28 @@
         let (mut pool, mut inputs) = pool_on(Late(gate), address, 1, ms(10_000));
         // Its connection does not come up in time at all.
         let (mut never, _kept) = job(0);
-        never.lapses = Some(Instant::now() + ms(50));
+        never.window_end = Some(Instant::now() + ms(50));
         assert!(pool.dispatch(never).is_none());
         let ended = end(&mut pool, &mut inputs).await;
         assert_eq!(
-            ended.verdict.outcome,
+            ended.result.outcome,
             Outcome::NeverSent,
             "no fault of the server's"
         );
         let (mut first, _kept) = job(1);
-        first.lapses = Some(Instant::now() + ms(100));
+        first.window_end = Some(Instant::now() + ms(100));
         let second = job(2);
         assert!(pool.dispatch(first).is_none());
         // Its connection comes up in the very turn in which the window has closed.
         std::thread::sleep(ms(120));
         open.send_replace(true);
         let ended = end(&mut pool, &mut inputs).await;
-        assert_eq!(ended.verdict.outcome, Outcome::NeverSent);
+        assert_eq!(ended.result.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 0);
         // One that lies before an idle connection, and one that waits for a socket, likewise.
         let (mut third, _kept) = job(3);
         assert!(pool.dispatch(second.0).is_none());
-        third.lapses = Some(Instant::now() + ms(30));
+        third.window_end = Some(Instant::now() + ms(30));
         assert!(pool.dispatch(third).is_none());
         std::thread::sleep(ms(40));
         let mut outcomes = Vec::new();
@@ -271,7 +271,7 @@
                 ends(&mut pool, &mut inputs)
                     .await
                     .iter()
-                    .map(|end| end.verdict.outcome),
+                    .map(|end| end.result.outcome),
             );
         }
         assert!(outcomes.contains(&Outcome::NeverSent), "{outcomes:?}");
@@ -290,22 +290,22 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (mut pool, mut inputs) = pool(listener.local_addr().unwrap(), 1);
         let (mut long, _kept) = job(1);
-        long.lapses = Some(Instant::now() + ms(200));
+        long.window_end = Some(Instant::now() + ms(200));
         long.command.verb = Verb::Set;
         long.command.value = Some(Bytes::from(vec![b'x'; 64 * 1024 * 1024]));
-        long.give_up = Instant::now() + ms(10_000);
+        long.give_up_at = Instant::now() + ms(10_000);
         assert!(pool.dispatch(long).is_none());
         let (unread, _) = listener.accept().await.unwrap();
         let ended = end(&mut pool, &mut inputs).await;
         assert_eq!(
-            ended.verdict.outcome,
+            ended.result.outcome,
             Outcome::ConnectFailed,
             "its last byte was never written"
         );
         assert!(
-            ended.begun.elapsed() < ms(2000),
+            ended.started_at.elapsed() < ms(2000),
             "{:?}",
-            ended.begun.elapsed()
+            ended.started_at.elapsed()
         );
         drop(unread);
     });
@@ -322,7 +322,7 @@
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
         // Its task has begun to wait; then nothing runs for longer than the limit.
@@ -331,7 +331,7 @@
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.verdict.outcome,
+            end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
@@ -355,7 +355,7 @@
             async |pool: &mut UpstreamPool<Tcp>, inputs: &mut mpsc::Receiver<EngineEvent>, id| {
                 let (job, _kept) = job(id);
                 assert!(pool.dispatch(job).is_none());
-                assert_eq!(end(pool, inputs).await.verdict.outcome, Outcome::Served);
+                assert_eq!(end(pool, inputs).await.result.outcome, Outcome::Served);
             };
         // Nothing of the kind was seen yet.
         serve(&mut pool, &mut inputs, 1).await;
@@ -363,8 +363,8 @@
         assert_eq!(opened(&log), 1);
         // The second answer ends its connection, and is told.
         match inputs.recv().await {
-            Some(EngineEvent::UpstreamPool(news @ PoolEvent::Closed { surplus: true, .. })) => {
-                pool.hear(news, &mut Vec::new())
+            Some(EngineEvent::Pool(event @ PoolEvent::Closed { surplus: true, .. })) => {
+                pool.handle(event, &mut Vec::new())
             }
             _ => panic!("the surplus is not told"),
         }
@@ -404,11 +404,11 @@
             let mut ended: Vec<AttemptEnd> = Vec::new();
             while ended.is_empty() {
                 match inputs.recv().await {
-                    Some(EngineEvent::UpstreamPool(news)) => pool.hear(news, &mut ended),
+                    Some(EngineEvent::Pool(event)) => pool.handle(event, &mut ended),
                     _ => panic!("nothing else is told"),
                 }
             }
-            assert_eq!(ended[0].verdict.outcome, Outcome::Served);
+            assert_eq!(ended[0].result.outcome, Outcome::Served);
             // The end of the first connection is heard before the next attempt.
             tokio::time::sleep(ms(5)).await;
         }
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -8,10 +8,10 @@
 use stairfront_balancer::configuration::request_catalog::RequestCatalog;
 use stairfront_balancer::lifecycle::loop_monitor;
 use stairfront_balancer::messages::{
-    Answer, Arrival, AttemptEnd, AttemptId, Command, FinalAnswer, Verb, Verdict,
+    Answer, Arrival, AttemptEnd, AttemptId, AttemptOutcome, Command, FinalAnswer, Verb,
 };
 use stairfront_balancer::stages::admit::{AdmissionError, RequestTable};
-use stairfront_balancer::stages::parse::{parse, Accepted, RequestParser};
+use stairfront_balancer::stages::parse::{Accepted, RequestParser};
 use stairfront_balancer::stages::send::SendDecision;
 use stairfront_balancer::upstream::load_report::load_report;
 use stairfront_policy::interface::{
@@ -48,11 +48,11 @@
     (
         Arrival {
             request,
-            came: 0,
+            arrived_at: 0,
             command,
-            room: None,
+            memory: None,
             answer,
-            over: Rc::default(),
+            finished: Rc::default(),
         },
         receiver,
     )
@@ -64,16 +64,16 @@
         request: RequestId(request),
         number,
     };
-    let verdict = Verdict {
+    let result = AttemptOutcome {
         value,
-        ..Verdict::bare(outcome)
+        ..AttemptOutcome::without_report(outcome)
     };
     AttemptEnd {
         attempt,
         cache: CACHE,
-        begun: Instant::now(),
-        verdict,
-        rest: None,
+        started_at: Instant::now(),
+        result,
+        body: None,
     }
 }
 
@@ -125,7 +125,7 @@
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let large = |id| {
         let mut end = end(id, 0, Outcome::Served);
-        end.verdict.value = Some(Bytes::from(vec![0; 64 * 1024]));
+        end.result.value = Some(Bytes::from(vec![0; 64 * 1024]));
         end
     };
     let (mut unread, mut id) = (Vec::new(), 0);
@@ -189,7 +189,7 @@
     table.complete(RequestId(1));
     assert_eq!(table.open.len(), 1);
     match table.send(RequestId(1), CACHE, 500 * MS, None) {
-        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
+        SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
         _ => panic!("sent after the answer"),
     }
     assert!(
@@ -212,7 +212,7 @@
     for id in [1, 7] {
         let sending = table.send(RequestId(id), CACHE, 500 * MS, None);
         assert!(
-            matches!(sending, SendDecision::Ended(end) if end.verdict.outcome == Outcome::NeverSent)
+            matches!(sending, SendDecision::Ended(end) if end.result.outcome == Outcome::NeverSent)
         );
     }
 }
@@ -262,7 +262,7 @@
     match table.send_deferred(RequestId(1)) {
         Some(SendDecision::Ended(end)) => {
             assert_eq!(
-                (end.attempt.number, end.verdict.outcome),
+                (end.attempt.number, end.result.outcome),
                 (1, Outcome::NeverSent)
             )
         }
@@ -304,7 +304,7 @@
     let _job = sent(&mut table, 1);
     let (mut again, mut receiver) = arrive(1, 1);
     again.request.id = RequestId(2);
-    assert_eq!(table.admit(again, MOST), Err(AdmissionError::IdOpen));
+    assert_eq!(table.admit(again, MOST), Err(AdmissionError::DuplicateId));
     assert!(matches!(
         receiver.try_recv().unwrap().answer,
         Answer::Error(_)
@@ -314,7 +314,7 @@
     table.complete(RequestId(1));
     assert_eq!(
         table.admit(arrive(1, 1).0, MOST),
-        Err(AdmissionError::IdOpen)
+        Err(AdmissionError::DuplicateId)
     );
     table.relay(&mut end(1, 0, Outcome::TimedOut));
     table.complete(RequestId(1));
@@ -353,26 +353,26 @@
         host,
     };
     let (_ready, is_ready) = watch::channel(true);
-    let door = loop_monitor::door(&settings, clock, 1);
-    let intake = RequestParser {
-        keeper: Default::default(),
-        terms: Rc::new(RefCell::new(RequestCatalog::of(&start))),
+    let admission = loop_monitor::admission_controller(&settings, clock, 1);
+    let parser = RequestParser {
+        maintenance: Default::default(),
+        catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
         clock,
         counters: Rc::default(),
-        door: Rc::clone(&door),
+        admission: Rc::clone(&admission),
         ready: is_ready,
-        members: None,
+        membership: None,
     };
     let words = |text: &str| {
         text.split(' ')
             .map(|word| Bytes::copy_from_slice(word.as_bytes()))
             .collect()
     };
-    let get = || parse(words("C.GET k 1 c=read,d=900"), &intake);
+    let get = || parser.parse(words("C.GET k 1 c=read,d=900"));
     assert!(matches!(get(), Accepted::Request { .. }));
     // A second in which every beat is later than the one before: it gets behind by half as fast as time passes.
     for beat in 1..100 {
-        door.borrow_mut().timer(beat * 10 * MS, beat * 5 * MS);
+        admission.borrow_mut().timer(beat * 10 * MS, beat * 5 * MS);
     }
     let turned_away = |taken: &Accepted| {
         matches!(
@@ -384,19 +384,19 @@
     };
     let refused = (0..1000).filter(|_| turned_away(&get())).count() as u64;
     assert!(refused > 800, "{refused}");
-    assert_eq!(intake.counters.shed.get(), refused);
+    assert_eq!(parser.counters.shed.get(), refused);
     for (command, answer) in [
         ("PING", Answer::Pong),
         ("C.GET k 1 c=other", Answer::Error("ERR unknown class")),
     ] {
         assert!(
-            matches!(parse(words(command), &intake), Accepted::Answered(told) if told == answer),
+            matches!(parser.parse(words(command)), Accepted::Answered(told) if told == answer),
             "{command}"
         );
     }
     // In time again for a second: all are taken.
     for beat in 100..200 {
-        door.borrow_mut().timer(beat * 10 * MS, 0);
+        admission.borrow_mut().timer(beat * 10 * MS, 0);
     }
     assert_eq!((0..1000).filter(|_| turned_away(&get())).count(), 0);
 }
@@ -406,7 +406,7 @@
 fn nothing_is_sent_for_a_client_that_has_left_whoever_knows_of_it() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let (arrival, _receiver) = arrive(1, 1);
-    let over = Rc::clone(&arrival.over);
+    let over = Rc::clone(&arrival.finished);
     assert!(table.admit(arrival, MOST).is_ok());
     let _first = sent(&mut table, 1);
     table.cancel(RequestId(1), 0);
@@ -417,7 +417,7 @@
     over.set(true);
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     let moot = |sending: SendDecision| match sending {
-        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
+        SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
         _ => panic!("sent on"),
     };
     moot(
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -10,9 +10,8 @@
 use serde_json::json;
 use stairfront_balancer::configuration::config::Config;
 use stairfront_balancer::control::cordon_record::CordonRecord;
-use stairfront_balancer::control::maintenance::{
-    CommittedCommand, DryRun, PublishedView, SideEvent,
-};
+use stairfront_balancer::control::maintenance::admin::{CommittedCommand, DryRun, PublishedView};
+use stairfront_balancer::control::maintenance::side_event::SideEvent;
 use stairfront_balancer::counters::Counters;
 use stairfront_balancer::lifecycle::handover_socket;
 use stairfront_balancer::lifecycle::handover_state::HandoverState;
@@ -283,23 +282,23 @@
         voters: vec![text("b-1"), text("b-2")],
         not_in: vec![text("b-3")],
     };
-    let waits = vec![BlockedMachine {
+    let blocked = vec![BlockedMachine {
         plan: 17,
         machine: text("s-0"),
         why: text("b-2 has not confirmed"),
     }];
     let full = PublishedView {
-        me: text("b-1"),
+        balancer: text("b-1"),
         agreement,
         view: view(),
-        waits,
+        blocked,
     };
     // As a state machine shows itself that has settled nothing.
     let none = PublishedView {
-        me: text("b-1"),
+        balancer: text("b-1"),
         agreement: Status::default(),
         view: Maintenance::default().view(),
-        waits: vec![],
+        blocked: vec![],
     };
     let both = vec![full, none];
     assert_eq!(through("maintenance.json", &both), both);
@@ -407,7 +406,7 @@
     let dry_run = DryRun {
         order: vec![text("s-1"), text("s-2")],
         rounds: 71,
-        at_most_s: 72,
+        max_seconds: 72,
     };
     let both = (settled, dry_run);
     assert_eq!(through("answers.json", &both), both);
@@ -425,20 +424,20 @@
     let cases = [
         (
             "is quiet",
-            SideEvent::IsQuiet {
+            SideEvent::QuietQuery {
                 host: host(),
-                told: 129,
+                entry: 129,
             },
         ),
         (
             "quiet",
-            SideEvent::Quiet {
+            SideEvent::QuietReport {
                 host: host(),
-                told: u64::MAX,
+                entry: u64::MAX,
             },
         ),
-        ("no waits", SideEvent::Waits(Vec::new())),
-        ("waits", SideEvent::Waits(vec![blocked])),
+        ("no waits", SideEvent::BlockedMachines(Vec::new())),
+        ("waits", SideEvent::BlockedMachines(vec![blocked])),
     ];
     golden_files().assert_postcard("side_messages.hex", &cases);
 }
--- a/crates/stairfront-balancer/tests/trouble.rs
+++ b/crates/stairfront-balancer/tests/trouble.rs
@@ -1,5 +1,5 @@
 //! What keeps plans of maintenance from taking out more.
-use stairfront_balancer::control::maintenance::ServiceCounts;
+use stairfront_balancer::control::maintenance::service_health::ServiceCounts;
 
 /// Danger: hosts taken out one after another while the origin already refuses what their misses ask of it.
 #[test]
@@ -16,7 +16,10 @@
         at_origin: before.at_origin + at_origin,
         unserved_at_origin: before.unserved_at_origin + unserved,
     };
-    let trouble = |now: ServiceCounts| now.trouble_since(before, "b1").unwrap_or_default();
+    let trouble = |now: ServiceCounts| {
+        let fault = now.fault_since(before);
+        fault.map_or(String::new(), |fault| fault.describe("b1"))
+    };
     assert_eq!(trouble(after(990, 1_000, 100, 5)), "");
     assert!(trouble(after(960, 1_000, 100, 5)).contains("requests are served at b1"));
     assert!(trouble(after(990, 1_000, 100, 11)).contains("origin is pressed"));
--- a/crates/stairfront-balancer/tests/virtual_network.rs
+++ b/crates/stairfront-balancer/tests/virtual_network.rs
@@ -207,20 +207,20 @@
         let config =
             Config::from_text("test", &config(at(1), at(9), &lines, 1024).to_string()).unwrap();
         let (phase, phases) = watch::channel(Phase::Running);
-        let (_hangups, rings) = mpsc::channel(1);
-        let around = ServerDependencies {
+        let (_hangups, hangup_receiver) = mpsc::channel(1);
+        let dependencies = ServerDependencies {
             network: network.clone(),
             listener: network.listen(at(1)),
-            operators: None,
-            folder: None,
+            admin_listener: None,
+            state_directory: None,
             predecessor: None,
             successor: Rc::default(),
-            members: None,
+            membership: None,
             clock: Clock::starting_at(0),
             phase: phases,
-            hangups: rings,
+            hangups: hangup_receiver,
         };
-        let balancer = spawn_local(serve(config, Policy::new, around));
+        let balancer = spawn_local(serve(config, Policy::new, dependencies));
         test(network).await;
         phase.send_replace(Phase::Last);
         balancer.await.unwrap().unwrap();
--- a/crates/stairfront/src/check.rs
+++ b/crates/stairfront/src/check.rs
@@ -16,7 +16,7 @@
             return ExitCode::from(FAULTY);
         }
     };
-    let faults = Config::faults(&name, &text);
+    let faults = Config::errors(&name, &text);
     faults.iter().for_each(|fault| eprintln!("{fault}"));
     if !faults.is_empty() {
         return ExitCode::from(FAULTY);
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stairfront_balancer::control::maintenance::{CommittedCommand, DryRun, PublishedView};
+use stairfront_balancer::control::maintenance::admin::{CommittedCommand, DryRun, PublishedView};
 use tokio::time::sleep;
 
 use crate::command_line::{MaintenanceArguments, MaintenanceCommand};
@@ -112,7 +112,7 @@
     let DryRun {
         order,
         rounds,
-        at_most_s,
+        max_seconds: at_most_s,
     } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
     let mut out = io::stdout().lock();
     for (at, machine) in order.iter().enumerate() {
@@ -191,10 +191,10 @@
 /// Each machine's step, since when, and why it waits.
 pub fn table(shown: &PublishedView, now_ms: u64) -> String {
     let PublishedView {
-        me,
+        balancer: me,
         agreement,
         view,
-        waits,
+        blocked: waits,
     } = shown;
     let leader = agreement.leader.as_deref().unwrap_or("nobody");
     let mut text = format!(
