--- a/crates/stairfront-raft/src/message.rs
+++ b/crates/stairfront-raft/src/message.rs
@@ -63,6 +63,16 @@
     TimeoutNow,
 }
 
+impl MessageBody {
+    /// Whether only a leader sends it.
+    pub(crate) fn is_from_leader(&self) -> bool {
+        matches!(
+            self,
+            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot { .. }
+        )
+    }
+}
+
 /// Entries of the leader's log, behind one that the receiver should already have (Raft figure 2).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendEntries {
--- a/crates/stairfront-raft/src/node.rs
+++ b/crates/stairfront-raft/src/node.rs
@@ -296,13 +296,3 @@
         });
     }
 }
-
-impl MessageBody {
-    /// Whether only a leader sends it.
-    fn is_from_leader(&self) -> bool {
-        matches!(
-            self,
-            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot { .. }
-        )
-    }
-}
--- a/crates/stairfront-raft/src/node/replication.rs
+++ b/crates/stairfront-raft/src/node/replication.rs
@@ -210,27 +210,6 @@
     }
 }
 
-impl Progress {
-    /// Applies a response and returns whether it has changed anything.
-    fn update(
-        &mut self,
-        match_index: Option<LogIndex>,
-        next_index_hint: LogIndex,
-        last_index: LogIndex,
-    ) -> bool {
-        let before = (self.match_index, self.next_index);
-        match match_index {
-            Some(match_index) => {
-                self.match_index = self.match_index.max(match_index);
-                self.next_index = self.next_index.max(match_index + 1);
-            }
-            // Never before what the member is known to have.
-            None => self.next_index = next_index_hint.clamp(self.match_index + 1, last_index + 1),
-        }
-        (self.match_index, self.next_index) != before
-    }
-}
-
 // The follower's side.
 impl Node {
     pub(super) fn handle_append_entries(
--- a/crates/stairfront-raft/src/node/role.rs
+++ b/crates/stairfront-raft/src/node/role.rs
@@ -41,6 +41,25 @@
             unanswered_since: None,
         }
     }
+
+    /// Applies a response and returns whether it has changed anything.
+    pub(super) fn update(
+        &mut self,
+        match_index: Option<LogIndex>,
+        next_index_hint: LogIndex,
+        last_index: LogIndex,
+    ) -> bool {
+        let before = (self.match_index, self.next_index);
+        match match_index {
+            Some(match_index) => {
+                self.match_index = self.match_index.max(match_index);
+                self.next_index = self.next_index.max(match_index + 1);
+            }
+            // Never before what the member is known to have.
+            None => self.next_index = next_index_hint.clamp(self.match_index + 1, last_index + 1),
+        }
+        (self.match_index, self.next_index) != before
+    }
 }
 
 /// A leadership transfer that has not ended.
--- a/crates/stairfront-raft/tests/cluster_manager.rs
+++ b/crates/stairfront-raft/tests/cluster_manager.rs
@@ -75,6 +75,7 @@
             network: VecDeque::new(),
             cut: BTreeSet::new(),
             loss: 0.1,
+            // The name is part of the seed, so it stays as it was.
             rng: SeededRng::for_part(seed, "council"),
             incarnations: 0,
             proposals: 0,
--- a/crates/stairfront-raft/tests/simulation/world.rs
+++ b/crates/stairfront-raft/tests/simulation/world.rs
@@ -105,6 +105,7 @@
             now: 0,
             servers: voters.iter().map(server).collect(),
             links: Links::new(voters.len(), seed),
+            // The name is part of the seed, so it stays as it was: seeds are pinned by it.
             rng: SeededRng::for_part(seed, "agreement"),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
