--- a/crates/stairfront-balancer/src/cordon_record.rs
+++ b/crates/stairfront-balancer/src/control/cordon_record.rs
@@ -2,7 +2,7 @@
 use std::io::{self, ErrorKind, Write as _};
 use std::path::{Path, PathBuf};
 
-use stairfront_admin_api::record;
+use stairfront_admin_api::cordon_record;
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -33,7 +33,7 @@
                 return Vec::new();
             }
         };
-        record::read(&text).unwrap_or_else(|problem| {
+        cordon_record::read(&text).unwrap_or_else(|problem| {
             warn!("{}: cordons not read: {problem}", path.display());
             Vec::new()
         })
@@ -43,7 +43,7 @@
         let Some(path) = &self.0 else { return Ok(()) };
         let folder = path.parent().unwrap_or(Path::new("."));
         let mut file = tempfile::NamedTempFile::new_in(folder)?;
-        file.write_all(record::write(names).as_bytes())?;
+        file.write_all(cordon_record::write(names).as_bytes())?;
         file.persist(path)?;
         Ok(())
     }
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -1,7 +1,6 @@
 //! What a balancer stores, leaves to its successor and tells operators, as it was pinned. Names in the program may
 //! change; these texts may not, since other builds, scripts and people read them.
 mod common;
-mod golden;
 
 use std::path::Path;
 
@@ -9,25 +8,32 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
-use stairfront_balancer::config::Config;
-use stairfront_balancer::cordon_record::CordonRecord;
+use stairfront_balancer::configuration::config::Config;
+use stairfront_balancer::control::cordon_record::CordonRecord;
+use stairfront_balancer::control::maintenance::{
+    CommittedCommand, DryRun, PublishedView, SideEvent,
+};
 use stairfront_balancer::counters::Counters;
-use stairfront_balancer::handover_socket;
-use stairfront_balancer::handover_state::HandoverState;
-use stairfront_balancer::maintenance::{DryRun, Settled, Shown};
+use stairfront_balancer::lifecycle::handover_socket;
+use stairfront_balancer::lifecycle::handover_state::HandoverState;
 use stairfront_maintenance::Balancer as FleetBalancer;
 use stairfront_maintenance::{
-    AvailabilityBudget, BlockedMachine, Command, CommandKind, DoneBy, Fleet, Host, Maintenance,
-    Plan, PlanView, Stage, View,
+    AvailabilityBudget, BlockedMachine, Command, CommandKind, CompletedBy, Fleet, Host,
+    Maintenance, Plan, PlanView, Stage, View,
 };
 use stairfront_membership_agent::{MemberState, QuorumStatus, Report};
 use stairfront_policy::interface::PolicySnapshot;
 use stairfront_raft_node::Status;
+use stairfront_test_support::golden::GoldenFiles;
 use tokio::net::TcpListener;
 
+fn golden_files() -> GoldenFiles {
+    GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
 /// Written as pinned; the pinned text, read.
 fn through<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> T {
-    let pinned = golden::same(name, &serde_json::to_vec(value).unwrap());
+    let pinned = golden_files().assert_bytes(name, &serde_json::to_vec(value).unwrap());
     serde_json::from_slice(&pinned).unwrap_or_else(|problem| panic!("{name}: {problem}"))
 }
 
@@ -55,7 +61,7 @@
 #[test]
 fn the_handover_socket_has_the_pinned_name() {
     let path = handover_socket::path(Path::new("/run/stairfront"), "b-7");
-    golden::same("socket.txt", format!("{}\n", path.display()).as_bytes());
+    golden_files().assert_bytes("socket.txt", format!("{}\n", path.display()).as_bytes());
 }
 
 /// The name of the record of cordons, and its text in the next line.
@@ -72,7 +78,8 @@
     assert_eq!(files.len(), 1, "{files:?}");
     let name = files[0].file_name().unwrap().to_str().unwrap();
     let now = format!("{name}\n{}", std::fs::read_to_string(&files[0]).unwrap());
-    let pinned = String::from_utf8(golden::same("cordons.txt", now.as_bytes())).unwrap();
+    let pinned =
+        String::from_utf8(golden_files().assert_bytes("cordons.txt", now.as_bytes())).unwrap();
     std::fs::write(&files[0], pinned.split_once('\n').unwrap().1).unwrap();
     assert_eq!(
         CordonRecord::within(Some(folder.path()), "b-7").read(),
@@ -102,7 +109,7 @@
     assert!(
         shown.starts_with("taken_in:3\r\n") && shown.ends_with("server_connections_surplus:4\r\n")
     );
-    golden::same("counters.txt", names(&shown).as_bytes());
+    golden_files().assert_bytes("counters.txt", names(&shown).as_bytes());
 }
 
 /// The answer to `INFO` of a balancer in no group.
@@ -114,7 +121,7 @@
         let balancer = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
         let said = balancer.client().await.ask(&["INFO"]).await;
         let (_, info) = said.split_once("\r\n").unwrap();
-        golden::same("info.txt", names(info).as_bytes());
+        golden_files().assert_bytes("info.txt", names(info).as_bytes());
     });
 }
 
@@ -148,7 +155,7 @@
                 whole.replace("\r\n", "\n")
             ));
         }
-        golden::same("pages.txt", pages.as_bytes());
+        golden_files().assert_bytes("pages.txt", pages.as_bytes());
     });
 }
 
@@ -229,11 +236,11 @@
 fn view() -> View {
     let stages = [
         Stage::Waiting,
-        Stage::Told,
-        Stage::Held,
+        Stage::Notified,
+        Stage::Draining,
         Stage::Out,
-        Stage::Warming,
-        Stage::Back,
+        Stage::WarmingUp,
+        Stage::Returned,
         Stage::Skipped,
     ];
     let rows: Vec<_> = stages
@@ -266,7 +273,7 @@
     let history =
         json!([{"index": 31, "term": 32, "at_ms": 33, "author": "cy", "text": "plan 17 goes on"}]);
     View {
-        trouble: Some(text("the origin is short")),
+        fault: Some(text("the origin is short")),
         plans: vec![first, second],
         history: serde_json::from_value(history).unwrap(),
     }
@@ -281,21 +288,21 @@
         term: 41,
         committed: 42,
         voters: vec![text("b-1"), text("b-2")],
-        not_in: vec![text("b-3")],
+        missing_voters: vec![text("b-3")],
     };
     let waits = vec![BlockedMachine {
         plan: 17,
         machine: text("s-0"),
-        why: text("b-2 has not confirmed"),
+        reason: text("b-2 has not confirmed"),
     }];
-    let full = Shown {
+    let full = PublishedView {
         me: text("b-1"),
         agreement,
         view: view(),
         waits,
     };
     // As a state machine shows itself that has settled nothing.
-    let none = Shown {
+    let none = PublishedView {
         me: text("b-1"),
         agreement: Status::default(),
         view: Maintenance::default().view(),
@@ -311,9 +318,9 @@
     let host = Host {
         name: text("s-1"),
         zone: text("z-1"),
-        group: 0,
-        up: true,
-        born_ms: 0,
+        deduplication_group: 0,
+        is_serving: true,
+        started_ms: 0,
     };
     let other = Host {
         name: text("s-2"),
@@ -326,26 +333,26 @@
     let (there, left, votes, leads, run) = (true, false, true, true, 5);
     let balancer = |name: &str| FleetBalancer {
         name: text(name),
-        there,
-        left,
-        votes,
-        leads,
-        run,
+        is_present: there,
+        has_left: left,
+        is_voter: votes,
+        is_leader: leads,
+        process_id: run,
     };
     let balancers = ["b-1", "b-2", "b-3"].map(balancer).to_vec();
     let fleet = Fleet {
         hosts: vec![host, other, third],
         balancers,
-        trouble: Some(text("storm")),
+        fault: Some(text("storm")),
     };
     let plan = json!({"machines": ["s-1", "b-1"], "reason": "new kernel", "author": "ann"});
     let plan = serde_json::from_value(plan).unwrap();
     let words = [
         CommandKind::Fleet(fleet),
-        CommandKind::Post(plan),
+        CommandKind::Submit(plan),
         CommandKind::Hold {
             plan: 2,
-            why: text("wait"),
+            reason: text("wait"),
         },
     ];
     let mut maintenance = Maintenance::default();
@@ -357,9 +364,9 @@
             term: 7,
             via,
             author,
-            what,
+            kind: what,
         };
-        assert_eq!(maintenance.apply(i, 7, &command.write()), Some(i));
+        assert_eq!(maintenance.apply(i, 7, &command.encode()), Some(i));
         assert_eq!(maintenance.outcome(i).unwrap().result, Ok(i));
     }
     let view = maintenance.view();
@@ -373,23 +380,23 @@
         machines: vec![text("s-1"), text("b-2")],
         zones: vec![text("z-1")],
         kinds: vec![text("caches")],
-        at_once: 2,
-        stay: AvailabilityBudget {
+        max_out: 2,
+        availability: AvailabilityBudget {
             zone: 0.25,
-            whole: 0.75,
+            fleet: 0.75,
         },
-        done: DoneBy::Restart,
-        confirm_s: 51,
-        quiet_s: 52,
-        work_s: 53,
-        warm_s: 54,
+        completed_by: CompletedBy::Restart,
+        confirm_timeout_s: 51,
+        drain_timeout_s: 52,
+        work_timeout_s: 53,
+        warm_up_timeout_s: 54,
         reason: text("new kernel"),
         author: text("ann"),
     };
     let short: Plan = serde_json::from_value(json!({"reason": "disks", "author": "bo"})).unwrap();
     assert_eq!(
-        (short.at_once, short.done, short.confirm_s),
-        (1, DoneBy::Operator, 60)
+        (short.max_out, short.completed_by, short.confirm_timeout_s),
+        (1, CompletedBy::Operator, 60)
     );
     let both = vec![plan, short];
     assert_eq!(through("plans.json", &both), both);
@@ -398,7 +405,7 @@
 /// The answer to what operators have settled, and to a plan that is only tried.
 #[test]
 fn answers_to_plans_are_as_pinned() {
-    let settled = Settled {
+    let settled = CommittedCommand {
         via: text("b-2"),
         leader: Some(text("b-1")),
         index: 61,
@@ -412,3 +419,33 @@
     let both = (settled, dry_run);
     assert_eq!(through("answers.json", &both), both);
 }
+
+/// Members of a group exchange these by postcard, beside the Raft messages: builds before and after must read each other.
+#[test]
+fn side_messages_between_members_have_the_pinned_form() {
+    let host = || text("s-7");
+    let blocked = BlockedMachine {
+        plan: 300,
+        machine: text("s-7"),
+        reason: text("not quiet at b-2"),
+    };
+    let cases = [
+        (
+            "is quiet",
+            SideEvent::IsQuiet {
+                host: host(),
+                told: 129,
+            },
+        ),
+        (
+            "quiet",
+            SideEvent::Quiet {
+                host: host(),
+                told: u64::MAX,
+            },
+        ),
+        ("no waits", SideEvent::Waits(Vec::new())),
+        ("waits", SideEvent::Waits(vec![blocked])),
+    ];
+    golden_files().assert_postcard("side_messages.hex", &cases);
+}
--- a/crates/stairfront-policy/tests/common/mod.rs
+++ b/crates/stairfront-policy/tests/common/mod.rs
@@ -1,15 +1,21 @@
-//! A hand-driven balancer: events in, actions out, and a book of what is out. No bench, no clock.
+//! A policy that a test drives by hand: events in, actions out, and a record of the attempts. No clock.
+// Each test file uses some of these helpers only.
 #![allow(dead_code)]
 use std::collections::BTreeMap;
 
-use stairfront_policy::interface::*;
+use stairfront_policy::interface::{
+    Action, AttemptResult, CacheId, CacheMode, CacheStatus, Cell, Class, ClassId, DiscoveryMode,
+    Endpoint, EndpointListUpdate, EndpointState, Event, Idempotency, Key, Kind, Limits, LoadReport,
+    Micros, Outcome, ReportField, Request, RequestId, Rules, Settings, TailLatency, TenantId, Zone,
+    MS, SECOND,
+};
 use stairfront_policy::Policy;
 
 pub const ORIGIN: CacheId = CacheId(9_000);
 
-pub fn class(semantics: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: semantics,
+        idempotency,
         latency_objective: 500 * MS,
         deadline: 1_000 * MS,
         priority_weight: 1.0,
@@ -54,15 +60,15 @@
     }
 }
 
-pub fn through() -> Settings {
+pub fn read_through() -> Settings {
     settings(CacheMode::Through)
 }
 
-pub fn aside() -> Settings {
+pub fn cache_aside() -> Settings {
     settings(CacheMode::Aside { origin: Kind(1) })
 }
 
-pub fn member(id: u64, state: EndpointState) -> Endpoint {
+pub fn endpoint(id: u64, state: EndpointState) -> Endpoint {
     let zone = Zone((id % 2) as u8);
     Endpoint {
         id: CacheId(id),
@@ -75,48 +81,48 @@
     }
 }
 
-pub fn ready(ids: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
+pub fn ready_list(ids: impl IntoIterator<Item = u64>) -> Vec<Endpoint> {
     ids.into_iter()
-        .map(|id| member(id, EndpointState::Ready))
+        .map(|id| endpoint(id, EndpointState::Ready))
         .collect()
 }
 
 pub fn with_origin(mut list: Vec<Endpoint>) -> Vec<Endpoint> {
     list.push(Endpoint {
         kind: Kind(1),
-        ..member(ORIGIN.0, EndpointState::Ready)
+        ..endpoint(ORIGIN.0, EndpointState::Ready)
     });
     list
 }
 
-pub struct Rig {
+pub struct TestBalancer {
     pub policy: Policy,
     pub now: Micros,
     pub out: Vec<Action>,
-    /// Where each attempt went, by request.
+    /// The server of each attempt, by request.
     pub sent: BTreeMap<u32, Vec<CacheId>>,
     next: u32,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, list: &[Endpoint]) -> Rig {
-        Rig::seeded(settings, list, 7)
+impl TestBalancer {
+    pub fn new(settings: Settings, list: &[Endpoint]) -> TestBalancer {
+        TestBalancer::seeded(settings, list, 7)
     }
 
-    pub fn seeded(settings: Settings, list: &[Endpoint], seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, list: &[Endpoint], seed: u64) -> TestBalancer {
         let policy = Policy::new(settings, seed);
-        let mut rig = Rig {
+        let mut balancer = TestBalancer {
             policy,
             now: 100 * SECOND,
             out: vec![],
             sent: BTreeMap::new(),
             next: 0,
         };
-        rig.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
-        rig
+        balancer.event(Event::EndpointList(EndpointListUpdate::Cached(list)));
+        balancer
     }
 
-    /// Hands in one event; the actions it caused are returned and kept in `out`.
+    /// Gives the policy one event. The actions that it caused are returned and kept in `out`.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = vec![];
         self.policy.handle(self.now, event, &mut actions);
@@ -129,53 +135,40 @@
         actions
     }
 
-    pub fn ask(&mut self, key: u64) -> RequestId {
-        self.ask_as(0, key, false)
+    pub fn request(&mut self, key: u64) -> RequestId {
+        self.request_of_class(0, key, false)
     }
 
-    pub fn ask_as(&mut self, class: u8, key: u64, write: bool) -> RequestId {
-        self.ask_of(0, class, key, write)
+    pub fn request_of_class(&mut self, class: u8, key: u64, write: bool) -> RequestId {
+        self.request_from(0, class, key, write)
     }
 
-    pub fn ask_of(&mut self, tenant: u32, class: u8, key: u64, write: bool) -> RequestId {
+    pub fn request_from(&mut self, tenant: u32, class: u8, key: u64, write: bool) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
-        let (key, expires) = (Some(Key(key)), self.now + 1_000 * MS);
-        let (class, tenant) = (ClassId(class), TenantId(tenant));
         self.event(Event::Request(Request {
             id,
-            class,
-            tenant,
-            key,
-            expires_at: expires,
+            class: ClassId(class),
+            tenant: TenantId(tenant),
+            key: Some(Key(key)),
+            expires_at: self.now + 1_000 * MS,
             write,
             retry: false,
         }));
         id
     }
 
-    /// The last attempt of a request ends so.
-    pub fn settle(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
-        let sends = &self.sent[&id.0];
-        let (attempt, cache) = (sends.len() as u8 - 1, sends[sends.len() - 1]);
-        let closed = outcome == Outcome::Served;
-        let (elapsed, note, load) = (20 * MS, CacheStatus::Hit, LoadReport::default());
-        self.event(Event::AttemptFinished(AttemptResult {
-            id,
-            attempt,
-            cache,
-            outcome,
-            request_finished: closed,
-            elapsed,
-            cache_status: note,
-            load,
-        }))
+    /// Ends the last attempt of a request.
+    pub fn finish_attempt(&mut self, id: RequestId, outcome: Outcome) -> Vec<Action> {
+        let sent = &self.sent[&id.0];
+        let result = attempt_result(id, sent.len() as u8 - 1, sent[sent.len() - 1], outcome);
+        self.event(Event::AttemptFinished(result))
     }
 
-    /// Asks for a key and has it served; tells by whom.
+    /// Requests a key and has it served; returns the cache that served it.
     pub fn serve(&mut self, key: u64) -> CacheId {
-        let id = self.ask(key);
-        self.settle(id, Outcome::Served);
+        let id = self.request(key);
+        self.finish_attempt(id, Outcome::Served);
         self.last_cache(id).expect("an idle cache takes a request")
     }
 
@@ -183,21 +176,56 @@
         self.sent.get(&id.0).and_then(|s| s.last().copied())
     }
 
-    pub fn finals(&self, id: RequestId) -> usize {
+    pub fn final_answers(&self, id: RequestId) -> usize {
         let is_final = |a: &&Action| matches!(a, Action::Reject { id: i, .. } | Action::Fail { id: i } if *i == id);
         self.out.iter().filter(is_final).count()
     }
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+/// The end of an attempt after 20 ms; the request is finished if it was served.
+pub fn attempt_result(
+    id: RequestId,
+    attempt: u8,
+    cache: CacheId,
+    outcome: Outcome,
+) -> AttemptResult {
+    AttemptResult {
+        id,
+        attempt,
+        cache,
+        outcome,
+        request_finished: outcome == Outcome::Served,
+        elapsed: 20 * MS,
+        cache_status: CacheStatus::Hit,
+        load: LoadReport::default(),
+    }
+}
+
+/// A load report that holds the utilization alone.
+pub fn utilization_report(utilization: f32) -> LoadReport {
+    LoadReport {
+        len: 1,
+        values: [utilization, 0.0, 0.0, 0.0],
+    }
+}
+
+/// Settings in which servers report their utilization.
+pub fn reporting_utilization(settings: Settings) -> Settings {
+    Settings {
+        report: vec![ReportField::Utilization],
+        ..settings
+    }
+}
+
+pub fn has_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn has_failure(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn sends(actions: &[Action]) -> Vec<CacheId> {
+pub fn servers_sent_to(actions: &[Action]) -> Vec<CacheId> {
     actions
         .iter()
         .filter_map(|a| {
