--- a/crates/stairfront-balancer/src/control/admin_server/calls.rs
+++ b/crates/stairfront-balancer/src/control/admin_server/calls.rs
@@ -247,7 +247,7 @@
 
     /// A reply if the engine does not know this host, so that a mistyped name is not sent to all members.
     async fn check_host_is_known(&self, membership: &MembershipAgent, host: &str) -> Option<Reply> {
-        if membership.holds(host) {
+        if membership.is_cordoned(host) {
             return None;
         }
         let order = OperatorOrder::IsKnown(host.to_string());
--- a/crates/stairfront-balancer/src/control/maintenance/mod.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/mod.rs
@@ -16,7 +16,7 @@
 
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
 use stairfront_maintenance::{BlockedMachine, MachineKey, Maintenance, Stage};
-use stairfront_membership_agent::MembershipAgent;
+use stairfront_membership_agent::{MembershipAgent, PlannedCordon, PlannedCordons};
 use stairfront_raft_node::RaftNode;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle};
@@ -143,15 +143,18 @@
             return;
         }
         let machine = self.handles.raft.state_machine();
-        let held: Vec<(String, u64)> = machine
-            .0
-            .cordoned_hosts()
-            .into_iter()
-            .map(|held| (held.host, held.notified))
-            .collect();
+        let cordoned = machine.0.cordoned_hosts().into_iter();
+        let cordons = cordoned.map(|cordoned| PlannedCordon {
+            host: cordoned.host,
+            log_index: cordoned.notified,
+        });
         self.handles
             .membership
-            .follow(applied.cluster_id, &held, applied.index);
+            .apply_planned_cordons(&PlannedCordons {
+                cluster_id: applied.cluster_id,
+                cordons: cordons.collect(),
+                up_to: applied.index,
+            });
         self.log_own_stage(machine.0.balancer_stage(&self.handles.name));
     }
 
@@ -210,7 +213,7 @@
 
     /// Whether a host is held out here and no attempt is open there in any process of this balancer.
     async fn is_quiet(&self, host: &str) -> bool {
-        if !self.handles.membership.holds(host) {
+        if !self.handles.membership.is_cordoned(host) {
             return false;
         }
         self.host_usage(host)
