--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -10,9 +10,8 @@
 use serde_json::json;
 use stairfront_balancer::configuration::config::Config;
 use stairfront_balancer::control::cordon_record::CordonRecord;
-use stairfront_balancer::control::maintenance::{
-    CommittedCommand, DryRun, PublishedView, SideEvent,
-};
+use stairfront_balancer::control::maintenance::admin::{CommittedCommand, DryRun, PublishedView};
+use stairfront_balancer::control::maintenance::side_event::SideEvent;
 use stairfront_balancer::counters::Counters;
 use stairfront_balancer::lifecycle::handover_socket;
 use stairfront_balancer::lifecycle::handover_state::HandoverState;
@@ -198,10 +197,17 @@
     let read = through("members.json", &reports);
     assert_eq!(read, reports);
     for (i, (report, (_, standing))) in read.iter().zip(standings).enumerate() {
-        assert_eq!((report.me.as_str(), report.group.as_str()), ("b-0", "g-1"));
-        assert_eq!((report.standing, report.standing_since_ms), (standing, 21));
         assert_eq!(
-            (report.digest.as_str(), report.disagree_ms, report.namesake),
+            (report.name.as_str(), report.group.as_str()),
+            ("b-0", "g-1")
+        );
+        assert_eq!((report.quorum, report.quorum_since_ms), (standing, 21));
+        assert_eq!(
+            (
+                report.digest.as_str(),
+                report.divergence_ms,
+                report.name_conflict
+            ),
             ("00ff", 22, i % 2 == 0)
         );
         assert_eq!(report.roster_differs, ["b-3"]);
@@ -219,7 +225,7 @@
     );
     let of = &read[0].members[1];
     assert_eq!(
-        (of.name.as_str(), of.incarnation, of.since_ms, of.run),
+        (of.name.as_str(), of.incarnation, of.since_ms, of.process_id),
         ("b-1", 12, 101, 0)
     );
     assert_eq!(of.address, Some("[::1]:7002".parse().unwrap()));
@@ -283,23 +289,23 @@
         voters: vec![text("b-1"), text("b-2")],
         missing_voters: vec![text("b-3")],
     };
-    let waits = vec![BlockedMachine {
+    let blocked = vec![BlockedMachine {
         plan: 17,
         machine: text("s-0"),
         reason: text("b-2 has not confirmed"),
     }];
     let full = PublishedView {
-        me: text("b-1"),
+        balancer: text("b-1"),
         agreement,
         view: view(),
-        waits,
+        blocked,
     };
     // As a state machine shows itself that has settled nothing.
     let none = PublishedView {
-        me: text("b-1"),
+        balancer: text("b-1"),
         agreement: Status::default(),
         view: Maintenance::default().view(),
-        waits: vec![],
+        blocked: vec![],
     };
     let both = vec![full, none];
     assert_eq!(through("maintenance.json", &both), both);
@@ -407,7 +413,7 @@
     let dry_run = DryRun {
         order: vec![text("s-1"), text("s-2")],
         rounds: 71,
-        at_most_s: 72,
+        max_seconds: 72,
     };
     let both = (settled, dry_run);
     assert_eq!(through("answers.json", &both), both);
@@ -425,20 +431,20 @@
     let cases = [
         (
             "is quiet",
-            SideEvent::IsQuiet {
+            SideEvent::QuietQuery {
                 host: host(),
-                told: 129,
+                entry: 129,
             },
         ),
         (
             "quiet",
-            SideEvent::Quiet {
+            SideEvent::QuietReport {
                 host: host(),
-                told: u64::MAX,
+                entry: u64::MAX,
             },
         ),
-        ("no waits", SideEvent::Waits(Vec::new())),
-        ("waits", SideEvent::Waits(vec![blocked])),
+        ("no waits", SideEvent::BlockedMachines(Vec::new())),
+        ("waits", SideEvent::BlockedMachines(vec![blocked])),
     ];
     golden_files().assert_postcard("side_messages.hex", &cases);
 }
