--- a/crates/stairfront-balancer/src/configuration/request_catalog.rs
+++ b/crates/stairfront-balancer/src/configuration/request_catalog.rs
@@ -3,7 +3,7 @@
 
 use stairfront_common::time::{Micros, SECOND};
 use stairfront_policy::interface::{Class, ClassId, TenantId};
-use stairfront_settings::{Names, Retuned, Start};
+use stairfront_settings::{LoadedSettings, Names, SettingsUpdate};
 
 use crate::clock::timer_duration;
 
@@ -23,7 +23,7 @@
 
 impl RequestCatalog {
     /// The catalog of the settings at a start.
-    pub fn of(start: &Start) -> Self {
+    pub fn of(start: &LoadedSettings) -> Self {
         RequestCatalog {
             names: start.names.clone(),
             classes: start.settings.classes.clone(),
@@ -33,11 +33,11 @@
     }
 
     /// The catalog of new settings that are taken over at `now`.
-    pub fn retuned(now: Micros, retuned: &Retuned) -> Self {
+    pub fn retuned(now: Micros, retuned: &SettingsUpdate) -> Self {
         RequestCatalog {
-            retired: retuned.retired.clone(),
+            retired: retuned.retired_classes.clone(),
             retired_until: now + RETIRED_TTL,
-            ..RequestCatalog::of(&retuned.start)
+            ..RequestCatalog::of(&retuned.loaded)
         }
     }
 
--- a/crates/stairfront-balancer/src/lifecycle/assembly.rs
+++ b/crates/stairfront-balancer/src/lifecycle/assembly.rs
@@ -11,7 +11,7 @@
 use stairfront_membership_agent::MembershipAgent;
 use stairfront_policy::interface::Settings;
 use stairfront_raft_node::{AgreementSection, RaftNode, RaftNodeSettings};
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
 use tracing::info;
@@ -77,7 +77,7 @@
     pub(super) runtime: RuntimeHandles,
     seed: u64,
     memory: Memory,
-    start: Start,
+    start: LoadedSettings,
     agreement: Option<AgreementSection>,
     catalog: Rc<RefCell<RequestCatalog>>,
     origin: Rc<OriginUsage>,
@@ -153,7 +153,7 @@
             max_connections: self.sockets.servers,
             held_by_predecessor: held_connections(predecessor).servers,
             connect_timeout: timer_duration(self.start.settings.limits.connect_timeout),
-            servers_idle_timeout: timer_duration(self.start.host.idle),
+            servers_idle_timeout: timer_duration(self.start.host.idle_timeout),
             stall_timeout: stall_timeout(&self.start.settings),
             memory: self.memory,
         };
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -10,7 +10,7 @@
 use stairfront_policy::interface::{
     CacheId, CacheStatus, Endpoint, LoadReport, Outcome, Request, RequestId,
 };
-use stairfront_settings::Retuned;
+use stairfront_settings::SettingsUpdate;
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 
 use crate::clock::Instant;
@@ -329,7 +329,7 @@
     /// The maintenance service asks for the cache hosts of the list in use.
     ListCacheHosts(oneshot::Sender<Vec<ListedHost>>),
     /// New settings, which are taken over all at once.
-    Retune(Box<Retuned>),
+    Retune(Box<SettingsUpdate>),
     /// There is no other process of this balancer any more.
     PeerEnded,
     /// This process has been told to end.
