--- a/crates/stairfront-balancer/src/configuration/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -78,9 +78,9 @@
     fn group_errors(&self) -> Vec<KeyError> {
         let mut errors = Vec::new();
         if let Some(membership) = &self.membership {
-            let faults = membership.faults(&self.name).into_iter();
+            let found = membership.validate(&self.name).into_iter();
             errors
-                .extend(faults.map(|(key, problem)| KeyError::within("membership", key, problem)));
+                .extend(found.map(|error| KeyError::within("membership", error.key, error.reason)));
             if self.settings["caps"]["peer_messages"] != Value::Bool(true) {
                 errors.push(KeyError::new(
                     "membership",
--- a/crates/stairfront-balancer/src/control/maintenance/leader.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/leader.rs
@@ -191,7 +191,7 @@
                 has_left: member.state == MemberState::Left,
                 is_voter: self.handles.voters.contains(&member.name),
                 is_leader: member.name == self.handles.name,
-                process_id: member.run,
+                process_id: member.process_id,
             })
             .collect()
     }
@@ -233,7 +233,11 @@
                 continue;
             }
             // An order that is refused, because too many are open, is given again at the next step.
-            if let Ok(order) = self.handles.membership.ask_planned(&key.host, key.notified) {
+            if let Ok(order) = self
+                .handles
+                .membership
+                .confirm_planned_cordon(&key.host, key.notified)
+            {
                 leader.confirmations.insert(key, order);
             }
         }
--- a/crates/stairfront-balancer/src/lifecycle/assembly.rs
+++ b/crates/stairfront-balancer/src/lifecycle/assembly.rs
@@ -221,7 +221,7 @@
     ) -> Option<GroupMembership> {
         let agent = Rc::clone(self.membership.as_ref()?);
         tasks.spawn(Rc::clone(&agent).run());
-        let held_hosts = agent.held_at_start(ask_members).await;
+        let held_hosts = agent.bootstrap(ask_members).await;
         Some(GroupMembership { agent, held_hosts })
     }
 
