--- a/crates/stairfront-gossip-membership/src/membership/cordon_orders.rs
+++ b/crates/stairfront-gossip-membership/src/membership/cordon_orders.rs
@@ -24,7 +24,7 @@
 /// Time for which an order is transmitted at all; later, only the comparison of cordon sets spreads its entries.
 const ORDER_TTL: Micros = 60 * SECOND;
 
-/// Reason why an order is refused.
+/// Reason why an order is refused. The texts are answers of the admin API and stay as they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
     /// The order is a lift and this member is not in contact with a majority.
--- a/crates/stairfront-gossip-membership/src/membership/state_transitions.rs
+++ b/crates/stairfront-gossip-membership/src/membership/state_transitions.rs
@@ -56,7 +56,7 @@
             StateAssertion::Alive {
                 address,
                 process_id,
-            } => self.accept_alive(now, &message, (*address, *process_id), evidence),
+            } => self.accept_alive(now, &message, *address, *process_id, evidence),
             StateAssertion::Suspect { by } => self.accept_suspicion(now, &message, by, evidence),
             StateAssertion::Failed { by } => {
                 self.consider_failure(&message, by);
@@ -74,7 +74,8 @@
         &mut self,
         now: Micros,
         message: &GossipMessage,
-        (address, process_id): (SocketAddr, u64),
+        address: SocketAddr,
+        process_id: u64,
         evidence: &Evidence,
     ) -> bool {
         let Some(peer) = self.table.peers.get_mut(&message.member) else {
