--- a/crates/stairfront-balancer/src/client/accept.rs
+++ b/crates/stairfront-balancer/src/client/accept.rs
@@ -23,7 +23,7 @@
     pub(super) socket: T,
     /// Whether it has carried a command.
     pub(super) used: bool,
-    /// What was read of the next command.
+    /// Bytes read of the next command.
     pub(super) unread: Vec<u8>,
 }
 
--- a/crates/stairfront-balancer/src/client/admission.rs
+++ b/crates/stairfront-balancer/src/client/admission.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Waits for a usual permit.
+    /// The next usual permit that is free.
     pub(super) async fn acquire(permits: &Arc<Semaphore>) -> Result<Self, AcquireError> {
         let permit = Arc::clone(permits).acquire_owned().await;
         permit.map(ClientPermit::usual)
--- a/crates/stairfront-balancer/src/client/connection.rs
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// What a connection has brought so far.
+/// How far a connection has been used.
 pub(super) enum ConnectionState {
     /// It was accepted a moment ago.
     New,
@@ -71,12 +71,12 @@
     Used,
 }
 
-/// What a connection that is to close still waits for.
+/// How long a connection that is to close stays open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// For the rest of a command that has begun to come.
+    /// Until a command that has begun to come is complete.
     AfterPartialCommand,
-    /// For nothing that has not come yet.
+    /// No longer than until all that has come is read.
     Immediately,
 }
 
@@ -107,8 +107,8 @@
     pub(super) must_stay: bool,
 }
 
-/// What a connection waits for until something happens.
-struct Turn {
+/// The events that a connection waits for, until one of them happens.
+struct WaitConditions {
     /// No request is open.
     idle: bool,
     used: bool,
@@ -188,7 +188,7 @@
             if self.write_ready(None).await.is_err() {
                 return ConnectionEnd::Disconnected;
             }
-            let turn = match self.plan_turn() {
+            let turn = match self.wait_conditions() {
                 Ok(turn) => turn,
                 Err(end) => return end,
             };
@@ -199,7 +199,7 @@
     }
 
     /// Decides what to wait for; an error if the connection ends now.
-    fn plan_turn(&mut self) -> Result<Turn, ConnectionEnd> {
+    fn wait_conditions(&mut self) -> Result<WaitConditions, ConnectionEnd> {
         let idle = self.pending.is_empty();
         if let (true, Some(end)) = (idle, self.final_end) {
             return Err(end);
@@ -229,7 +229,7 @@
             Some(CloseReason::AfterPartialCommand) => idle && no_partial_command,
             None => false,
         };
-        Ok(Turn {
+        Ok(WaitConditions {
             idle,
             used: matches!(self.state, ConnectionState::Used),
             spare: self.spare_until.is_some(),
@@ -242,10 +242,10 @@
         })
     }
 
-    /// Waits until something happens and handles it; an error if the connection ends by it.
+    /// Handles the next event that happens; an error if the connection ends by it.
     async fn wait(
         &mut self,
-        turn: &Turn,
+        turn: &WaitConditions,
         context: &ClientContext,
         phases: &mut PhaseReceivers,
     ) -> Result<(), ConnectionEnd> {
@@ -267,7 +267,7 @@
                     return Err(ConnectionEnd::Disconnected);
                 }
             }
-            // What the client has not sent yet stays with the client.
+            // Bytes that the client has not sent yet stay with the client.
             () = sleep(MEMORY_CHECK_INTERVAL), if turn.waiting_for_memory => {}
             // A request may be in the kernel unseen, and closing would lose it. By the time this is polled again the
             // sockets have been polled, and the read above comes first.
--- a/crates/stairfront-balancer/src/client/context.rs
+++ b/crates/stairfront-balancer/src/client/context.rs
@@ -1,4 +1,4 @@
-//! What all client connections share.
+//! The context that all client connections share.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use crate::messages::EngineEvent;
 use crate::stages::parse::RequestParser;
 
-/// What all client connections share; all of it lives on the one thread.
+/// Shared by all client connections; all of it lives on the one thread.
 pub struct ClientContext {
     /// Leads to the engine.
     pub events: mpsc::Sender<EngineEvent>,
     /// Turns commands into requests.
     pub parser: RequestParser,
-    /// What `INFO` prints.
+    /// The counters of this process.
     pub counters: Rc<Counters>,
     /// How far the end of this process has come.
     pub phase: watch::Receiver<Phase>,
--- a/crates/stairfront-balancer/src/client/ending.rs
+++ b/crates/stairfront-balancer/src/client/ending.rs
@@ -24,7 +24,7 @@
 /// The same for a connection that is closed because the process ends, which may be killed half a second after the last
 /// answer.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(400);
-/// What is read meanwhile at full speed, and the pause after each further read: a client that goes on sending megabytes
+/// Bytes read meanwhile at full speed, and the pause after each further read: a client that goes on sending megabytes
 /// must not take the other clients' part of the processor.
 const LINGER_BYTES: usize = 64 * 1024;
 const LINGER_PAUSE: Duration = Duration::from_millis(20);
@@ -146,7 +146,7 @@
         self.framed.get_ref().unread() == Unread::Bytes
     }
 
-    /// Waits until the client has read the last answer: closing with input unread resets the connection, and what the
+    /// Lets the client read the last answer: closing with input unread resets the connection, and what the
     /// client has not read is lost.
     async fn linger(&mut self, limit: Duration) {
         let drained = async {
--- a/crates/stairfront-balancer/src/client/idle.rs
+++ b/crates/stairfront-balancer/src/client/idle.rs
@@ -15,7 +15,7 @@
 const NEW_PERIOD: Duration = Duration::from_millis(200);
 /// How long a spare connection may be without a command.
 pub(super) const SPARE_TIMEOUT: Duration = Duration::from_millis(250);
-/// What of a large value has to come in the time of a head. Less would let a client hold the memory of others for ever by
+/// Bytes of a large value that have to come in the time of a head. Less would let a client hold the memory of others for ever by
 /// sending a few bytes now and then.
 const MIN_PROGRESS_BYTES: usize = 64 * 1024;
 
--- a/crates/stairfront-balancer/src/configuration/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -60,7 +60,7 @@
         self.limits.sockets.unwrap_or(MAX_SOCKETS)
     }
 
-    fn memory_mb(&self) -> usize {
+    fn limit_mb(&self) -> usize {
         self.limits.memory_mb.unwrap_or(Memory::DEFAULT_MB)
     }
 
@@ -105,7 +105,7 @@
         let min_sockets = Sockets::MIN + self.reserved_descriptors();
         let limits = [
             ("limits.sockets", self.max_sockets(), min_sockets),
-            ("limits.memory_mb", self.memory_mb(), Memory::MIN_MB),
+            ("limits.memory_mb", self.limit_mb(), Memory::MIN_MB),
         ];
         let too_low = limits.into_iter().filter(|(_, given, min)| given < min);
         too_low
@@ -217,7 +217,7 @@
 
     fn build(path: &str, mut platform: Value, raw: RawConfig) -> Result<Self, KeyError> {
         let sockets = Sockets::split(raw.max_sockets(), raw.reserved_descriptors());
-        let memory = Memory::of(raw.memory_mb());
+        let memory = Memory::of(raw.limit_mb());
         let start = Start::from_value(raw.settings)
             .map_err(|error| KeyError::within("settings", &error.key, error.problem))?;
         let known = raw
--- a/crates/stairfront-balancer/src/configuration/error.rs
+++ b/crates/stairfront-balancer/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration, by file, line and key.
+//! Errors in a configuration, by file, line and key.
 use crate::configuration::toml_config;
 
 /// Environment variable that names the configuration file.
@@ -33,7 +33,7 @@
         path: String,
         /// Path of the key.
         key: String,
-        /// What is wrong with it.
+        /// The error.
         problem: String,
     },
     /// A key whose line is known has an error.
@@ -45,7 +45,7 @@
         line: usize,
         /// Path of the key.
         key: String,
-        /// What is wrong with it.
+        /// The error.
         problem: String,
     },
 }
--- a/crates/stairfront-balancer/src/configuration/limits.rs
+++ b/crates/stairfront-balancer/src/configuration/limits.rs
@@ -1,4 +1,5 @@
-//! What the configuration's limits leave for each use: descriptors, memory and patience with peers.
+//! How the configuration's limits are divided among their uses (descriptors, memory), and timeouts that follow from
+//! deadlines.
 use std::time::Duration;
 
 use stairfront_codec::resp::LARGEST_VALUE;
--- a/crates/stairfront-balancer/src/configuration/request_catalog.rs
+++ b/crates/stairfront-balancer/src/configuration/request_catalog.rs
@@ -1,4 +1,4 @@
-//! What clients' commands are read against: the names and rules of the classes and tenants in use.
+//! The catalog against which clients' commands are read: the names and rules of the classes and tenants in use.
 use std::time::Duration;
 
 use stairfront_common::time::{Micros, SECOND};
--- a/crates/stairfront-balancer/src/configuration/toml_config.rs
+++ b/crates/stairfront-balancer/src/configuration/toml_config.rs
@@ -8,13 +8,13 @@
 use stairfront_raft_node::AgreementSection;
 use toml::de::{DeTable, DeValue};
 
-/// What is wrong with a file, by its own keys.
+/// An error in a file, by the file's own keys.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {problem}")]
 pub struct TomlError {
     /// Path of the key; `syntax` for a file that is no TOML.
     pub key: String,
-    /// What is wrong with it.
+    /// The error.
     pub problem: String,
     /// The line, from 1, where it is known already.
     pub line: Option<usize>,
--- a/crates/stairfront-balancer/src/control/admin_server/calls.rs
+++ b/crates/stairfront-balancer/src/control/admin_server/calls.rs
@@ -31,7 +31,7 @@
             Ok(request) => self.answer_request(request, &received.body).await,
             Err(error @ AdminRequestError::UnknownPath) => replies::not_found(&error.to_string()),
             Err(error @ AdminRequestError::Method(allowed)) => {
-                replies::method_not_allowed(&error.to_string(), allowed)
+                replies::wrong_method(&error.to_string(), allowed)
             }
             Err(error) => replies::bad_request(&error.to_string()),
         }
--- a/crates/stairfront-balancer/src/control/admin_server/replies.rs
+++ b/crates/stairfront-balancer/src/control/admin_server/replies.rs
@@ -23,7 +23,7 @@
 }
 
 /// 405, with the methods that are allowed.
-pub(super) fn method_not_allowed(problem: &str, allowed: &str) -> Reply {
+pub(super) fn wrong_method(problem: &str, allowed: &str) -> Reply {
     let mut reply = error(405, "Method Not Allowed", problem);
     reply.headers.push(("Allow", allowed.to_string()));
     reply
--- a/crates/stairfront-balancer/src/control/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -24,7 +24,7 @@
 /// How long the agent may hold a poll until there is a change; the agent allows 60 s. While discovery is down its changes
 /// count as notified 2 s after the hold is over, so a short hold would have this balancer send to caches that drain.
 const HOLD: Duration = Duration::from_secs(50);
-/// What an answer may take beyond the hold before the agent counts as failed; it is on this machine.
+/// Time that an answer may take beyond the hold before the agent counts as failed; it is on this machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest list that is read; room for some thousand servers.
 const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a watch is started with.
+/// Settings of a watch.
 pub struct DiscoverySettings {
     /// Address of the agent; a new configuration may name another.
     pub agent: watch::Receiver<Option<SocketAddr>>,
--- a/crates/stairfront-balancer/src/control/maintenance/admin.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/admin.rs
@@ -1,4 +1,4 @@
-//! What the admin API and `INFO` show of maintenance, and how operators' commands are committed.
+//! The view of maintenance in the admin API and in `INFO`, and the committing of operators' commands.
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
 }
 
 impl MaintenanceService {
-    /// What `/admin/maintenance` shows.
+    /// The body of `/admin/maintenance`.
     pub fn published_view(&self) -> PublishedView {
         let blocked = self.blocked.borrow();
         let blocked = blocked
@@ -113,7 +113,7 @@
     }
 
     /// The lines of `INFO` on the agreement and the plans.
-    pub fn metrics_text(&self) -> String {
+    pub fn info_lines(&self) -> String {
         let mut text = self.handles.raft.metrics_text();
         for (stage, count) in self.handles.raft.state_machine().0.count_by_stage() {
             text += &format!("maintenance_{stage}:{count}\r\n");
@@ -121,7 +121,7 @@
         text
     }
 
-    /// What a plan would take out, in order, by what is agreed now.
+    /// The machines that a plan would take out, in order, by the state that is agreed now.
     ///
     /// # Errors
     ///
--- a/crates/stairfront-balancer/src/control/maintenance/leader.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/leader.rs
@@ -25,16 +25,19 @@
 /// Over which the service is judged.
 const HEALTH_WINDOW: Duration = Duration::from_secs(2);
 
+/// Reports of quiet members that the leader keeps for one host.
+const MAX_QUIET_REPORTS: usize = 4096;
+
 /// A cache host that a plan holds out, and the index of the log entry since which it does.
 type HeldHost = (String, u64);
 
-/// What the leader keeps between two steps of its loop; empty at all others.
+/// State of the leader between two steps of its loop; empty at all other members.
 #[derive(Default)]
 pub(super) struct LeaderState {
     /// Numbers of the group's orders that ask members to confirm a cordon.
     confirmations: BTreeMap<HeldHost, u64>,
     /// Members that have reported that no attempt is open at the host.
-    pub(super) quiet: BTreeMap<HeldHost, BTreeSet<String>>,
+    quiet: BTreeMap<HeldHost, BTreeSet<String>>,
     /// When each step was last proposed, by the text of its command.
     proposed: BTreeMap<String, Instant>,
     fleet_proposed_at: Option<Instant>,
@@ -199,7 +202,7 @@
             .collect()
     }
 
-    /// What is wrong with the service: judged anew at the end of each window, and unchanged until the end of the next.
+    /// The fault of the service, if there is one: judged anew at the end of each window, and unchanged until the end of the next.
     fn judge_service(&self) -> Option<ServiceFault> {
         let now = Instant::now();
         let counts = self.service_counts();
@@ -225,9 +228,9 @@
 
     /// Asks the members to confirm the cordons of machines that are about to be taken out, and notes who has.
     fn observe_cordons(&self, observation: &mut LeaderObservation) {
-        let told = self.held_hosts(Stage::Notified);
+        let told = self.hosts_at(Stage::Notified);
         let mut leader = self.leader.borrow_mut();
-        leader.forget_except(&told, &self.held_hosts(Stage::Draining));
+        leader.retain_only(&told, &self.hosts_at(Stage::Draining));
         for key in told {
             let order = leader.confirmations.get(&key);
             let progress = order.and_then(|order| self.handles.membership.progress(*order));
@@ -247,7 +250,7 @@
     /// Asks the members whether attempts are open at hosts that are held out, and notes who has none.
     fn query_quiet_hosts(&self, observation: &mut LeaderObservation) {
         let mut leader = self.leader.borrow_mut();
-        for key in self.held_hosts(Stage::Draining) {
+        for key in self.hosts_at(Stage::Draining) {
             let quiet = leader.quiet.entry(key.clone()).or_default();
             let query = SideEvent::QuietQuery {
                 host: key.0.clone(),
@@ -264,7 +267,7 @@
         }
     }
 
-    fn held_hosts(&self, stage: Stage) -> Vec<HeldHost> {
+    fn hosts_at(&self, stage: Stage) -> Vec<HeldHost> {
         let machine = self.handles.raft.state_machine();
         let held = machine.0.hosts_at(stage);
         held.map(|held| (held.host, held.notified)).collect()
@@ -272,8 +275,18 @@
 }
 
 impl LeaderState {
+    /// Keeps the report that no attempt of `member` is open at a host, if it was asked for.
+    pub(super) fn add_quiet(&mut self, host: String, entry: u64, member: &str) {
+        let Some(quiet) = self.quiet.get_mut(&(host, entry)) else {
+            return;
+        };
+        if quiet.len() < MAX_QUIET_REPORTS {
+            quiet.insert(member.to_string());
+        }
+    }
+
     /// Drops what is known of hosts that are no longer being taken out.
-    fn forget_except(&mut self, told: &[HeldHost], held: &[HeldHost]) {
+    fn retain_only(&mut self, told: &[HeldHost], held: &[HeldHost]) {
         let wanted: BTreeSet<&HeldHost> = told.iter().chain(held).collect();
         self.confirmations.retain(|key, _| wanted.contains(key));
         self.quiet.retain(|key, _| wanted.contains(key));
--- a/crates/stairfront-balancer/src/control/maintenance/mod.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/mod.rs
@@ -1,5 +1,5 @@
-//! Agreed maintenance of machines at this balancer: what the group has agreed on goes to the engine and to the group's
-//! cordons, and what this balancer observes goes to the plans. What is due is decided by `stairfront-maintenance`; no
+//! Agreed maintenance of machines at this balancer: the agreed state goes to the engine and to the group's cordons, and
+//! the observations of this balancer go to the plans. The next step is decided by `stairfront-maintenance`; no
 //! request waits for any of it.
 //!
 //! [`MaintenanceService`] is the driver. Its leader's loop is in `leader` and `warm_up`, what the admin API and `INFO`
@@ -31,8 +31,6 @@
 
 /// Between two steps of the leader's loop.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// Reports of quiet members that the leader keeps for one host.
-const MAX_QUIET_REPORTS: usize = 4096;
 
 /// The agreed plans, as the replicated state machine of the Raft node.
 #[derive(Default)]
@@ -59,7 +57,7 @@
     }
 }
 
-/// What the service works on.
+/// Handles of the parts that the service works with.
 pub struct MaintenanceHandles {
     /// The Raft node that agrees on the plans.
     pub raft: Rc<RaftNode<Plans>>,
@@ -69,7 +67,7 @@
     pub orders: OrderDispatcher,
     /// Leads to the engine.
     pub events: mpsc::Sender<EngineEvent>,
-    /// What is served, by which the leader judges the service.
+    /// Counters by which the leader judges the service.
     pub counters: Rc<Counters>,
     /// The same of the origin.
     pub origin: Rc<OriginUsage>,
@@ -175,18 +173,10 @@
     async fn handle_side_event(&self, from: &str, bytes: &[u8]) {
         match SideEvent::decode(bytes) {
             Some(SideEvent::QuietQuery { host, entry }) => {
-                if self.is_quiet(&host).await {
-                    self.send_side_event(from, &SideEvent::QuietReport { host, entry });
-                }
+                self.answer_quiet_query(from, host, entry).await;
             }
             Some(SideEvent::QuietReport { host, entry }) => {
-                let mut leader = self.leader.borrow_mut();
-                // Only reports that were asked for are kept.
-                if let Some(quiet) = leader.quiet.get_mut(&(host, entry)) {
-                    if quiet.len() < MAX_QUIET_REPORTS {
-                        quiet.insert(from.to_string());
-                    }
-                }
+                self.leader.borrow_mut().add_quiet(host, entry, from);
             }
             Some(SideEvent::BlockedMachines(machines)) => self.set_blocked(machines),
             // A message of another version.
@@ -194,6 +184,12 @@
         }
     }
 
+    async fn answer_quiet_query(&self, from: &str, host: String, entry: u64) {
+        if self.is_quiet(&host).await {
+            self.send_side_event(from, &SideEvent::QuietReport { host, entry });
+        }
+    }
+
     fn set_blocked(&self, machines: Vec<BlockedMachine>) {
         *self.blocked.borrow_mut() = Some(BlockedReport {
             received_at: Instant::now(),
--- a/crates/stairfront-balancer/src/control/maintenance/service_health.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/service_health.rs
@@ -23,7 +23,7 @@
     pub unserved_at_origin: u64,
 }
 
-/// What is wrong with the service.
+/// A fault of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceFault {
     /// Too few requests are served.
@@ -51,7 +51,7 @@
 }
 
 impl ServiceCounts {
-    /// What is wrong with the service in the window between two counts.
+    /// The fault of the service in the window between two counts, if there is one.
     pub fn fault_since(self, before: ServiceCounts) -> Option<ServiceFault> {
         let all = self.all.saturating_sub(before.all);
         let served = self.served.saturating_sub(before.served);
--- a/crates/stairfront-balancer/src/control/maintenance/side_event.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/side_event.rs
@@ -1,4 +1,4 @@
-//! What members send each other beside the Raft messages. It is encoded by postcard: variants and fields keep their
+//! Messages between members beside those of Raft. They are encoded by postcard: variants and fields keep their
 //! order, since processes of other versions read them.
 use serde::{Deserialize, Serialize};
 use stairfront_maintenance::BlockedMachine;
--- a/crates/stairfront-balancer/src/control/pending_order.rs
+++ b/crates/stairfront-balancer/src/control/pending_order.rs
@@ -12,7 +12,7 @@
 
 /// An order that the engine has not carried out yet.
 pub struct PendingOrder {
-    /// What is to be done.
+    /// The order.
     pub order: OperatorOrder,
     /// Who vouches for the name in it.
     pub source: OrderSource,
--- a/crates/stairfront-balancer/src/control/server_list.rs
+++ b/crates/stairfront-balancer/src/control/server_list.rs
@@ -74,7 +74,7 @@
 pub struct ServerEntry {
     /// Its name.
     pub name: String,
-    /// What the decision module needs to know of it.
+    /// The server as the decision module knows it.
     pub endpoint: Endpoint,
     /// Where it accepts connections.
     pub address: SocketAddr,
--- a/crates/stairfront-balancer/src/counters.rs
+++ b/crates/stairfront-balancer/src/counters.rs
@@ -98,7 +98,7 @@
     server_connections_surplus,
 }
 
-/// What became of attempts at the origin. Maintenance continues only while the origin serves well.
+/// Ends of attempts at the origin. Maintenance continues only while the origin serves well.
 #[derive(Debug, Default)]
 pub struct OriginUsage {
     /// Attempts that have ended, but for those never sent or cancelled.
--- a/crates/stairfront-balancer/src/engine/endpoint_list.rs
+++ b/crates/stairfront-balancer/src/engine/endpoint_list.rs
@@ -100,18 +100,18 @@
     fn remove_listed(&mut self, id: CacheId) {
         let is_ready = |endpoint: &Endpoint| endpoint.state == EndpointState::Ready;
         if !self.removal_is_advisory || !self.servers.get(&id).is_some_and(is_ready) {
-            return self.forget_server(id);
+            return self.remove_server(id);
         }
         self.removed_hosts.retain(|other| *other != id);
         self.removed_hosts.push_back(id);
         if self.removed_hosts.len() > MAX_REMOVED_HOSTS {
             if let Some(oldest) = self.removed_hosts.pop_front() {
-                self.forget_server(oldest);
+                self.remove_server(oldest);
             }
         }
     }
 
-    fn forget_server(&mut self, id: CacheId) {
+    fn remove_server(&mut self, id: CacheId) {
         self.servers.remove(&id);
         self.names.remove(&id);
         self.attempts_sent.remove(&id);
--- a/crates/stairfront-balancer/src/engine/mod.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -41,7 +41,7 @@
 use crate::transport::Network;
 use crate::upstream::upstream_pool::UpstreamPool;
 
-/// What a timer of the engine is for.
+/// The purpose of a timer of the engine.
 enum TimerKind {
     /// A timer of the decision module, by its token.
     Policy(u64),
@@ -57,7 +57,7 @@
     pub held_hosts: Vec<String>,
 }
 
-/// What the engine shares with other tasks, or with the process after this one.
+/// Shared by the engine with other tasks, or with the process after this one.
 pub struct EngineHandles {
     /// Clock, admission controller and counters.
     pub runtime: RuntimeHandles,
@@ -65,7 +65,7 @@
     pub ready: watch::Sender<bool>,
     /// The file that keeps cordons.
     pub record: CordonRecord,
-    /// What the clients' tasks read commands against.
+    /// Names that commands may use, shared with the clients' tasks.
     pub catalog: Rc<RefCell<RequestCatalog>>,
     /// The group, where there is one.
     pub group: Option<GroupMembership>,
--- a/crates/stairfront-balancer/src/lifecycle/assembly.rs
+++ b/crates/stairfront-balancer/src/lifecycle/assembly.rs
@@ -70,7 +70,7 @@
     pub(super) ready: watch::Sender<bool>,
 }
 
-/// What the parts of one balancer share.
+/// Shared by the parts of one balancer.
 pub(super) struct Assembly {
     pub(super) name: String,
     pub(super) sockets: Sockets,
@@ -108,7 +108,7 @@
             admission: admission_controller(&start.settings, clock, config.seed),
             counters: Rc::new(Counters::default()),
         };
-        let held_clients = held_connections(dependencies.predecessor.as_ref()).clients;
+        let held_clients = connections_held_by(dependencies.predecessor.as_ref()).clients;
         let free_clients = config.sockets.clients.saturating_sub(held_clients);
         let predecessor = Rc::new(HandoverChannel::default());
         let successor = Rc::clone(&dependencies.successor);
@@ -151,7 +151,7 @@
     ) -> UpstreamPool<N> {
         let settings = PoolSettings {
             max_connections: self.sockets.servers,
-            held_by_predecessor: held_connections(predecessor).servers,
+            held_by_predecessor: connections_held_by(predecessor).servers,
             connect_timeout: timer_duration(self.start.settings.limits.connect_timeout),
             servers_idle_timeout: timer_duration(self.start.host.idle),
             stall_timeout: stall_timeout(&self.start.settings),
@@ -204,7 +204,7 @@
             phase: self.phase.clone(),
             pressure: ConnectionPressure::default(),
             permits: Arc::clone(&self.client_permits),
-            held_by_predecessor: Cell::new(held_connections(predecessor).clients),
+            held_by_predecessor: Cell::new(connections_held_by(predecessor).clients),
             successor: Rc::clone(&self.successor),
             budget: Budget::new(self.memory.commands),
             large_budget: Budget::new(self.memory.large_commands),
@@ -273,7 +273,13 @@
         }
     }
 
-    pub(super) fn start_gossip(&self, tasks: &mut BackgroundTasks) {
+    /// Starts what the group needs of this balancer, where there is a group.
+    pub(super) fn start_group_services(&self, tasks: &mut BackgroundTasks) {
+        self.start_gossip(tasks);
+        self.start_maintenance(tasks);
+    }
+
+    fn start_gossip(&self, tasks: &mut BackgroundTasks) {
         if let Some(membership) = &self.membership {
             let transport = GossipTransport {
                 membership: Rc::clone(membership),
@@ -285,7 +291,7 @@
         }
     }
 
-    pub(super) fn start_maintenance(&self, tasks: &mut BackgroundTasks) {
+    fn start_maintenance(&self, tasks: &mut BackgroundTasks) {
         let (Some(membership), Some(agreement)) = (&self.membership, &self.agreement) else {
             return;
         };
@@ -380,6 +386,14 @@
         (inherited, handed_over)
     }
 
+    pub(super) fn log_counters(&self) {
+        let counters = self.runtime.counters.to_string();
+        info!(
+            counters = counters.trim_end().replace("\r\n", " "),
+            "stopped"
+        );
+    }
+
     /// Leaves the group, unless a successor stays in it.
     pub(super) async fn leave_group(&self) {
         let Some(membership) = &self.membership else {
@@ -402,7 +416,7 @@
     servers: usize,
 }
 
-fn held_connections(predecessor: Option<&Predecessor>) -> HeldConnections {
+fn connections_held_by(predecessor: Option<&Predecessor>) -> HeldConnections {
     predecessor.map_or(HeldConnections::default(), |predecessor| HeldConnections {
         clients: predecessor.client_connections,
         servers: predecessor.server_connections,
--- a/crates/stairfront-balancer/src/lifecycle/handover.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover.rs
@@ -26,7 +26,7 @@
 use crate::lifecycle::shutdown::Phase;
 use crate::messages::EngineEvent;
 
-/// What the old process may take to answer its successor, which has 6 s in all to become ready.
+/// Time that the old process may take to answer its successor, which has 6 s in all to become ready.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The other process's part of the second in which an order is answered. It is short because a successor that hangs would
 /// also keep this process from ending, with connections that wait to be handed over.
@@ -82,7 +82,7 @@
     pub socket: OwnedFd,
     /// Whether it has carried a command.
     pub used: bool,
-    /// What was read of the next command.
+    /// Bytes read of the next command.
     pub unread: Vec<u8>,
 }
 
@@ -93,7 +93,7 @@
     pub client_connections: usize,
     /// Connections to servers that the old process keeps until its end.
     pub server_connections: usize,
-    /// What the old process knows; none where it cannot be read here.
+    /// Knowledge of the old process; none where it cannot be read here.
     pub state: Option<HandoverState>,
 }
 
--- a/crates/stairfront-balancer/src/lifecycle/loop_monitor.rs
+++ b/crates/stairfront-balancer/src/lifecycle/loop_monitor.rs
@@ -61,14 +61,14 @@
     }
 }
 
-/// What most parts of a balancer need: the clock, the admission controller and the counters.
+/// Handles that most parts of a balancer need: the clock, the admission controller and the counters.
 #[derive(Clone)]
 pub struct RuntimeHandles {
     /// The one clock.
     pub clock: Clock,
     /// Decides what is admitted while this balancer itself is behind.
     pub admission: Rc<RefCell<AdmissionController>>,
-    /// What `INFO` prints.
+    /// The counters of this process.
     pub counters: Rc<Counters>,
 }
 
--- a/crates/stairfront-balancer/src/lifecycle/server.rs
+++ b/crates/stairfront-balancer/src/lifecycle/server.rs
@@ -50,7 +50,7 @@
         };
         let stopping = spawn_local(watch_signals(phase, has_successor));
         let reloading = spawn_local(reload::forward_hangups(hangups, hangup_sender));
-        let membership = membership_agent(&config, state_directory.as_deref());
+        let membership = start_membership(&config, state_directory.as_deref());
         let dependencies = ServerDependencies {
             network: Tcp,
             listener,
@@ -96,7 +96,7 @@
     Ok(Some(listener))
 }
 
-fn membership_agent(
+fn start_membership(
     config: &Config,
     state_directory: Option<&Path>,
 ) -> Option<Rc<MembershipAgent>> {
@@ -110,7 +110,7 @@
     ))
 }
 
-/// What a balancer is given: its network, its clock, and who tells it to stop or to reload.
+/// Everything that a balancer is given: its network, its clock, and who tells it to stop or to reload.
 pub struct ServerDependencies<N, L> {
     /// Makes connections to servers and to discovery.
     pub network: N,
@@ -176,8 +176,7 @@
     tasks.spawn(loop_monitor::run(assembly.runtime.clone()));
     tasks.spawn(discovery.run());
     tasks.spawn(reloader.run(hangups));
-    assembly.start_gossip(&mut tasks);
-    assembly.start_maintenance(&mut tasks);
+    assembly.start_group_services(&mut tasks);
     assembly.start_admin_server(&mut tasks, admin_listener)?;
     assembly.start_successor_handler(&mut tasks, state_directory, &listener)?;
     let (inherited, handed_over) = assembly.start_upgrade(&mut tasks, predecessor);
@@ -192,14 +191,6 @@
     assembly.leave_group().await;
     tasks.abort();
     engine.abort();
-    info!(
-        counters = assembly
-            .runtime
-            .counters
-            .to_string()
-            .trim_end()
-            .replace("\r\n", " "),
-        "stopped"
-    );
+    assembly.log_counters();
     ended
 }
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the parts of the balancer hand to each other. Payloads are slices of the buffers they were read into.
+//! The messages between the parts of the balancer. Payloads are slices of the buffers they were read into.
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -133,11 +133,11 @@
 /// A request read from a client.
 #[derive(Debug)]
 pub struct Arrival {
-    /// What the decision module needs to know of it.
+    /// The request as the decision module knows it.
     pub request: Request,
     /// When it was read.
     pub arrived_at: Micros,
-    /// What goes on to servers.
+    /// The command as it goes on to servers.
     pub command: Command,
     /// Memory that a large value takes until the request is finished.
     pub memory: Option<Claim>,
@@ -156,12 +156,12 @@
     pub number: u8,
 }
 
-/// What an attempt has brought.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOutcome {
     /// How it ended.
     pub outcome: Outcome,
-    /// What the cache reported of the key.
+    /// The state of the key, as the cache reported it.
     pub cache_status: CacheStatus,
     /// The server's load report; empty where it sent none.
     pub load: LoadReport,
@@ -190,7 +190,7 @@
     pub cache: CacheId,
     /// When the attempt got a socket.
     pub started_at: Instant,
-    /// What it has brought.
+    /// Its result.
     pub result: AttemptOutcome,
     /// A large value whose first bytes have come, which ends the attempt.
     pub body: Option<AnswerBody>,
@@ -221,7 +221,7 @@
     pub attempt: AttemptId,
     /// The server.
     pub cache: CacheId,
-    /// What is sent.
+    /// The command that is sent.
     pub command: Command,
     /// When it was decided.
     pub decided_at: Instant,
@@ -277,7 +277,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What a connection's task reports to the pool. The socket is closed before `Closed` is reported.
+/// A report of a connection's task to the pool. The socket is closed before `Closed` is reported.
 #[derive(Debug)]
 pub enum PoolEvent {
     /// The connection can take another attempt.
@@ -310,11 +310,11 @@
 pub struct ListedHost {
     /// Its name.
     pub name: String,
-    /// What the list says of it.
+    /// Its entry in the list.
     pub endpoint: Endpoint,
 }
 
-/// What the engine handles, one at a time.
+/// An event for the engine, which handles one at a time.
 pub enum EngineEvent {
     /// A client has sent a request.
     Arrived(Arrival),
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -37,9 +37,9 @@
 
 /// An open request, from admission until it is answered and its last attempt has ended.
 pub struct OpenRequest {
-    /// What is sent to servers.
+    /// The command that is sent to servers.
     pub command: Command,
-    /// What it takes of the memory for requests; a large value has memory of its own.
+    /// Its part of the memory for requests, in bytes; a large value has memory of its own.
     pub bytes: usize,
     /// Memory of a large value.
     pub memory: Option<Claim>,
--- a/crates/stairfront-balancer/src/stages/parse.rs
+++ b/crates/stairfront-balancer/src/stages/parse.rs
@@ -32,7 +32,7 @@
     pub catalog: Rc<RefCell<RequestCatalog>>,
     /// The one clock.
     pub clock: Clock,
-    /// What `INFO` prints.
+    /// The counters of this process.
     pub counters: Rc<Counters>,
     /// Decides what is admitted while this balancer itself is behind.
     pub admission: Rc<RefCell<AdmissionController>>,
@@ -44,13 +44,13 @@
     pub maintenance: Rc<OnceCell<Rc<MaintenanceService>>>,
 }
 
-/// What a command becomes.
+/// A command after parsing.
 pub enum Accepted {
     /// A request.
     Request {
-        /// What goes on to servers.
+        /// The command as it goes on to servers.
         command: Command,
-        /// What the decision module needs to know of it.
+        /// The request as the decision module knows it.
         request: Request,
     },
     /// A command that is answered at once.
@@ -104,7 +104,7 @@
         let maintenance = self
             .maintenance
             .get()
-            .map_or(String::new(), |maintenance| maintenance.metrics_text());
+            .map_or(String::new(), |maintenance| maintenance.info_lines());
         format!("{}{group}{maintenance}", self.counters)
     }
 
@@ -158,7 +158,7 @@
     }
 }
 
-/// What a request's list of names and values says to the balancer.
+/// The entries of a request's list of names and values that the balancer uses.
 #[derive(Default)]
 struct RequestInfo<'a> {
     class: Option<&'a [u8]>,
--- a/crates/stairfront-balancer/src/stages/route.rs
+++ b/crates/stairfront-balancer/src/stages/route.rs
@@ -11,7 +11,7 @@
 pub trait Decide: 'static {
     /// Handles one event and adds what it decides to `actions`.
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>);
-    /// What a process that takes over from this one should know; nothing by default.
+    /// The knowledge for a process that takes over from this one; empty by default.
     fn snapshot(&self, _now: Micros) -> PolicySnapshot {
         PolicySnapshot::default()
     }
--- a/crates/stairfront-balancer/src/stages/send.rs
+++ b/crates/stairfront-balancer/src/stages/send.rs
@@ -9,7 +9,7 @@
 use crate::messages::{AttemptEnd, AttemptId, AttemptOutcome, Job};
 use crate::stages::admit::{OpenRequest, OutstandingAttempt, PlannedSend, RequestTable};
 
-/// What becomes of a send.
+/// The result of a send.
 pub enum SendDecision {
     /// It goes to the pool.
     Job(Job),
--- a/crates/stairfront-balancer/src/transport.rs
+++ b/crates/stairfront-balancer/src/transport.rs
@@ -17,7 +17,7 @@
 /// Connections that may wait to be accepted; the number of tokio's own listeners.
 const BACKLOG: u32 = 1024;
 
-/// What has come on a connection and was not read.
+/// Input that has come on a connection and was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
     /// Nothing.
@@ -30,14 +30,14 @@
 
 /// One connection; dropping it closes it.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// What has come and was not read, by the network itself: the event loop knows only what had come when it last
+    /// Input that has come and was not read, by the network itself: the event loop knows only what had come when it last
     /// polled.
     fn unread(&self) -> Unread;
     /// Whether the other side has ended, also behind bytes that were not read.
     fn has_ended(&self) -> bool {
         self.unread() == Unread::End
     }
-    /// Waits until something can be read or the connection has ended; reads nothing.
+    /// Resolves when something can be read or the connection has ended; reads nothing.
     fn arrival(&self) -> impl Future<Output = ()>;
     /// Gives the connection up as a descriptor, for another process.
     ///
@@ -65,7 +65,7 @@
 
 /// Accepts connections at one address.
 pub trait Listener: 'static {
-    /// What it accepts.
+    /// The connections that it accepts.
     type Stream: Stream;
     /// The next connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
@@ -87,7 +87,7 @@
 
 /// Makes connections.
 pub trait Network: Clone + 'static {
-    /// What it makes.
+    /// The connections that it makes.
     type Stream: Stream;
     /// Makes a connection. It fails as soon as it is known that none can be made; the caller bounds the time.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
--- a/crates/stairfront-balancer/src/upstream/connection.rs
+++ b/crates/stairfront-balancer/src/upstream/connection.rs
@@ -38,20 +38,20 @@
 {
     /// A reply as the codec reads it.
     type Reply: Debug;
-    /// What follows a value that was written separately from its command.
+    /// Bytes that follow a value that was written separately from its command.
     const VALUE_TERMINATOR: &'static [u8];
     /// A codec for one connection.
     fn new(address: SocketAddr, max_value_bytes: usize, budget: &Rc<Budget>) -> Self;
-    /// What a reply means, with the load report's fields by their order in the settings.
+    /// Interprets a reply; `report_fields` names the load report's fields in the order of the settings.
     fn interpret(reply: Self::Reply, report_fields: &[String]) -> InterpretedReply;
     /// Whether the input could not be read, as opposed to a connection that failed.
     fn is_malformed(error: &<Self as Decoder>::Error) -> bool;
 }
 
-/// What a reply means.
+/// A reply as the decision module and the client need it.
 #[derive(Debug)]
 pub struct InterpretedReply {
-    /// What the attempt has brought.
+    /// The result of the attempt.
     pub result: AttemptOutcome,
     /// Whether the connection can carry another request.
     pub reusable: bool,
@@ -67,13 +67,13 @@
     }
 }
 
-/// What every connection's task needs.
+/// Shared by the tasks of all connections.
 pub struct ConnectionContext<N> {
     /// Makes connections.
     pub network: N,
     /// Leads to the engine.
     pub events: mpsc::Sender<EngineEvent>,
-    /// What `INFO` prints.
+    /// The counters of this process.
     pub counters: Rc<Counters>,
     /// Names of the load report's fields.
     pub report_fields: Vec<String>,
@@ -105,7 +105,7 @@
     pub used_at: Instant,
 }
 
-/// What the end of a connection is reported with.
+/// The last report of a connection.
 #[derive(Default)]
 struct Closing {
     end: Option<AttemptEnd>,
@@ -125,7 +125,7 @@
                 } else {
                     outcome
                 };
-                return self.report_closed(ended(&job, outcome)).await;
+                return self.report_closed(closing_after(&job, outcome)).await;
             }
         };
         // In each case the socket is closed before its end is reported: late bytes must never reach another request, and
@@ -174,7 +174,7 @@
     ) -> Result<(), Box<Closing>> {
         if self.barred.get() {
             // Not a byte of the attempt was written.
-            return Err(ended(&job, Outcome::NeverSent));
+            return Err(closing_after(&job, Outcome::NeverSent));
         }
         self.used_at = Instant::now();
         let outcome = if job.may_begin() {
@@ -275,7 +275,7 @@
 }
 
 /// A connection that ends with an attempt of which the server has reported nothing.
-fn ended(job: &Job, outcome: Outcome) -> Box<Closing> {
+fn closing_after(job: &Job, outcome: Outcome) -> Box<Closing> {
     Box::new(Closing {
         end: Some(job.end(AttemptOutcome::without_report(outcome))),
         ..Closing::default()
@@ -308,7 +308,7 @@
             Part::Piece(bytes) => (BodyChunk::Bytes(bytes), None),
             Part::Done(reply) => {
                 let reply = P::interpret(reply, &context.report_fields);
-                // What stands behind the value belongs to no answer, so the value may be wrong as well.
+                // Bytes behind the value belong to no answer, so the value may be wrong as well.
                 if reply.result.outcome != Outcome::Served {
                     break;
                 }
@@ -333,7 +333,7 @@
     framed: &mut Framed<T, P>,
     limit: Duration,
 ) -> Option<Part<P::Reply>> {
-    // What is left of the last buffer is filled first, so that many small chunks share one.
+    // The rest of the last buffer is filled first, so that many small chunks share one.
     let buffer = framed.read_buffer_mut();
     if buffer.capacity() - buffer.len() < MIN_BUFFER_SPACE {
         buffer.reserve(CHUNK_BYTES);
--- a/crates/stairfront-balancer/src/upstream/exchange.rs
+++ b/crates/stairfront-balancer/src/upstream/exchange.rs
@@ -14,7 +14,7 @@
 use crate::transport::Stream;
 use crate::upstream::connection::{InterpretedReply, UpstreamProtocol};
 
-/// What became of a command.
+/// The result of sending a command.
 pub(super) enum ExchangeOutcome {
     /// The attempt has ended.
     Finished(InterpretedReply),
--- a/crates/stairfront-balancer/tests/operators.rs
+++ b/crates/stairfront-balancer/tests/admin_server.rs
@@ -1,9 +1,12 @@
-//! The operators' door under load, and cordons that neither discovery nor a new process lifts.
+//! The admin API under load, and cordons that neither discovery nor a new process lifts.
 mod common;
 
 use std::time::Instant;
 
-use common::*;
+use common::{
+    bulk, cache, commands, config, dead_address, hit, http, line, ms, origin, quiet_agent, run,
+    say, Balancer, Client, Log, Step,
+};
 use serde_json::json;
 use stairfront_balancer::configuration::config::Config;
 use tokio::io::AsyncWriteExt;
@@ -11,7 +14,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn calls_are_answered_with_yes_or_a_no_that_says_why() {
+fn calls_are_answered_with_a_status_that_says_why() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
@@ -52,7 +55,7 @@
 }
 
 #[test]
-fn a_process_without_servers_is_not_healthy() {
+fn health_fails_without_an_endpoint_list() {
     run(async {
         let dead = dead_address().await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_keep_nobody_out() {
+fn silent_callers_do_not_keep_others_out() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
@@ -110,7 +113,7 @@
             [line("s-1", one, "box"), line("s-2", two, "box")],
         );
         again["since_ms"] = 5_000.0.into();
-        // It is listed as gone, and then again as just started, while it is cordoned.
+        // While it is cordoned it is listed as removed, and then as just started.
         let news = [
             json!({"name": "s-1", "address": one.to_string(), "status": "DELETED"}),
             again,
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn a_cordon_outlives_its_process_and_a_torn_record_costs_no_start() {
+fn a_cordon_outlives_its_process_and_a_torn_record_does_not_prevent_a_start() {
     run(async {
         let log = Log::default();
         let one = cache("one", &log, |_, _| hit("v")).await;
--- a/crates/stairfront-balancer/tests/shapes.rs
+++ b/crates/stairfront-balancer/tests/cache_modes.rs
@@ -1,17 +1,20 @@
-//! One build in each shape of deployment: settings alone say who fetches and how the slow end counts, and a connection that
-//! something on the way drops unseen is found out and not used again.
+//! One build in each deployment mode: the settings alone decide which side fetches and how tail latency counts, and idle
+//! connections that a middlebox drops silently are detected and not reused.
 mod common;
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
 
-use common::*;
+use common::{
+    bulk, cache, commands, config, count, get, hit, http, line, miss, ms, origin, quiet_agent, run,
+    Balancer, Log, Seen, Step,
+};
 use serde_json::{json, Value};
 use stairfront_balancer::configuration::config::Config;
 use tokio::time::sleep;
 
-/// Caches fetch by themselves, in one place, and the list is asked for.
+/// Through mode: caches fetch by themselves, in one zone, and the list is polled.
 fn through(text: &mut Value) {
     let set = &mut text["settings"];
     set["family_info"] = json!({"mode": "through", "origin_kind": -1});
@@ -23,7 +26,7 @@
 }
 
 #[test]
-fn who_fetches_follows_from_the_settings_alone() {
+fn the_cache_mode_follows_from_the_settings_alone() {
     run(async {
         for fetches in [false, true] {
             let log = Log::default();
@@ -54,8 +57,8 @@
     });
 }
 
-/// Danger: something on the way forgets connections that stand idle and tells nobody. With seconds between two requests to
-/// a host, each would be lost on one.
+/// A middlebox may drop idle connections silently. With seconds between two requests to a host, each request would be lost on
+/// one.
 #[test]
 fn connections_dropped_unseen_while_idle_are_not_used_again() {
     run(async {
@@ -67,7 +70,7 @@
         };
         let forgets = move |_: usize, _: &[String]| {
             let (at, on) = last.replace((Instant::now(), opened()));
-            // On the connection that the last command came on too, after it stood idle.
+            // On the connection of the last command too, after it was idle.
             if on == opened() && at.elapsed() > ms(400) {
                 Step::Silence
             } else {
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn what_nobody_serves_within_its_aim_is_refused_then_where_the_slow_end_counts() {
+fn late_requests_are_refused_early_where_tail_latency_counts() {
     run(async {
         for (weight, wanted) in [(0.0, 990), (0.3, 300)] {
             let log = Log::default();
@@ -122,11 +125,11 @@
 }
 
 #[test]
-fn a_configuration_that_mixes_two_shapes_does_not_start_and_names_the_key() {
+fn a_configuration_that_mixes_two_modes_is_rejected_by_key() {
     let here = "127.0.0.1:1".parse().unwrap();
     let mut text = config(here, here, &[], 1024);
     assert!(Config::from_text("b.json", &text.to_string()).is_ok());
-    // The move half done: caches that fetch, and the old shape's origin.
+    // A migration half done: caches that fetch, and the origin of the old mode.
     text["settings"]["family_info"]["mode"] = "through".into();
     let problem = Config::from_text("b.json", &text.to_string())
         .unwrap_err()
--- a/crates/stairfront-balancer/tests/departures.rs
+++ b/crates/stairfront-balancer/tests/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! A client that leaves while the engine is behind: word of it waits before the engine, and nothing is begun for it all the
-//! same.
+//! Clients that disconnect while the engine is behind: the event waits in the engine's queue, and still no attempt is begun
+//! for them.
 mod common;
 
 use std::cell::{Cell, RefCell};
@@ -37,7 +37,7 @@
     Config::from_text("test", &config(nowhere, nowhere, lines, 1024).to_string()).unwrap()
 }
 
-/// What the clients' tasks share, before an engine with room for so many messages that the test plays.
+/// A client context whose event queue, of this length, the test reads in place of an engine.
 fn context(
     config: &Config,
     room: usize,
@@ -74,10 +74,9 @@
     (Rc::new(context), inputs, phase)
 }
 
-/// Danger: with many departures at once, or many arrivals, the engine hears of one long after it would have sent its requests
-/// on.
+/// With many disconnects or arrivals at once, the engine handles a disconnect long after it would have sent the requests.
 #[test]
-fn a_departure_reaches_what_was_taken_though_the_engine_has_no_room_for_it() {
+fn a_disconnect_marks_open_requests_while_the_event_queue_is_full() {
     run(async {
         let (context, mut inputs, _phase) = context(&read(&[]), 3);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -88,11 +87,11 @@
         for id in ["1", "2", "3"] {
             client.send(&get("k", id, 1400)).await;
         }
-        // All three are taken, and fill what room there is.
+        // All three are accepted, and fill the queue.
         until(|| context.events.capacity() == 0).await;
         drop(client);
         let over: Vec<Rc<Cell<bool>>> = {
-            // It is noticed at a read, with nothing heard by the engine.
+            // The disconnect is noticed at a read; the engine has handled nothing.
             sleep(ms(50)).await;
             (0..3)
                 .map(|_| match inputs.try_recv() {
@@ -108,105 +107,113 @@
     });
 }
 
-/// A decision module that keeps a record of what it is told of requests.
-struct Watched(Policy, Rc<RefCell<Vec<&'static str>>>);
+/// A decision module that records its events of requests.
+struct RecordingPolicy(Policy, Rc<RefCell<Vec<&'static str>>>);
 
-impl Decide for Watched {
+impl Decide for RecordingPolicy {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Request(_) => self.1.borrow_mut().push("request"),
-            Event::ClientDisconnected { .. } => self.1.borrow_mut().push("client gone"),
-            Event::AttemptFinished(settled) if settled.request_finished => {
-                self.1.borrow_mut().push("settled, over")
+            Event::ClientDisconnected { .. } => self.1.borrow_mut().push("client disconnected"),
+            Event::AttemptFinished(result) if result.request_finished => {
+                self.1.borrow_mut().push("attempt finished, request over")
             }
-            Event::AttemptFinished(_) => self.1.borrow_mut().push("settled, open"),
+            Event::AttemptFinished(_) => self.1.borrow_mut().push("attempt finished, request open"),
             _ => {}
         }
         self.0.handle(now, event, actions);
     }
 }
 
-/// Danger: a module that takes the request of a client that left for open would send it again and again, and spend what it
-/// may spend on repeats.
-#[test]
-fn the_module_hears_of_a_departure_before_it_hears_that_nothing_was_sent() {
-    run(async {
-        let log = Log::default();
-        let host = cache("cache", &log, |_, _| hit("v")).await;
-        let mut config = read(&[line("c", host, "box")]);
-        let (inbox, inputs) = mpsc::channel(8);
-        let (_orders, ordered) = mpsc::channel(1);
-        let (clock, start, memory) = (Clock::start(), config.start.clone(), Memory::of(64));
-        let limits = PoolSettings {
-            max_connections: 4,
-            held_by_predecessor: 0,
-            connect_timeout: ms(250),
-            servers_idle_timeout: ms(10_000),
-            stall_timeout: ms(10_000),
-            memory,
-        };
-        let pool = UpstreamPool::new(Tcp, limits, Vec::new(), inbox.clone(), Rc::default());
-        let admission = loop_monitor::admission_controller(&start.settings, clock, 0);
-        let shared = EngineHandles {
-            runtime: RuntimeHandles {
-                clock,
-                admission,
-                counters: Rc::default(),
-            },
-            ready: watch::channel(false).0,
-            record: CordonRecord::within(None, "b"),
-            catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
-            group: None,
-            origin: Rc::default(),
-        };
-        let told = Rc::new(RefCell::new(Vec::new()));
-        let record = Rc::clone(&told);
-        let engine = Engine::new(
-            start,
-            |set| Watched(Policy::new(set, 1), record),
-            memory,
-            pool,
-            shared,
-        );
-        let (answer, receiver) = oneshot::channel::<FinalAnswer>();
-        let (id, class, tenant, key) = (RequestId(7), ClassId(0), TenantId(0), Some(Key(1)));
-        let expires = clock.now() + SECOND;
-        let request = Request {
-            id,
-            class,
-            tenant,
-            key,
-            expires_at: expires,
+/// An engine without servers in use, whose decision module records events here.
+fn recording_engine(
+    config: &Config,
+    events: &mpsc::Sender<EngineEvent>,
+    record: &Rc<RefCell<Vec<&'static str>>>,
+) -> Engine<RecordingPolicy, Tcp> {
+    let (clock, start, memory) = (Clock::start(), config.start.clone(), Memory::of(64));
+    let settings = PoolSettings {
+        max_connections: 4,
+        held_by_predecessor: 0,
+        connect_timeout: ms(250),
+        servers_idle_timeout: ms(10_000),
+        stall_timeout: ms(10_000),
+        memory,
+    };
+    let pool = UpstreamPool::new(Tcp, settings, Vec::new(), events.clone(), Rc::default());
+    let handles = EngineHandles {
+        runtime: RuntimeHandles {
+            clock,
+            admission: loop_monitor::admission_controller(&start.settings, clock, 0),
+            counters: Rc::default(),
+        },
+        ready: watch::channel(false).0,
+        record: CordonRecord::within(None, "b"),
+        catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
+        group: None,
+        origin: Rc::default(),
+    };
+    let record = Rc::clone(record);
+    let build_policy = |settings| RecordingPolicy(Policy::new(settings, 1), record);
+    Engine::new(start, build_policy, memory, pool, handles)
+}
+
+/// A request whose client has already disconnected.
+fn abandoned_request() -> Arrival {
+    let word = Bytes::from_static(b"w");
+    let now = Clock::start().now();
+    let (answer, _) = oneshot::channel::<FinalAnswer>();
+    Arrival {
+        request: Request {
+            id: RequestId(7),
+            class: ClassId(0),
+            tenant: TenantId(0),
+            key: Some(Key(1)),
+            expires_at: now + SECOND,
             write: false,
             retry: false,
-        };
-        let word = Bytes::from_static(b"w");
-        let command = Command {
+        },
+        arrived_at: now,
+        command: Command {
             verb: Verb::Get,
             key: word.clone(),
             id: word.clone(),
             info: word,
             value: None,
-        };
-        let finished = Rc::new(Cell::new(true));
-        drop(receiver);
-        let arrival = Arrival {
-            request,
-            arrived_at: clock.now(),
-            command,
-            memory: None,
-            answer,
-            finished,
-        };
-        inbox
-            .send(EngineEvent::Arrived(arrival))
+        },
+        memory: None,
+        answer,
+        finished: Rc::new(Cell::new(true)),
+    }
+}
+
+/// A decision module that believes the request to be open would retry it again and again, and use up its retry budget.
+#[test]
+fn the_policy_is_notified_of_a_disconnect_before_the_end_of_the_unsent_attempt() {
+    run(async {
+        let log = Log::default();
+        let host = cache("cache", &log, |_, _| hit("v")).await;
+        let mut config = read(&[line("c", host, "box")]);
+        let (event_sender, events) = mpsc::channel(8);
+        let (_order_sender, orders) = mpsc::channel(1);
+        let record = Rc::new(RefCell::new(Vec::new()));
+        let engine = recording_engine(&config, &event_sender, &record);
+        event_sender
+            .send(EngineEvent::Arrived(abandoned_request()))
             .await
             .unwrap_or_else(|_| panic!("closed"));
         let known = std::mem::take(&mut config.known);
-        spawn_local(engine.run(known, None, inputs, ordered));
-        until(|| told.borrow().len() >= 3).await;
+        spawn_local(engine.run(known, None, events, orders));
+        until(|| record.borrow().len() >= 3).await;
         sleep(ms(20)).await;
-        assert_eq!(*told.borrow(), ["request", "client gone", "settled, over"]);
+        assert_eq!(
+            *record.borrow(),
+            [
+                "request",
+                "client disconnected",
+                "attempt finished, request over"
+            ]
+        );
         assert_eq!(commands(&log, "cache").len(), 0);
     });
 }
--- a/crates/stairfront-balancer/tests/clients.rs
+++ b/crates/stairfront-balancer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The client's side: order of answers, broken input, clients that leave, and the limit on connections.
+//! The client side: order of answers, malformed input, clients that disconnect, and the limit on connections.
 mod common;
 
 use std::rc::Rc;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn malformed_input_costs_that_connection_alone_and_nothing_that_came_before_it() {
+fn malformed_input_ends_its_connection_alone_after_the_earlier_answers() {
     run(async {
         let balancer = echoing(&Log::default()).await;
         let mut other = balancer.client().await;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn unfit_arguments_get_an_error_and_the_connection_goes_on() {
+fn invalid_arguments_get_an_error_and_the_connection_stays_open() {
     run(async {
         let log = Log::default();
         let balancer = echoing(&log).await;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_costs_no_answer_and_no_connection_to_the_cache() {
+fn a_client_that_disconnects_leaves_the_connections_to_the_cache_usable() {
     run(async {
         let log = Log::default();
         let balancer = echoing(&log).await;
@@ -143,7 +143,7 @@
         ] {
             assert!(info.contains(wanted), "{wanted:?} in {info}");
         }
-        // Both attempts ended as usual, and their connections serve on.
+        // Both attempts ended as usual, and their connections are reused.
         assert!(info.contains("attempts_served:2\r\n"), "{info}");
         assert_eq!(client.get("k", "3", 1000).await, bulk("k"));
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_request_that_no_server_answers_is_answered_in_the_clients_time() {
+fn a_request_that_no_server_answers_is_answered_by_the_clients_deadline() {
     run(async {
         let log = Log::default();
         let (agent, host) = (
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn more_clients_than_places_are_all_served_as_idle_connections_make_room() {
+fn more_clients_than_permits_are_all_served_as_idle_connections_close() {
     run(async {
         let log = Log::default();
         let (agent, host) = (quiet_agent(&log).await, cache("cache", &log, echo).await);
@@ -184,13 +184,13 @@
             .lines()
             .find_map(|l| l.strip_prefix("client_connections_open:"))
             .unwrap();
-        // One is closed ahead of need while less than a quarter of the places is free.
+        // One is closed in advance while less than a quarter of the permits is free.
         assert!((6..=8).contains(&open.parse::<u32>().unwrap()), "{info}");
     });
 }
 
 #[test]
-fn more_requests_than_sockets_wait_for_one_and_are_served() {
+fn more_requests_than_sockets_wait_and_are_served() {
     run(async {
         let log = Log::default();
         let agent = quiet_agent(&log).await;
@@ -226,7 +226,7 @@
     });
 }
 
-/// A balancer that nobody has waited for, and a client.
+/// A balancer that may not be ready yet, and a client.
 async fn just_started(
     agent: std::net::SocketAddr,
     lines: &[serde_json::Value],
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_silent_agent_does_not_keep_a_balancer_with_a_list_from_serving() {
+fn a_silent_discovery_agent_does_not_keep_a_balancer_with_a_list_from_serving() {
     run(async {
         let log = Log::default();
         let agent = origin("agent", &log, |_, _| Step::Silence).await;
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn ping_is_not_answered_with_pong_before_there_is_a_list() {
+fn ping_is_an_error_until_there_is_an_endpoint_list() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, echo).await;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn with_every_place_in_use_a_new_client_is_turned_away_in_its_time() {
+fn with_every_permit_in_use_a_new_client_is_refused_by_its_deadline() {
     run(async {
         let log = Log::default();
         let agent = quiet_agent(&log).await;
@@ -300,7 +300,7 @@
             let start = Instant::now();
             assert_eq!(client.get("k", "2", 300).await, "-BUSY\r\n");
             assert!(start.elapsed() < ms(200), "{:?}", start.elapsed());
-            // It is not closed in the face of the client's next request, and not kept for ever.
+            // It stays open for the client's next request, but not for ever.
             assert_eq!(client.get("k", "3", 300).await, "-BUSY\r\n");
             spare.push(client);
         }
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn who_brings_no_whole_command_is_closed_within_three_seconds_and_who_does_stays() {
+fn a_connection_without_a_whole_command_is_closed_within_three_seconds() {
     run(async {
         let balancer = echoing(&Log::default()).await;
         let mut usual = balancer.client().await;
@@ -329,7 +329,7 @@
         let mut silent = balancer.client().await;
         let mut half = balancer.client().await;
         half.send(&get("k", "2", 1000)[..20]).await;
-        // A half that begins late has its time as well.
+        // A partial command that begins late has the same time.
         let mut late = balancer.client().await;
         assert_eq!(late.get("k", "3", 1000).await, bulk("k"));
         assert_eq!(silent.answer().await, None);
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn an_error_is_read_by_a_client_that_goes_on_sending() {
+fn an_error_reaches_a_client_that_goes_on_sending() {
     run(async {
         let balancer = echoing(&Log::default()).await;
         let mut client = balancer.client().await;
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_already_gets_an_error_and_nothing_is_sent_on() {
+fn a_duplicate_id_gets_an_error_and_is_not_sent() {
     run(async {
         let log = Log::default();
         let balancer = echoing(&log).await;
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn silent_connections_make_room_before_those_that_are_used() {
+fn silent_connections_close_for_new_ones_before_used_ones() {
     run(async {
         let log = Log::default();
         let (agent, host) = (quiet_agent(&log).await, cache("cache", &log, echo).await);
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! What the balancer makes of its messages on the wire.
+//! The balancer's messages on the wire.
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use stairfront_balancer::client::codec::ClientCodec;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_goes_out_is_what_the_protocol_says() {
+fn answers_and_commands_are_encoded_as_the_protocol_defines() {
     let answer = |answer: Answer| {
         let mut out = BytesMut::new();
         client_codec().encode(answer, &mut out).unwrap();
@@ -77,7 +77,7 @@
 proptest! {
     /// A value goes through both codecs unchanged, at any length up to the limit and any split.
     #[test]
-    fn values_pass_unchanged(value in prop::collection::vec(any::<u8>(), 0..3000), at in 0.0..1.0f64) {
+    fn values_pass_both_codecs_unchanged(value in prop::collection::vec(any::<u8>(), 0..3000), at in 0.0..1.0f64) {
         let mut out = BytesMut::new();
         client_codec().encode(Answer::Value(Bytes::from(value.clone())), &mut out).unwrap();
         let at = (out.len() as f64 * at) as usize;
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -27,7 +27,7 @@
     run_within(LIMIT, test)
 }
 
-/// For one with many steps, each of which takes its time.
+/// For a test with many long steps.
 #[allow(dead_code)]
 pub fn run_within<F: Future>(limit: Duration, test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -39,8 +39,8 @@
     )
 }
 
-/// In memory where the machine has a place for that, as in service. Danger: a file on a disk is flushed when another takes its
-/// place, the loop stands still meanwhile, and the balancer says BUSY for being late.
+/// A directory in memory where the machine has one, as in service. On a disk the replacing of a file can block the loop, and
+/// the balancer would shed load for being behind.
 pub fn memory_folder() -> tempfile::TempDir {
     tempfile::tempdir_in("/dev/shm")
         .or_else(|_| tempfile::tempdir())
@@ -51,14 +51,14 @@
     Duration::from_millis(ms)
 }
 
-/// Waits for something to come about, however slow the machine is; `run` says when it does not.
-pub async fn until(mut it_is_so: impl FnMut() -> bool) {
-    while !it_is_so() {
+/// Waits until a condition holds, however slow the machine is; `run` fails when it never does.
+pub async fn until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         sleep(ms(2)).await;
     }
 }
 
-/// What stand-ins saw, in the order in which they saw it.
+/// Events at the stand-ins, in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Seen {
     Opened(&'static str),
@@ -80,20 +80,20 @@
     log.borrow().iter().filter(|seen| *seen == wanted).count()
 }
 
-/// What a stand-in does with one command.
+/// The reaction of a stand-in to one command.
 #[derive(Clone)]
 pub enum Step {
     Say(Vec<u8>),
     After(Duration, Vec<u8>),
-    /// Says it once the gate is open.
+    /// Sends this once the gate is open.
     Gated(watch::Receiver<bool>, Vec<u8>),
-    /// Says one thing, and after a while another.
+    /// Sends one thing, and after a while another.
     Twice(Vec<u8>, Duration, Vec<u8>),
-    /// Keeps the connection and says nothing.
+    /// Keeps the connection and sends nothing.
     Silence,
     /// Ends the connection without an answer.
     End,
-    /// Says a part of an answer and ends the connection.
+    /// Sends a part of an answer and ends the connection.
     Cut(Vec<u8>),
     /// The same with a reset.
     Broken(Vec<u8>),
@@ -127,7 +127,7 @@
 
 pub type Script = Rc<dyn Fn(usize, &[String]) -> Step>;
 
-/// Takes one whole message off the front of a buffer.
+/// Removes one whole message from the front of a buffer.
 type Cut = fn(&mut Vec<u8>) -> Option<Vec<String>>;
 
 fn cut_resp(buffer: &mut Vec<u8>) -> Option<Vec<String>> {
@@ -186,7 +186,7 @@
                 Step::Say(bytes) => socket.write_all(&bytes).await.unwrap_or_default(),
                 Step::After(wait, bytes) => {
                     let due = Instant::now() + wait;
-                    // The end of the connection is noticed meanwhile, as a server would.
+                    // The end of the connection is noticed meanwhile, as by a server.
                     while let Ok(read) = timeout_at(due, socket.read(&mut chunk)).await {
                         match read {
                             Ok(0) | Err(_) => break 'connection,
@@ -258,7 +258,7 @@
     stand_in(name, cut_http, log, script).await
 }
 
-/// An agent that has nothing to tell: the first call is answered, later ones are held.
+/// An agent without changes: the first poll is answered, later ones are held.
 pub async fn quiet_agent(log: &Log) -> SocketAddr {
     origin("agent", log, |n, _| match n {
         0 => http(200, "", r#"{"index":1,"snapshot":false,"endpoints":[]}"#),
@@ -267,7 +267,7 @@
     .await
 }
 
-/// An agent that answers each call that does not wait with this list, and holds the others.
+/// An agent that answers each poll without a hold with this list, and holds the others.
 pub async fn listing_agent(
     name: &'static str,
     log: &Log,
@@ -355,7 +355,7 @@
         Self::serve_within(None, listener, config).await
     }
 
-    /// With a folder for what is to outlive it.
+    /// With a directory for the files that outlive the process.
     pub async fn serve_within(
         folder: Option<&Path>,
         listener: TcpListener,
@@ -369,7 +369,7 @@
         balancer
     }
 
-    /// Starts one and does not wait until it is ready.
+    /// Starts a balancer without waiting until it is ready.
     pub async fn begin(folder: Option<&Path>, listener: TcpListener, config: Config) -> Self {
         let address = listener.local_addr().unwrap();
         let admin_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -414,7 +414,7 @@
     }
 }
 
-/// Says a text on a new connection and hears all until its end; the status, 0 where there was none, and the text.
+/// Sends a text on a new connection and reads until its end; the status, 0 where there was none, and the text.
 pub async fn say(to: SocketAddr, text: &str) -> (u16, String) {
     let mut socket = TcpStream::connect(to).await.unwrap();
     socket.write_all(text.as_bytes()).await.unwrap();
@@ -459,13 +459,13 @@
         self.answer().await.expect("connection ended")
     }
 
-    /// Comes again while the balancer turns it away for being late itself. Danger: a machine that runs this process too
-    /// seldom has it refuse, rightly, and tests of other things would fail by it.
+    /// Repeats a request while the balancer sheds it for being behind: on a busy machine it does so rightly, and tests of
+    /// other things would fail by it.
     pub async fn get(&mut self, key: &str, id: &str, wait_ms: u64) -> String {
         loop {
             self.send(&get(key, id, wait_ms)).await;
             let answer = self.answer().await.expect("connection ended");
-            if !is_late_itself(&answer) {
+            if !is_shed(&answer) {
                 return answer;
             }
             sleep(ms(20)).await;
@@ -488,8 +488,8 @@
     }
 }
 
-/// Only a balancer that is late spreads its advice; the module's is the settings' 1500 here, or none.
-fn is_late_itself(answer: &str) -> bool {
+/// Only a balancer that is behind spreads its Retry-After; that of the decision module is the settings' 1500 ms, or none.
+fn is_shed(answer: &str) -> bool {
     let advice = answer
         .strip_prefix("-BUSY ")
         .and_then(|ms| ms.trim_end().parse::<u64>().ok());
--- a/crates/stairfront-balancer/tests/config.rs
+++ b/crates/stairfront-balancer/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: what a good one gives, and errors that name the key at fault.
+//! The configuration: the values that a valid one gives, and errors that name the key.
 mod common;
 
 use common::{config, line};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_is_optional_may_be_missing_and_what_is_unknown_is_ignored() {
+fn optional_keys_may_be_missing_and_unknown_keys_are_ignored() {
     let mut text = good();
     for key in ["name", "seed", "limits", "known"] {
         text.as_object_mut().unwrap().remove(key);
@@ -38,9 +38,9 @@
     assert!(config.known.entries.is_empty());
 }
 
-#[test]
-fn an_error_names_the_file_and_the_key() {
-    let cases: [(&[&str], Value, &str); 10] = [
+/// Paths of keys, values that are errors there, and the beginning or a part of the message.
+fn invalid_keys() -> [(&'static [&'static str], Value, &'static str); 10] {
+    [
         (&["listen"], "nowhere".into(), "config.json: listen: "),
         (
             &["limits", "sockets"],
@@ -87,8 +87,12 @@
             json!([]),
             "settings.profiles: at least one class is needed",
         ),
-    ];
-    for (path, value, wanted) in cases {
+    ]
+}
+
+#[test]
+fn an_error_names_the_file_and_the_key() {
+    for (path, value, wanted) in invalid_keys() {
         let mut text = good();
         let place = path.iter().fold(&mut text, |at, key| &mut at[*key]);
         *place = value;
@@ -105,7 +109,7 @@
 }
 
 #[test]
-fn what_is_held_follows_the_memory_limit() {
+fn reserved_memory_follows_the_memory_limit() {
     let memory = |mb: usize| {
         let mut text = good();
         text["limits"]["memory_mb"] = mb.into();
@@ -126,7 +130,7 @@
             mb < 32 || large_commands > 4 << 20,
             "one large write at the least: {mb} MB"
         );
-        // Those above 64 KiB are passed on and not held.
+        // Larger values than 64 KiB are forwarded without being held.
         assert!(
             max_value_bytes == 4 << 20 && replies >= 16 * 64 * 1024,
             "{mb} MB"
--- a/crates/stairfront-balancer/tests/crossings.rs
+++ b/crates/stairfront-balancer/tests/connection_races.rs
@@ -1,5 +1,5 @@
-//! Two things that happen at once on a client's connection: it leaves, or is closed, while something is unread, unwritten
-//! or on its way elsewhere. Each crossing is forced by gates and by the order of bytes.
+//! Races on a client's connection: it disconnects, or is closed, while input is unread, an answer is unwritten or a request
+//! is in flight. Each race is forced by gates and by the order of bytes.
 mod common;
 
 use std::cell::Cell;
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What `INFO` says of a counter.
+/// The value of a counter in `INFO`.
 async fn counter(balancer: &Balancer, name: &str) -> u64 {
     let info = balancer.client().await.ask(&["INFO"]).await;
     let line = info
@@ -35,7 +35,7 @@
         .count()
 }
 
-/// Four names for one stand-in, so that no window binds, and eight connections to servers.
+/// A balancer with four names for one stand-in, so that no concurrency limit applies, and eight connections to servers.
 async fn crowded(log: &Log, script: impl Fn(usize, &[String]) -> Step + 'static) -> Balancer {
     let (agent, host) = (quiet_agent(log).await, cache("cache", log, script).await);
     let lines: Vec<Value> = (0..4)
@@ -44,16 +44,16 @@
     let few = |text: &mut Value| {
         text["limits"]["sockets"] = 50.into();
         text["settings"]["caps"]["connect_timeout"] = 5000.0.into();
-        // Whatever the gate holds back is not given up before its client would.
+        // Requests that the gate delays do not time out before their client gives up.
         text["settings"]["profiles"][0]["aim"] = 1400.0.into();
     };
     Balancer::start_with(agent, &lines, few).await
 }
 
-/// Danger: at the most open commands of a connection nothing is read from it, and its end stands behind bytes that nobody
-/// asks for. What waits for its client, here for a socket, would be sent on for nobody.
+/// At the maximum of open commands nothing is read from a connection, and its end is behind unread bytes. Its attempts that
+/// still wait, here for a socket, would be sent without a client.
 #[test]
-fn what_waits_for_a_client_that_left_unseen_is_not_sent_on() {
+fn attempts_waiting_for_a_socket_are_not_sent_for_a_client_that_has_disconnected() {
     for reset in [false, true] {
         run(async {
             let (open, gate) = watch::channel(false);
@@ -80,7 +80,7 @@
             for i in 0..8 {
                 assert_eq!(busy.answer().await.unwrap(), bulk(&format!("busy{i}")));
             }
-            // Whatever had waited would be on its way by now.
+            // All that had waited would have been sent by now.
             let mut after = balancer.client().await;
             assert_eq!(after.get("after", "after", 1400).await, bulk("after"));
             assert_eq!(ids(&log, "gone"), 0, "with a reset: {reset}");
@@ -89,10 +89,10 @@
     }
 }
 
-/// Danger: in the middle of a large value that its client does not take nothing is read, and its server's connection, its
-/// place and what else it has asked for would wait out the whole patience.
+/// In the middle of a large value that its client does not read, nothing is read from the client. If its disconnect were not
+/// noticed, the server's connection, the permit and its other requests would be held for the whole read timeout.
 #[test]
-fn a_client_that_leaves_before_a_large_value_is_written_is_noticed_at_once() {
+fn a_client_that_disconnects_before_a_large_value_is_written_is_noticed_at_once() {
     run(async {
         let log = Log::default();
         let large = format!(
@@ -105,7 +105,7 @@
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         let mut client = socket.connect(balancer.address).await.unwrap();
-        // As many as it takes to fill what lies between.
+        // As many as fill the buffers in between.
         for i in 0..4 {
             client
                 .write_all(&get("k", &i.to_string(), 1400))
@@ -118,7 +118,7 @@
         sleep(ms(100)).await;
         client.shutdown().await.unwrap();
         let left = Instant::now();
-        // The one that asks is one of them.
+        // The connection that asks is one of them.
         while counter(&balancer, "client_connections_open").await > 1 {
             assert!(left.elapsed() < ms(2000), "still there");
             sleep(ms(5)).await;
@@ -133,10 +133,10 @@
         .map_err(|problem| problem.kind())
 }
 
-/// Danger: in the last phase of a shutdown nothing is read any more. Closed over a request that lies unread, the connection
-/// is reset, and with it goes the answer that its client has not read yet.
+/// In the last phase of a shutdown nothing is read any more. A connection closed over an unread request is reset, and the
+/// answer that its client has not read yet would be lost.
 #[test]
-fn the_last_answer_of_a_shutdown_ends_with_a_proper_close_over_unread_requests() {
+fn the_last_answer_of_a_shutdown_is_not_lost_by_a_reset_over_unread_requests() {
     run(async {
         let (open, gate) = watch::channel(false);
         let log = Log::default();
@@ -148,20 +148,20 @@
             client.send(&get("first", "first", 20_000)).await;
             tokio::select! {
                 () = until(|| ids(&log, "first") == 1) => break,
-                // A machine that runs it too seldom has it refuse, rightly.
+                // A busy machine makes the balancer shed load, rightly.
                 answer = client.answer() => assert!(answer.unwrap().starts_with("-BUSY")),
             }
         }
         for phase in [Phase::Draining, Phase::Closing, Phase::Last] {
             balancer.phase.send_replace(phase);
-            // Its connection has heard it once the loop has come round.
+            // The connection has been notified once the loop has come round.
             sleep(ms(5)).await;
         }
         client.send(&get("second", "second", 1400)).await;
         sleep(ms(5)).await;
         open.send_replace(true);
         assert_eq!(client.answer().await.unwrap(), bulk("first"));
-        // Sent on in the face of the close, too.
+        // More is sent while the close is under way.
         client.send(&get("third", "third", 1400)).await;
         assert_eq!(next(&mut client.socket).await, Ok(0), "a proper end");
         drop(client);
@@ -174,15 +174,15 @@
     });
 }
 
-/// Danger: a successor that has just died cannot have the connection. What was read of it is taken, and owed an answer.
+/// A successor that has just ended cannot get the connection. Requests that were read from it have to be answered here.
 #[test]
-fn what_was_read_of_a_connection_that_cannot_be_handed_over_is_answered_here() {
+fn requests_read_from_a_connection_that_cannot_be_handed_over_are_answered() {
     run(async {
         let (open, gate) = watch::channel(false);
         let log = Log::default();
         let balancer = crowded(&log, move |_, words| gated_echo(&gate, words)).await;
         let mut client = balancer.client().await;
-        // One more than are taken at once: it is in the read buffer, behind the others.
+        // One command more than are handled at once: it is in the read buffer, behind the others.
         let many = (0..17).flat_map(|i| get(&format!("k{i}"), &format!("k{i}"), 1400));
         client.send(&many.collect::<Vec<u8>>()).await;
         let mut half = balancer.client().await;
@@ -198,17 +198,17 @@
             );
         }
         assert_eq!(next(&mut client.socket).await, Ok(0), "a proper end");
-        // Half a command does not keep it from ending.
+        // A partial command does not delay the end.
         drop(client);
         assert_eq!(half.answer().await, None);
         balancer.done.await.unwrap();
     });
 }
 
-/// Danger: whoever tells a balancer to end kills it 3.7 s later at the earliest. A request whose client waits longer would
-/// end with it, unanswered.
+/// A balancer that is told to end may be killed 3.7 s later. A request whose client waits longer would end with it,
+/// unanswered.
 #[test]
-fn a_request_with_a_longer_deadline_than_the_process_has_to_live_is_answered_before_its_end() {
+fn a_request_with_a_deadline_beyond_the_process_lifetime_is_answered_before_the_end() {
     run(async {
         let log = Log::default();
         let (agent, host) = (
@@ -238,11 +238,11 @@
     });
 }
 
-/// Danger: a large command that has no room waits unread. Read on with an answer owed on its connection, all that its client
-/// goes on to send would stand in memory.
+/// A large command without memory waits unread. If the balancer read on while an answer is pending on the connection, all
+/// that the client goes on to send would be held in memory.
 #[test]
-fn what_stands_behind_a_command_without_room_stays_unread_while_an_answer_is_owed() {
-    // Megabytes take their time on a busy machine.
+fn input_behind_a_command_that_waits_for_memory_stays_unread_while_an_answer_is_pending() {
+    // Megabytes take long on a busy machine.
     run_within(ms(60_000), async {
         let (open, gate) = watch::channel(false);
         let (log, large) = (Log::default(), "v".repeat(2 << 20));
@@ -250,7 +250,7 @@
             quiet_agent(&log).await,
             cache("cache", &log, move |_, words| gated_echo(&gate, words)).await,
         );
-        // Room for one large command.
+        // Memory for one large command.
         let little = |text: &mut Value| {
             text["limits"]["memory_mb"] = 16.into();
             text["settings"]["profiles"][0]["aim"] = 20_000.0.into();
@@ -276,7 +276,7 @@
                 }
             })
         };
-        // What the kernel holds on both sides is sent, and no more: nothing comes of it in ten looks for room.
+        // Only as much is sent as the kernel holds on both sides: nothing more is read in ten checks for memory.
         let mut before = usize::MAX;
         while before != sent.get() {
             before = sent.get();
@@ -290,17 +290,17 @@
         let mut answer = [0; 11];
         rest.read_exact(&mut answer).await.unwrap();
         assert_eq!(std::str::from_utf8(&answer).unwrap(), bulk("first"));
-        // With room again the next command is read to its end and answered.
+        // With memory again the next command is read to its end and answered.
         drop(holder);
         assert!(matches!(rest.read(&mut answer).await, Ok(1..)));
         sending.abort();
     });
 }
 
-/// Danger: an answer that only the end of its connection makes whole would be passed on cut where a reset ends it, or be lost
-/// where it is whole.
+/// An answer whose end is the end of its connection must not be forwarded if a reset truncates it, nor be lost if it is
+/// complete.
 #[test]
-fn an_answer_without_a_length_is_whole_at_a_proper_end_and_never_at_a_reset() {
+fn an_answer_without_a_length_is_complete_at_an_orderly_close_and_never_at_a_reset() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, |_, _| miss()).await;
@@ -327,7 +327,7 @@
             3,
             "one answer, one reset, one more"
         );
-        // One that never ends is no answer, and its request is answered in its time.
+        // A response that never ends is no answer, and the request is answered by its deadline.
         let asked = Instant::now();
         let answer = client.get("endless", "c", 500).await;
         assert!(
--- a/crates/stairfront-balancer/tests/discovery.rs
+++ b/crates/stairfront-balancer/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list in hand at the start, the watch, bad lists, and an agent that is silent or gone.
+//! Discovery: the list at the start, the watch, malformed lists, and an agent that is silent or has ended.
 mod common;
 
 use std::rc::Rc;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_watch_goes_on_from_the_version_in_hand() {
+fn the_watch_continues_from_the_version_in_hand() {
     run(async {
         let log = Log::default();
         let (old, new) = (
@@ -46,7 +46,7 @@
         });
         let agent = agent.await;
         let balancer = Balancer::start(agent, &[line("c1", old, "box")]).await;
-        // It asks for the next list once it has handed this one on.
+        // It polls for the next list once it has passed this one on.
         until(|| targets(&log).len() > 1).await;
         assert_eq!(
             balancer.client().await.get("k", "1", 900).await,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn who_is_missing_from_a_whole_list_gets_nothing_new_and_an_address_may_change() {
+fn a_host_missing_from_a_full_list_gets_no_new_requests_and_an_address_may_change() {
     run(async {
         let log = Log::default();
         let (one, two) = (
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_bad_list_is_dropped_and_the_whole_list_asked_for() {
+fn a_malformed_list_is_dropped_and_the_full_list_polled() {
     run(async {
         for bad in [
             http(
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_agent_that_refuses_or_ends_calls_does_not_keep_the_balancer_from_serving() {
+fn an_agent_that_refuses_or_ends_polls_does_not_keep_the_balancer_from_serving() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, |_, _| hit("v")).await;
@@ -150,13 +150,13 @@
             balancers.push(balancer);
         }
         sleep(ms(350)).await;
-        // A watch goes on only if the next call comes within 200 ms.
+        // The watch continues only if the next poll comes within 200 ms.
         assert!(targets(&log).len() >= 3, "{:?}", targets(&log));
     });
 }
 
 #[test]
-fn a_refusal_is_no_list_and_the_pauses_after_it_grow_and_differ() {
+fn a_refused_poll_keeps_the_list_and_is_retried_with_jittered_backoff() {
     run(async {
         let mut rows = Vec::new();
         for seed in ["1", "2"] {
@@ -178,7 +178,7 @@
             let balancer = Balancer::start_with(agent.await, &lines, seeded).await;
             let mut client = balancer.client().await;
             while calls.borrow().len() < 5 {
-                // The list in hand stands meanwhile.
+                // The list in hand stays in use meanwhile.
                 assert_eq!(
                     client
                         .get("k", &format!("{:?}", began.elapsed()), 900)
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_line_of_the_list_is_read_as_the_protocol_says() {
+fn list_entries_are_read_as_the_protocol_defines() {
     let names = Names {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["m1".into(), "m2".into()],
@@ -237,18 +237,18 @@
 }
 
 #[test]
-fn ids_are_the_same_everywhere() {
-    // Keys stay where they are over restarts and versions only while this holds.
+fn cache_ids_are_the_same_at_every_balancer() {
+    // Keys keep their hosts over restarts and versions only while this holds.
     assert_eq!(
         cache_id("s-5be2a07c").0,
         xxhash_rust::xxh3::xxh3_64(b"s-5be2a07c")
     );
 }
 
-/// Danger: a list that waits for room before the engine is dropped with its call when other news come. Had its version been
-/// put down before, nobody would ever ask for what it said, and a host that drains would be sent to for good.
+/// A list that waits for the engine's queue is dropped with its poll when another event comes. If its version had been
+/// recorded before, its changes would never be polled again, and a draining host would get requests for good.
 #[test]
-fn a_list_that_is_dropped_before_it_is_handed_on_is_asked_for_again() {
+fn a_list_dropped_before_it_reaches_the_engine_is_polled_again() {
     run(async {
         let log = Log::default();
         let host = common::dead_address().await;
@@ -260,7 +260,7 @@
         });
         let (_agents, at) = watch::channel(Some(agent.await));
         let (inbox, mut inputs) = mpsc::channel(1);
-        // No room: the engine is behind.
+        // The queue is full: the engine is behind.
         inbox
             .send(EngineEvent::PeerEnded)
             .await
@@ -276,7 +276,7 @@
         let watch = DiscoveryWatch::new(Tcp, settings, inbox, Rc::default());
         let watching = spawn_local(watch.run());
         until(|| !targets(&log).is_empty()).await;
-        // The answer has been read, and its list waits.
+        // The answer has been read, and its list waits for the queue.
         sleep(ms(50)).await;
         poll_now.notify_one();
         until(|| targets(&log).len() > 1).await;
@@ -296,10 +296,10 @@
     });
 }
 
-/// Danger: an agent that has started anew counts its versions from the beginning. Its changes say nothing of the list in
-/// hand, and the next call would be held until it has caught up.
+/// An agent that was restarted counts its versions from the beginning. Its changes say nothing about the list in hand, and
+/// the next poll would be held until its version has caught up.
 #[test]
-fn changes_of_an_older_version_than_the_one_in_hand_have_the_whole_list_asked_for() {
+fn changes_of_an_older_version_have_the_full_list_polled() {
     run(async {
         let log = Log::default();
         let (old, new) = (
@@ -329,10 +329,10 @@
     });
 }
 
-/// Danger: a list that calls running hosts gone. Where the settings say that draining alone binds they are still sent to, at
-/// the address that was theirs; one that drains is not, in either case.
+/// A list may drop running hosts by mistake. Where the settings make removal advisory they still get requests, at their last
+/// address; a draining host does not in either case.
 #[test]
-fn hosts_that_a_list_drops_are_still_sent_to_where_only_draining_binds() {
+fn unlisted_hosts_still_get_requests_where_removal_is_advisory() {
     for stays in [true, false] {
         run(async {
             let log = Log::default();
--- a/crates/stairfront-balancer/tests/large_values.rs
+++ b/crates/stairfront-balancer/tests/large_values.rs
@@ -1,22 +1,25 @@
-//! Values too large to be held: passed on as they come, broken off so that the client can tell, never sent twice.
+//! Values too large to be held: forwarded as they come, truncated so that the client can tell, and never sent twice.
 mod common;
 
 use std::time::Instant;
 
-use common::*;
+use common::{
+    bulk, cache, command, commands, count, get, hit, http, line, miss, ms, origin, quiet_agent,
+    run, Balancer, Client, Log, Seen, Step,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
 const LARGE: usize = 4 << 20;
 
-/// Bytes in which every place is told apart from its neighbours.
+/// Bytes of which each differs from its neighbours.
 fn value() -> String {
     (0..LARGE)
         .map(|i| char::from(b'a' + (i % 23) as u8))
         .collect()
 }
 
-/// Without the end of a reply: what a test puts there.
+/// A reply without its end, which the test adds.
 fn begun(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}", value.len()).into_bytes()
 }
@@ -26,8 +29,8 @@
     Balancer::start(quiet_agent(log).await, &[line("c", host, "box")]).await
 }
 
-/// Asks until it is not refused: balancer and stand-ins share the test's thread, which megabytes hold up for so long that
-/// the balancer rightly counts as behind.
+/// Asks until it is not refused: balancer and stand-ins share the test's thread, which megabytes block for so long that the
+/// balancer rightly counts as behind.
 async fn served(client: &mut Client, key: &str) -> String {
     for n in 0.. {
         let answer = client
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn a_large_value_passes_unchanged_and_the_connection_goes_on() {
+fn a_large_value_is_forwarded_unchanged_and_both_connections_stay_open() {
     run(async {
         let (log, value) = (Log::default(), value());
         let reply = value.clone();
@@ -70,9 +73,9 @@
 }
 
 #[test]
-fn large_answers_on_one_connection_come_in_order_and_none_within_another() {
+fn large_answers_on_one_connection_keep_their_order_and_do_not_interleave() {
     run(async {
-        // Of a size that takes the test itself no time: balancer and stand-ins share its thread, and would be behind.
+        // The size is small enough not to block the test's thread, which balancer and stand-ins share.
         let (log, value) = (Log::default(), value()[..200_000].to_string());
         let reply = value.clone();
         let script =
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn a_large_value_of_the_origin_passes_by_its_length_and_in_chunks() {
+fn a_large_value_of_the_origin_is_forwarded_by_length_and_chunked() {
     run(async {
         let (log, value) = (Log::default(), value());
         let host = cache("cache", &log, |_, _| miss()).await;
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn only_the_first_bytes_are_due_by_the_deadline() {
+fn only_the_first_bytes_of_a_large_value_are_due_by_the_deadline() {
     run(async {
         let log = Log::default();
         let value = value();
@@ -164,10 +167,10 @@
 }
 
 #[test]
-fn a_value_that_breaks_ends_its_clients_connection_and_is_not_asked_for_again() {
+fn a_broken_large_value_ends_the_clients_connection_and_is_not_retried() {
     run(async {
         let value = value();
-        // Broken by its end, by what stands behind it, by a length that does not fit.
+        // Broken by an early end, by surplus bytes, and by a wrong length.
         let tails: [&[u8]; 3] = [b"", b"xx$3\r\nhit\r\n$-1\r\n", b"\r\n-ERR failed\r\n:1\r\n"];
         for (i, tail) in tails.into_iter().enumerate() {
             let log = Log::default();
@@ -186,7 +189,7 @@
             let lines = [line("c", host, "box"), line("o", other, "box")];
             let balancer = Balancer::start(quiet_agent(&log).await, &lines).await;
             let mut key = 0;
-            // One that the breaking cache has.
+            // Find a key that the broken cache serves.
             let mut client = loop {
                 let mut client = balancer.client().await;
                 client
@@ -215,7 +218,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_ends_the_transfer() {
+fn a_client_that_disconnects_during_a_large_value_ends_the_transfer() {
     run(async {
         let (log, value) = (Log::default(), value());
         let reply = value.clone();
@@ -233,7 +236,7 @@
 }
 
 #[test]
-fn a_head_may_take_two_seconds() {
+fn the_head_of_a_command_may_take_two_seconds() {
     run(async {
         let log = Log::default();
         let balancer = with_cache(&log, |_, _| hit("v")).await;
@@ -249,7 +252,7 @@
 }
 
 #[test]
-fn a_large_write_reaches_the_origin_unchanged_however_slowly_it_comes() {
+fn a_slow_large_write_reaches_the_origin_unchanged() {
     run(async {
         let (log, value) = (Log::default(), value());
         let host = cache("cache", &log, |_, _| miss()).await;
@@ -257,7 +260,7 @@
         let lines = [line("c", host, "box"), line("db", origin, "origin")];
         let balancer = Balancer::start(quiet_agent(&log).await, &lines).await;
         let mut client = balancer.client().await;
-        // Longer than a head may take.
+        // This takes longer than a head may take.
         for (i, piece) in command(&["C.SET", "k", "1", "c=read,t=acme,d=900", &value])
             .chunks(LARGE / 32)
             .enumerate()
@@ -271,7 +274,7 @@
             seen.len() == 1 && seen[0].last().unwrap() == &value,
             "not what the client wrote"
         );
-        // One that stops in the middle is closed in the time of a head.
+        // A write that stops in the middle is closed in the time of a head.
         let mut stops = balancer.client().await;
         let half = command(&["C.SET", "k", "2", "c=read,t=acme,d=900", &value]);
         stops
--- a/crates/stairfront-balancer/tests/reload.rs
+++ b/crates/stairfront-balancer/tests/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration under way: the address of discovery moves, faults change nothing, and SIGHUP ends nobody.
+//! Reloading the configuration: another address of discovery, files with errors that change nothing, and new classes.
 mod common;
 
 use std::net::SocketAddr;
@@ -12,23 +12,23 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// A file of its own for one test, and the folder that it goes with.
-struct File(String, #[allow(dead_code)] tempfile::TempDir);
+/// A file for one test, and the directory that is removed with it.
+struct File {
+    path: String,
+    _directory: tempfile::TempDir,
+}
 
 impl File {
     fn new(test: &str) -> Self {
-        let folder = memory_folder();
-        File(
-            folder
-                .path()
-                .join(format!("{test}.json"))
-                .display()
-                .to_string(),
-            folder,
-        )
+        let directory = memory_folder();
+        let path = directory.path().join(format!("{test}.json"));
+        File {
+            path: path.display().to_string(),
+            _directory: directory,
+        }
     }
     fn write(&self, text: &Value) {
-        std::fs::write(&self.0, text.to_string()).unwrap();
+        std::fs::write(&self.path, text.to_string()).unwrap();
     }
 }
 
@@ -37,7 +37,7 @@
     let text = config(listener.local_addr().unwrap(), agent, lines, 1024);
     file.write(&text);
     (
-        Balancer::serve(listener, Config::from_file(&file.0).unwrap()).await,
+        Balancer::serve(listener, Config::from_file(&file.path).unwrap()).await,
         text,
     )
 }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn another_address_of_discovery_is_asked_at_once_for_the_whole_list() {
+fn a_new_discovery_address_is_polled_at_once_for_the_full_list() {
     run(async {
         let (log, file) = (Log::default(), File::new("moved"));
         let one = cache("one", &log, |_, _| hit("one")).await;
@@ -70,10 +70,10 @@
             targets[1].starts_with("GET /api/targets?from=3&hold_ms=50000"),
             "{targets:?}"
         );
-        // The same client goes on, and who is missing from the new list gets nothing more.
+        // The same client goes on, and a host missing from the new list gets nothing more.
         assert_eq!(client.get("k", "2", 900).await, bulk("two"));
         assert!(info(&balancer).await.contains("reloads:1\r\n"));
-        // The same again changes nothing and asks nothing.
+        // The same file again changes nothing and causes no poll.
         let calls = commands(&log, "after").len();
         balancer.hangups.send(()).await.unwrap();
         sleep(ms(50)).await;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_faulty_file_changes_nothing() {
+fn a_file_with_errors_changes_nothing() {
     run(async {
         let (log, file) = (Log::default(), File::new("faulty"));
         let host = cache("cache", &log, |_, _| hit("v")).await;
@@ -97,7 +97,7 @@
             balancer.hangups.send(()).await.unwrap();
             sleep(ms(30)).await;
         }
-        std::fs::remove_file(&file.0).unwrap();
+        std::fs::remove_file(&file.path).unwrap();
         balancer.hangups.send(()).await.unwrap();
         sleep(ms(30)).await;
         assert!(info(&balancer)
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn keys_that_take_a_restart_are_named() {
+fn keys_that_need_a_restart_are_named() {
     let address: SocketAddr = "127.0.0.1:6379".parse().unwrap();
     let text = config(address, address, &[], 100);
     let mut changed = text.clone();
@@ -124,7 +124,7 @@
     assert_eq!(read(&text).needs_restart(&read(&text)), [""; 0]);
 }
 
-/// A class of its own, for the settings.
+/// A class as the settings write it.
 fn class(name: &str, semantics: &str, deadline: f64) -> Value {
     json!({"name": name, "semantics": semantics, "aim": deadline / 2.0, "deadline": deadline})
 }
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_class_added_is_served_by_its_own_rules_and_one_dropped_is_not_for_long() {
+fn an_added_class_follows_its_own_rules_and_a_dropped_one_expires() {
     run(async {
         let (log, file) = (Log::default(), File::new("classes"));
         let host = cache("cache", &log, |_, words| match words[1] == "slow" {
@@ -156,7 +156,7 @@
         retuned(&balancer, &file, &text).await;
         assert_eq!(as_class(&mut client, "late", "2").await, bulk("v"));
         assert_eq!(as_class(&mut client, "read", "3").await, bulk("v"));
-        // Its own deadline: well before the 900 ms that the client would wait.
+        // Its own deadline ends well before the 900 ms that the client would wait.
         let asked = std::time::Instant::now();
         assert!(client
             .ask(&["C.GET", "slow", "4", "c=late,t=acme,d=900"])
@@ -171,7 +171,7 @@
         assert_eq!(
             as_class(&mut client, "late", "5").await,
             bulk("v"),
-            "clients hear of it later"
+            "clients learn of it later"
         );
         sleep(ms(2100)).await;
         assert_eq!(as_class(&mut client, "late", "6").await, unknown);
@@ -179,7 +179,7 @@
     });
 }
 
-/// Has a file taken over.
+/// Reloads a file and waits until it is in use.
 async fn retuned(balancer: &Balancer, file: &File, text: &Value) {
     let count = |info: String| {
         info.split("reloads:")
@@ -198,8 +198,50 @@
     }
 }
 
+/// The texts of a file torn at several places, with an invalid value, or without one of its keys.
+fn broken_files(good: &Value) -> Vec<String> {
+    let whole = good.to_string();
+    let mut broken = vec![
+        String::new(),
+        " ".into(),
+        whole[..whole.len() / 2].into(),
+        whole[..whole.len() - 1].into(),
+    ];
+    for (path, value) in [
+        ("/settings/profiles/1/deadline", json!(0)),
+        ("/settings/profiles/1/deadline", json!(-5.0)),
+        ("/settings/caps/most_tries", json!(0)),
+        ("/settings/caps/most_tries", json!(-1)),
+    ] {
+        let mut text = good.clone();
+        *text.pointer_mut(path).unwrap() = value;
+        broken.push(text.to_string());
+    }
+    for path in [
+        "/settings",
+        "/listen",
+        "/limits",
+        "/settings/profiles",
+        "/settings/caps",
+        "/settings/rules",
+        "/settings/tenants",
+        "/settings/caps/most_tries",
+        "/settings/profiles/1/deadline",
+        "/settings/profiles/0/semantics",
+        "/settings/rules/cold_from",
+        "/settings/profiles/1/name",
+    ] {
+        let mut text = good.clone();
+        let (parent, key) = path.rsplit_once('/').unwrap();
+        let parent = text.pointer_mut(parent).unwrap().as_object_mut().unwrap();
+        parent.remove(key).unwrap();
+        broken.push(text.to_string());
+    }
+    broken
+}
+
 #[test]
-fn a_broken_file_leaves_the_old_settings_whole() {
+fn a_torn_file_leaves_the_old_settings_in_use() {
     run(async {
         let (log, file) = (Log::default(), File::new("broken"));
         let host = cache("cache", &log, |_, _| hit("v")).await;
@@ -208,46 +250,9 @@
         let mut good = text.clone();
         good["settings"]["profiles"] =
             json!([text["settings"]["profiles"][0], class("new", "free", 900.0)]);
-        let whole = good.to_string();
-        let mut broken = vec![
-            String::new(),
-            " ".into(),
-            whole[..whole.len() / 2].into(),
-            whole[..whole.len() - 1].into(),
-        ];
-        let mut with = |path: &str, value: Option<Value>| {
-            let mut text = good.clone();
-            let (parent, key) = path.rsplit_once('/').unwrap();
-            let parent = text.pointer_mut(parent).unwrap();
-            match (value, parent) {
-                (Some(value), parent) => parent[key] = value,
-                (None, parent) => drop(parent.as_object_mut().unwrap().remove(key).unwrap()),
-            }
-            broken.push(text.to_string());
-        };
-        with("/settings/profiles/1/deadline", Some(0.into()));
-        with("/settings/profiles/1/deadline", Some((-5.0).into()));
-        with("/settings/caps/most_tries", Some(0.into()));
-        with("/settings/caps/most_tries", Some((-1).into()));
-        for key in [
-            "/settings",
-            "/listen",
-            "/limits",
-            "/settings/profiles",
-            "/settings/caps",
-            "/settings/rules",
-            "/settings/tenants",
-            "/settings/caps/most_tries",
-            "/settings/profiles/1/deadline",
-            "/settings/profiles/0/semantics",
-            "/settings/rules/cold_from",
-            "/settings/profiles/1/name",
-        ] {
-            with(key, None);
-        }
         let mut client = balancer.client().await;
-        for (i, text) in broken.iter().enumerate() {
-            std::fs::write(&file.0, text).unwrap();
+        for (i, text) in broken_files(&good).iter().enumerate() {
+            std::fs::write(&file.path, text).unwrap();
             balancer.hangups.send(()).await.unwrap();
             while !info(&balancer)
                 .await
@@ -255,7 +260,7 @@
             {
                 assert!(
                     info(&balancer).await.contains("reloads:0\r\n"),
-                    "taken over: {text}"
+                    "accepted: {text}"
                 );
                 sleep(ms(2)).await;
             }
--- a/crates/stairfront-balancer/tests/trouble.rs
+++ b/crates/stairfront-balancer/tests/service_health.rs
@@ -1,9 +1,9 @@
-//! What keeps plans of maintenance from taking out more.
+//! Faults of the service that keep maintenance from taking out more machines.
 use stairfront_balancer::control::maintenance::service_health::ServiceCounts;
 
-/// Danger: hosts taken out one after another while the origin already refuses what their misses ask of it.
+/// Otherwise hosts would be taken out one after another while the origin already refuses the requests of their misses.
 #[test]
-fn a_pressed_origin_or_service_below_its_mark_is_trouble_and_few_cases_are_none() {
+fn an_overloaded_origin_or_unserved_requests_are_faults_and_few_requests_are_none() {
     let before = ServiceCounts {
         served: 1_000,
         all: 1_000,
--- a/crates/stairfront-balancer/tests/shutdown.rs
+++ b/crates/stairfront-balancer/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned restart: what was taken is answered, new connections go on being served for a while, then the end.
+//! Graceful shutdown: accepted requests are answered, new connections are served for a while, then the process ends.
 mod common;
 
 use std::time::Instant;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_was_taken_is_answered_and_connections_close_between_requests() {
+fn accepted_requests_are_answered_and_connections_close_between_requests() {
     run(async {
         let log = Log::default();
         let (agent, host) = (
@@ -32,7 +32,7 @@
         sleep(ms(50)).await;
         balancer.phase.send_replace(Phase::Draining);
         assert_eq!(idle.answer().await, None, "closed between requests");
-        // New connections still come, and their first request may be on its way.
+        // New connections are still accepted, and their first request may be on its way.
         let mut late = balancer.client().await;
         sleep(ms(50)).await;
         late.send(&get("l", "2", 1400)).await;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_client_that_never_stops_does_not_keep_it_from_ending() {
+fn a_client_that_never_stops_sending_does_not_delay_the_end() {
     run(async {
         let log = Log::default();
         let (agent, host) = (
@@ -60,7 +60,7 @@
         let balancer = Balancer::start(agent, &[line("c", host, "box")]).await;
         let mut client = balancer.client().await;
         spawn_local(async move {
-            // The next command comes before the last one is answered, on and on.
+            // The next command always comes before the last one is answered.
             while client.socket.write_all(&get("k", "1", 1400)).await.is_ok() {
                 sleep(ms(8)).await;
             }
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn a_request_that_has_just_come_is_read_before_its_connection_closes() {
+fn a_request_in_the_kernel_is_read_before_its_connection_closes() {
     run(async {
         let log = Log::default();
         let (agent, host) = (quiet_agent(&log).await, cache("cache", &log, slow(1)).await);
         let balancer = Balancer::start(agent, &[line("c", host, "box")]).await;
         let mut client = balancer.client().await;
         assert_eq!(client.ask(&["PING"]).await, "+PONG\r\n");
-        // Both in one turn of the loop: the request is in the kernel, and nobody has looked at the socket since.
+        // Both happen in one turn of the loop: the request is in the kernel, and the socket has not been polled since.
         let request = get("k", "1", 1000);
         assert_eq!(client.socket.try_write(&request).unwrap(), request.len());
         balancer.phase.send_replace(Phase::Draining);
@@ -94,8 +94,7 @@
 }
 
 #[test]
-fn a_command_that_has_begun_to_come_is_not_cut_off_and_half_a_command_does_not_keep_it_from_ending()
-{
+fn a_partial_command_may_be_completed_and_does_not_delay_the_end() {
     run(async {
         let log = Log::default();
         let (agent, host) = (quiet_agent(&log).await, cache("cache", &log, slow(1)).await);
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -1,4 +1,4 @@
-//! The stages on the table of open requests, without sockets.
+//! The stages of a request on the table of open requests, without sockets.
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_request_too_many_is_answered_at_once() {
+fn a_request_beyond_the_capacity_is_refused_at_once() {
     let mut table = RequestTable::new(1, Memory::of(64));
     let _first = admitted(&mut table, 1);
     let (arrival, mut receiver) = arrive(2, 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn open_requests_hold_no_more_bytes_than_memory_allows_and_give_them_back() {
+fn open_requests_are_bounded_by_memory_and_return_it() {
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let mut admitted = 0;
     while table.admit(arrive(admitted, 64 * 1024).0, MOST).is_ok() {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn values_on_their_way_to_clients_are_bounded_and_their_room_comes_back() {
+fn values_on_their_way_to_clients_are_bounded_by_memory_and_return_it() {
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let large = |id| {
         let mut end = end(id, 0, Outcome::Served);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn the_first_value_is_the_final_answer_and_later_ends_are_closed() {
+fn the_first_value_is_the_final_answer() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let mut receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn attempts_beyond_the_most_allowed_and_for_unknown_requests_are_moot() {
+fn attempts_beyond_the_maximum_and_for_unknown_requests_are_never_sent() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     for number in 0..MOST {
@@ -234,7 +234,7 @@
     ));
     assert!(
         table.send_deferred(RequestId(1)).is_none(),
-        "it is still out"
+        "it is still in flight"
     );
     assert!(
         !table
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_send_that_waited_does_not_go_out_after_the_answer() {
+fn a_deferred_send_is_not_sent_after_the_answer() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
@@ -286,7 +286,7 @@
         b"throughput=high",
         b"failed",
         b"\xff=1",
-        // A part of one, figures that cannot be, and two words for one.
+        // A missing field, impossible values, and a field named twice.
         b"throughput=40,utilization=0.5",
         b"throughput=40,utilization=NaN,x1=3",
         b"throughput=40,utilization=0.5,x1=inf",
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_turned_away_until_its_request_is_booked() {
+fn a_duplicate_id_is_rejected_until_its_request_is_completed() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
@@ -309,7 +309,7 @@
         receiver.try_recv().unwrap().answer,
         Answer::Error(_)
     ));
-    // Answered, it is still out at a server.
+    // Answered, it is still in flight at a server.
     assert!(table.answer(RequestId(1), Answer::Failed));
     table.complete(RequestId(1));
     assert_eq!(
@@ -321,8 +321,8 @@
     assert!(table.admit(arrive(1, 1).0, MOST).is_ok());
 }
 
-#[test]
-fn a_balancer_that_is_behind_turns_requests_away_before_they_are_entered_and_nothing_else() {
+/// A parser with one class, `read`, whose clock does not matter.
+fn parser() -> RequestParser {
     let clock = Clock::starting_at(0);
     let settings = Settings {
         classes: vec![Class {
@@ -352,17 +352,22 @@
         names,
         host,
     };
-    let (_ready, is_ready) = watch::channel(true);
     let admission = loop_monitor::admission_controller(&settings, clock, 1);
-    let parser = RequestParser {
+    RequestParser {
         maintenance: Default::default(),
         catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
         clock,
         counters: Rc::default(),
-        admission: Rc::clone(&admission),
-        ready: is_ready,
+        admission,
+        ready: watch::channel(true).1,
         membership: None,
-    };
+    }
+}
+
+#[test]
+fn a_balancer_that_is_behind_sheds_requests_before_admission_and_nothing_else() {
+    let parser = parser();
+    let admission = Rc::clone(&parser.admission);
     let words = |text: &str| {
         text.split(' ')
             .map(|word| Bytes::copy_from_slice(word.as_bytes()))
@@ -370,21 +375,21 @@
     };
     let get = || parser.parse(words("C.GET k 1 c=read,d=900"));
     assert!(matches!(get(), Accepted::Request { .. }));
-    // A second in which every beat is later than the one before: it gets behind by half as fast as time passes.
-    for beat in 1..100 {
+    // For a second every measurement is later than the one before: the delay grows by half of the time that passes.
+    for tick in 1..100 {
         admission
             .borrow_mut()
-            .record_timer_delay(beat * 10 * MS, beat * 5 * MS);
+            .record_timer_delay(tick * 10 * MS, tick * 5 * MS);
     }
-    let turned_away = |taken: &Accepted| {
+    let is_shed = |accepted: &Accepted| {
         matches!(
-            taken,
+            accepted,
             Accepted::Answered(Answer::Busy {
                 after_ms: Some(50..=1500)
             })
         )
     };
-    let refused = (0..1000).filter(|_| turned_away(&get())).count() as u64;
+    let refused = (0..1000).filter(|_| is_shed(&get())).count() as u64;
     assert!(refused > 800, "{refused}");
     assert_eq!(parser.counters.shed.get(), refused);
     for (command, answer) in [
@@ -392,20 +397,20 @@
         ("C.GET k 1 c=other", Answer::Error("ERR unknown class")),
     ] {
         assert!(
-            matches!(parser.parse(words(command)), Accepted::Answered(told) if told == answer),
+            matches!(parser.parse(words(command)), Accepted::Answered(given) if given == answer),
             "{command}"
         );
     }
-    // In time again for a second: all are taken.
-    for beat in 100..200 {
-        admission.borrow_mut().record_timer_delay(beat * 10 * MS, 0);
+    // In time again for a second: all are admitted.
+    for tick in 100..200 {
+        admission.borrow_mut().record_timer_delay(tick * 10 * MS, 0);
     }
-    assert_eq!((0..1000).filter(|_| turned_away(&get())).count(), 0);
+    assert_eq!((0..1000).filter(|_| is_shed(&get())).count(), 0);
 }
 
-/// Danger: a client leaves, and the engine has not heard of it yet.
+/// The client has disconnected, and the engine has not handled the event yet.
 #[test]
-fn nothing_is_sent_for_a_client_that_has_left_whoever_knows_of_it() {
+fn nothing_is_sent_for_a_client_that_has_disconnected_before_the_engine_knows() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let (arrival, _receiver) = arrive(1, 1);
     let over = Rc::clone(&arrival.finished);
@@ -420,12 +425,12 @@
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     let moot = |sending: SendDecision| match sending {
         SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
-        _ => panic!("sent on"),
+        _ => panic!("sent"),
     };
     moot(
         table
             .send_deferred(RequestId(1))
-            .expect("its turn has come"),
+            .expect("the cancelled attempt has ended"),
     );
     moot(table.send(RequestId(1), CACHE, 500 * MS, None));
 }
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -1,10 +1,12 @@
-//! What a balancer stores, leaves to its successor and tells operators, as it was pinned. Names in the program may
-//! change; these texts may not, since other builds, scripts and people read them.
+//! Stored and exchanged forms of a balancer, as pinned by golden files: names in the program may change, these forms may
+//! not, since other builds, scripts and people read them.
 mod common;
 
 use std::path::Path;
 
-use common::*;
+use common::{
+    cache, config, dead_address, hit, line, memory_folder, quiet_agent, run, Balancer, Log,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
@@ -30,7 +32,7 @@
     GoldenFiles::of_crate(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Written as pinned; the pinned text, read.
+/// Asserts that a value is written as pinned; returns the pinned text, read.
 fn through<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> T {
     let pinned = golden_files().assert_bytes(name, &serde_json::to_vec(value).unwrap());
     serde_json::from_slice(&pinned).unwrap_or_else(|problem| panic!("{name}: {problem}"))
@@ -40,9 +42,9 @@
     word.to_string()
 }
 
-/// The knowledge in it is one that the decision module's own test has pinned.
+/// The knowledge in it is pinned by the decision module's own test.
 #[test]
-fn what_a_successor_is_left_is_as_pinned() {
+fn handover_state_has_the_pinned_form() {
     let knowledge = include_str!("../../stairfront-policy/tests/golden/knowledge_even.json");
     let knowledge: PolicySnapshot = serde_json::from_str(knowledge).unwrap();
     let state = HandoverState {
@@ -56,16 +58,16 @@
     );
 }
 
-/// Old and new of one balancer meet at this path.
+/// The old and the new process of a balancer meet at this path.
 #[test]
 fn the_handover_socket_has_the_pinned_name() {
     let path = handover_socket::path(Path::new("/run/stairfront"), "b-7");
     golden_files().assert_bytes("socket.txt", format!("{}\n", path.display()).as_bytes());
 }
 
-/// The name of the record of cordons, and its text in the next line.
+/// The file name of the cordon record, and its text in the next line.
 #[test]
-fn the_record_of_cordons_is_as_pinned() {
+fn the_cordon_record_has_the_pinned_form() {
     let folder = memory_folder();
     let record = CordonRecord::within(Some(folder.path()), "b-7");
     let names = ["s-1", "s \"2\""];
@@ -98,9 +100,9 @@
         })
 }
 
-/// Figures vary; their names and the order of these do not.
+/// The values vary; the names and their order do not.
 #[test]
-fn info_names_its_figures_as_pinned() {
+fn counters_have_the_pinned_names_and_order() {
     let counters = Counters::default();
     counters.taken_in.set(3);
     counters.server_connections_surplus.set(4);
@@ -113,7 +115,7 @@
 
 /// The answer to `INFO` of a balancer in no group.
 #[test]
-fn the_answer_to_info_names_its_figures_as_pinned() {
+fn the_answer_to_info_has_the_pinned_names_and_order() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
@@ -124,9 +126,9 @@
     });
 }
 
-/// Health is told in words, and a balancer without a group or an agreement says so.
+/// Health is a plain text, and a balancer without a group or an agreement says so.
 #[test]
-fn pages_of_a_lone_balancer_are_as_pinned() {
+fn admin_pages_of_a_balancer_without_a_group_are_as_pinned() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
@@ -158,8 +160,8 @@
     });
 }
 
-/// The body of `/admin/members`, with each word for a standing and a state. The types of its rows belong to another
-/// crate, so that it is built from a text here and looked at by its fields.
+/// The body of `/admin/members`, with each word for a quorum status and a state. The types of its rows belong to another
+/// crate, so that it is built from a text here and checked by its fields.
 #[test]
 fn the_members_page_is_as_pinned() {
     let states = [
@@ -224,7 +226,7 @@
     assert_eq!(of.address, Some("[::1]:7002".parse().unwrap()));
 }
 
-/// A row of each stage, and of each kind of machine.
+/// A view with a machine of each stage and of each kind.
 fn view() -> View {
     let stages = [
         Stage::Waiting,
@@ -293,7 +295,7 @@
         view: view(),
         blocked,
     };
-    // As a state machine shows itself that has settled nothing.
+    // The view of a state machine that has committed nothing.
     let none = PublishedView {
         balancer: text("b-1"),
         agreement: Status::default(),
@@ -304,9 +306,9 @@
     assert_eq!(through("maintenance.json", &both), both);
 }
 
-/// What the plans' own module shows of a plan that has been posted and held: the words that it chooses itself.
+/// The view of a plan that was submitted and put on hold, with the words that `stairfront-maintenance` chooses.
 #[test]
-fn a_posted_plan_is_shown_as_pinned() {
+fn a_submitted_plan_is_shown_as_pinned() {
     let host = Host {
         name: text("s-1"),
         zone: text("z-1"),
@@ -365,9 +367,9 @@
     assert_eq!(through("posted.json", &view), view);
 }
 
-/// What operators post, whole and as short as it may be.
+/// Plans as operators submit them, with all keys and with as few as possible.
 #[test]
-fn plans_are_as_pinned() {
+fn plans_have_the_pinned_form() {
     let plan = Plan {
         machines: vec![text("s-1"), text("b-2")],
         zones: vec![text("z-1")],
@@ -394,9 +396,9 @@
     assert_eq!(through("plans.json", &both), both);
 }
 
-/// The answer to what operators have settled, and to a plan that is only tried.
+/// The answer to a committed command, and to a plan that is only tried.
 #[test]
-fn answers_to_plans_are_as_pinned() {
+fn answers_to_plans_have_the_pinned_form() {
     let settled = CommittedCommand {
         via: text("b-2"),
         leader: Some(text("b-1")),
--- a/crates/stairfront-balancer/tests/caches.rs
+++ b/crates/stairfront-balancer/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The servers' side: how attempts end, and what becomes of their connections.
+//! The upstream side: how attempts end, and when connections to servers are reused or closed.
 mod common;
 
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use common::{quiet_agent, run, Balancer, Log, Seen, Step};
 use tokio::time::sleep;
 
-async fn with(log: &Log, lines: &[(&str, SocketAddr, &str)]) -> Balancer {
+async fn balancer_with(log: &Log, lines: &[(&str, SocketAddr, &str)]) -> Balancer {
     let agent = quiet_agent(log).await;
     let lines: Vec<_> = lines
         .iter()
@@ -18,7 +18,7 @@
     Balancer::start(agent, &lines).await
 }
 
-async fn counted(balancer: &Balancer, wanted: &str) {
+async fn assert_counter(balancer: &Balancer, wanted: &str) {
     let info = balancer.client().await.ask(&["INFO"]).await;
     assert!(
         info.contains(&format!("{wanted}\r\n")),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_miss_is_fetched_from_the_origin_with_the_requests_own_names() {
+fn a_miss_is_fetched_from_the_origin_with_the_requests_key_and_headers() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, |_, _| miss()).await;
@@ -35,7 +35,7 @@
             http(200, "Server-Load: throughput=3\r\n", "fresh")
         })
         .await;
-        let balancer = with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
+        let balancer = balancer_with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
         let mut client = balancer.client().await;
         client
             .send(&command(&[
@@ -66,7 +66,7 @@
         let log = Log::default();
         let host = cache("cache", &log, |_, _| miss()).await;
         let source = origin("origin", &log, |_, _| http(200, "", "receipt")).await;
-        let balancer = with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
+        let balancer = balancer_with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
         let mut client = balancer.client().await;
         client
             .send(&command(&["C.SET", "k", "1", "c=read,d=900", "the value"]))
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_origins_words_are_told_apart() {
+fn statuses_of_the_origin_are_distinguished() {
     run(async {
         for (status, headers, counter) in [
             (500, "", "attempts_errored:1"),
@@ -97,19 +97,20 @@
                 _ => http(200, "", "later"),
             });
             let source = source.await;
-            let balancer = with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
+            let balancer =
+                balancer_with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
             balancer.client().await.get("k", "1", 900).await;
-            counted(&balancer, counter).await;
+            assert_counter(&balancer, counter).await;
         }
     });
 }
 
 #[test]
-fn a_refused_connection_never_ran_and_the_other_cache_serves() {
+fn a_refused_connection_counts_as_never_sent_and_the_other_cache_serves() {
     run(async {
         let log = Log::default();
         let live = cache("live", &log, |_, _| hit("v")).await;
-        let balancer = with(
+        let balancer = balancer_with(
             &log,
             &[("c1", dead_address().await, "box"), ("c2", live, "box")],
         )
@@ -133,15 +134,15 @@
             cache("one", &log, script).await,
             cache("two", &log, script).await,
         );
-        let balancer = with(&log, &[("c1", one, "box"), ("c2", two, "box")]).await;
-        // It may have run, is safe to repeat, and is asked for where the value is.
+        let balancer = balancer_with(&log, &[("c1", one, "box"), ("c2", two, "box")]).await;
+        // It may have run; it is idempotent, and is retried at the other cache.
         assert_eq!(balancer.client().await.get("k", "1", 900).await, bulk("v"));
-        counted(&balancer, "attempts_reset:1").await;
+        assert_counter(&balancer, "attempts_reset:1").await;
     });
 }
 
 #[test]
-fn the_words_of_a_cache_are_told_apart() {
+fn replies_of_a_cache_are_distinguished() {
     run(async {
         for (reply, counter) in [
             ("-BUSY\r\n", "attempts_full:1"),
@@ -152,13 +153,13 @@
                 "attempts_missed:1",
             ),
             ("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", "attempts_served:1"),
-            // A load report that makes no sense takes nothing from the answer.
+            // A malformed load report does not invalidate the answer.
             (
                 "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$14\r\nthroughput=NaN\r\n",
                 "attempts_served:1",
             ),
             ("-BUSY throughput=NaN\r\n", "attempts_full:1"),
-            // All else is no answer: sizes, types and words that there are not, and lines that only look alike.
+            // All else is malformed: unknown sizes, types and words, and lines that only resemble known ones.
             ("*1\r\n$1\r\nv\r\n", "attempts_spoilt:3"),
             ("*2\r\n$1\r\nv\r\n$3\r\nhit\r\n", "attempts_spoilt:3"),
             (
@@ -182,25 +183,25 @@
         ] {
             let log = Log::default();
             let host = cache("cache", &log, |_, _| Step::Say(reply.as_bytes().to_vec())).await;
-            let balancer = with(&log, &[("c", host, "box")]).await;
+            let balancer = balancer_with(&log, &[("c", host, "box")]).await;
             balancer.client().await.get("k", "1", 900).await;
-            counted(&balancer, counter).await;
+            assert_counter(&balancer, counter).await;
         }
     });
 }
 
 #[test]
-fn a_silent_attempt_ends_with_its_connection_and_late_bytes_reach_nobody() {
+fn a_timed_out_attempt_closes_its_connection_and_late_bytes_reach_no_request() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, |n, words| match (n, hit(&words[2])) {
             (0, Step::Say(late)) => Step::After(ms(250), late),
             (_, step) => step,
         });
-        let balancer = with(&log, &[("c", host.await, "box")]).await;
+        let balancer = balancer_with(&log, &[("c", host.await, "box")]).await;
         let mut client = balancer.client().await;
         assert!(client.get("k", "first", 150).await.starts_with("-BUSY"));
-        // Its attempt has timed out and must be over at the cache: the next request comes on a new connection.
+        // The attempt has timed out and must have ended at the cache: the next request uses a new connection.
         sleep(ms(50)).await;
         assert_eq!(client.get("k", "second", 900).await, bulk("second"));
         sleep(ms(200)).await;
@@ -214,12 +215,12 @@
         assert!(ended < second, "{seen:?}");
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
         assert_eq!(count(&log, &Seen::Ended("cache")), 1);
-        counted(&balancer, "attempts_timed_out:1").await;
+        assert_counter(&balancer, "attempts_timed_out:1").await;
     });
 }
 
 #[test]
-fn warm_connections_are_used_again_and_closed_before_the_hosts_own_limit() {
+fn idle_connections_are_reused_and_closed_before_the_hosts_idle_timeout() {
     run(async {
         let log = Log::default();
         let (agent, host) = (
@@ -246,15 +247,15 @@
 }
 
 #[test]
-fn a_connection_that_the_host_has_closed_is_not_used_again() {
+fn a_connection_closed_by_the_host_is_not_reused() {
     run(async {
         let log = Log::default();
         let host = cache("cache", &log, |_, words| match hit(&words[1]) {
-            // Answers and then ends: the answer to a second command on it would never come.
+            // It answers and then ends: a second command on the connection would never be answered.
             Step::Say(bytes) => Step::Say([&bytes[..], b"-ERR going away\r\n"].concat()),
             step => step,
         });
-        let balancer = with(&log, &[("c", host.await, "box")]).await;
+        let balancer = balancer_with(&log, &[("c", host.await, "box")]).await;
         let mut client = balancer.client().await;
         for i in 0..4 {
             let key = format!("k{i}");
@@ -262,17 +263,17 @@
             sleep(ms(10)).await;
         }
         assert_eq!(count(&log, &Seen::Opened("cache")), 4);
-        counted(&balancer, "attempts_reset:0").await;
+        assert_counter(&balancer, "attempts_reset:0").await;
     });
 }
 
 #[test]
-fn what_stands_behind_a_good_answer_never_answers_the_next_request() {
+fn bytes_behind_a_reply_never_answer_the_next_request() {
     run(async {
         for (late, surplus) in [
             (false, "*3\r\n$4\r\nlies\r\n$3\r\nhit\r\n$-1\r\n"),
             (false, "noise"),
-            // Comes when the connection stands idle, or has just been chosen.
+            // It comes while the connection is idle, or has just been chosen.
             (true, "*3\r\n$4\r\nlies\r\n$3\r\nhit\r\n$-1\r\n"),
         ] {
             let log = Log::default();
@@ -281,10 +282,10 @@
                 Step::Say(bytes) => Step::Say([&bytes[..], surplus.as_bytes()].concat()),
                 step => step,
             });
-            let balancer = with(&log, &[("c", host.await, "box")]).await;
+            let balancer = balancer_with(&log, &[("c", host.await, "box")]).await;
             let mut client = balancer.client().await;
             for id in ["one", "two", "three"] {
-                // The value is as good as ever, and counts.
+                // The value itself is well-formed, and counts.
                 assert_eq!(client.get("k", id, 900).await, bulk(id), "{surplus:?}");
                 if late {
                     sleep(ms(40)).await;
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn spoilt_words_of_the_origin_are_no_answers() {
+fn malformed_responses_of_the_origin_are_no_answers() {
     run(async {
         for spoilt in [
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 2\r\n\r\nwhole",
@@ -319,21 +320,22 @@
                         .into(),
                 ),
             });
-            let balancer = with(&log, &[("c", host, "box"), ("o", source.await, "origin")]).await;
+            let balancer =
+                balancer_with(&log, &[("c", host, "box"), ("o", source.await, "origin")]).await;
             assert_eq!(
                 balancer.client().await.get("k", "1", 900).await,
                 bulk("right"),
                 "{spoilt}"
             );
-            counted(&balancer, "attempts_spoilt:1").await;
-            // Its connection is of no more use.
+            assert_counter(&balancer, "attempts_spoilt:1").await;
+            // The connection is not reused.
             assert_eq!(count(&log, &Seen::Opened("origin")), 2, "{spoilt}");
         }
     });
 }
 
 #[test]
-fn larger_values_than_the_protocol_says_are_passed_on() {
+fn values_above_the_protocols_limit_are_forwarded() {
     run(async {
         let log = Log::default();
         let large = "x".repeat(400_000);
@@ -346,17 +348,18 @@
             }
         });
         let source = origin("origin", &log, move |_, _| http(200, "", &body)).await;
-        let balancer = with(&log, &[("c", host.await, "box"), ("o", source, "origin")]).await;
+        let balancer =
+            balancer_with(&log, &[("c", host.await, "box"), ("o", source, "origin")]).await;
         let mut client = balancer.client().await;
         for key in ["hit", "miss", "hit"] {
             assert_eq!(client.get(key, key, 1400).await, bulk(&large));
         }
-        counted(&balancer, "attempts_spoilt:0").await;
+        assert_counter(&balancer, "attempts_spoilt:0").await;
     });
 }
 
 #[test]
-fn values_up_to_the_protocols_limit_go_both_ways() {
+fn values_up_to_the_protocols_limit_are_read_and_written() {
     run(async {
         let log = Log::default();
         let large = "x".repeat(64 * 1024);
@@ -366,7 +369,7 @@
             http(200, "", words.last().unwrap())
         })
         .await;
-        let balancer = with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
+        let balancer = balancer_with(&log, &[("c", host, "box"), ("o", source, "origin")]).await;
         let mut client = balancer.client().await;
         assert_eq!(client.get("k", "1", 900).await, bulk(&large));
         client
@@ -376,8 +379,8 @@
     });
 }
 
-/// Twelve attempts at two silent caches with eight sockets.
-async fn crowd(agent: SocketAddr, log: &Log) -> (Balancer, common::Client) {
+/// Starts twelve attempts at two silent caches with eight sockets.
+async fn exhaust_sockets(agent: SocketAddr, log: &Log) -> (Balancer, common::Client) {
     let (one, two) = (
         cache("one", log, |_, _| Step::Silence).await,
         cache("two", log, |_, _| Step::Silence).await,
@@ -396,13 +399,13 @@
 }
 
 #[test]
-fn an_attempt_waits_for_a_socket_no_longer_than_a_connection_may_take() {
+fn an_attempt_waits_for_a_socket_no_longer_than_the_connect_timeout() {
     run(async {
         let log = Log::default();
         let agent = quiet_agent(&log).await;
-        let (balancer, _client) = crowd(agent, &log).await;
-        counted(&balancer, "server_connections_open:8").await;
-        counted(&balancer, "attempts_moot:0").await;
+        let (balancer, _client) = exhaust_sockets(agent, &log).await;
+        assert_counter(&balancer, "server_connections_open:8").await;
+        assert_counter(&balancer, "attempts_moot:0").await;
         sleep(ms(300)).await;
         let info = balancer.client().await.ask(&["INFO"]).await;
         let moot = info
@@ -410,14 +413,14 @@
             .find_map(|l| l.strip_prefix("attempts_moot:"))
             .unwrap();
         assert!(moot.parse::<u32>().unwrap() >= 4, "{info}");
-        // A want of sockets here is no failure of a server.
+        // A lack of sockets at the balancer is no failure of a server.
         assert!(info.contains("attempts_connect_failed:0\r\n"), "{info}");
         assert!(info.contains("server_connections_open:8\r\n"), "{info}");
     });
 }
 
 #[test]
-fn an_attempt_that_waits_for_a_socket_is_not_sent_to_a_cache_that_drains_meanwhile() {
+fn an_attempt_that_waits_for_a_socket_is_not_sent_to_a_cache_that_begins_to_drain() {
     run(async {
         let log = Log::default();
         let agent = origin("agent", &log, |n, _| match n {
@@ -429,9 +432,9 @@
             _ => Step::Silence,
         });
         let agent = agent.await;
-        let (balancer, _client) = crowd(agent, &log).await;
+        let (balancer, _client) = exhaust_sockets(agent, &log).await;
         sleep(ms(120)).await;
-        // Told before the 250 ms of a connection are over: those that waited are over as well.
+        // The list comes before the connect timeout of 250 ms, so the attempts that waited end by it.
         let info = balancer.client().await.ask(&["INFO"]).await;
         let moot = info
             .lines()
--- a/crates/stairfront-balancer/tests/pool.rs
+++ b/crates/stairfront-balancer/tests/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Nothing new is begun at a server that is barred, however far its attempt has come.
+//! The pool of connections to servers: attempts that must not be sent any more, and connections that must not be reused.
 mod common;
 
 use std::rc::Rc;
@@ -62,7 +62,7 @@
     ends(pool, inputs).await.remove(0)
 }
 
-/// The next ends of attempts that the pool tells.
+/// The next ends of attempts that the pool reports.
 async fn ends<N: Network>(
     pool: &mut UpstreamPool<N>,
     inputs: &mut mpsc::Receiver<EngineEvent>,
@@ -75,13 +75,13 @@
                 pool.handle(event, &mut ends);
                 assert!(!idle || !ends.is_empty());
             }
-            other => panic!("nothing else is told: {}", other.is_some()),
+            other => panic!("nothing else is reported: {}", other.is_some()),
         }
     }
     ends
 }
 
-/// A pool of `most` connections and one cache host, and what the pool's connections tell.
+/// A pool of `max` connections to one cache host, and the events of its connections.
 fn pool(
     address: std::net::SocketAddr,
     most: usize,
@@ -115,15 +115,15 @@
     (pool, inputs)
 }
 
-/// Danger: a connection that comes up, or is free, just as its request is answered or its attempt cancelled would carry the
+/// A connection that is made, or becomes idle, just as its request is answered or its attempt cancelled would carry the
 /// request to a server after its final answer.
 #[test]
-fn an_attempt_whose_request_is_over_before_its_first_byte_goes_nowhere() {
+fn an_attempt_of_a_finished_request_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
         let (mut pool, mut inputs) = pool(address, 1);
-        // Its connection is still coming up as the request is answered; the connection stays.
+        // The connection is still being made as the request is answered; the connection stays.
         let (first, _kept) = job(1);
         let over = Rc::clone(&first.finished);
         assert!(pool.dispatch(first).is_none());
@@ -132,7 +132,7 @@
             end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::NeverSent
         );
-        // It lies before the task of the idle connection, and is cancelled; another waits for the socket meanwhile.
+        // The second is queued at the idle connection's task and cancelled; the others wait for the socket meanwhile.
         let ((second, cancel), (third, _kept), (fourth, _kept_too)) = (job(2), job(3), job(4));
         let over = Rc::clone(&third.finished);
         for job in [second, third, fourth] {
@@ -162,12 +162,12 @@
 }
 
 #[test]
-fn an_attempt_whose_server_is_barred_before_its_first_byte_goes_nowhere() {
+fn an_attempt_at_a_barred_server_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
         let (mut pool, mut inputs) = pool(address, 4);
-        // Its connection is still coming up.
+        // The connection is still being made.
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         pool.set_barred(CACHE, true);
@@ -175,7 +175,7 @@
             end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::NeverSent
         );
-        // Free again, it is served, and its connection stands idle.
+        // No longer barred, it is served, and its connection becomes idle.
         pool.set_barred(CACHE, false);
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
@@ -183,7 +183,7 @@
             end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
-        // It lies before the task of the idle connection, which has not looked yet.
+        // The job is queued at the idle connection's task, which has not read it yet.
         let (third, _kept) = job(3);
         assert!(pool.dispatch(third).is_none());
         pool.set_barred(CACHE, true);
@@ -201,7 +201,7 @@
             count(&log, &Seen::Ended("cache")),
             count(&log, &Seen::Opened("cache"))
         );
-        // What is under way when the bar falls is left to its end.
+        // An attempt in flight when the server is barred goes on to its end.
         pool.set_barred(CACHE, false);
         let (fourth, _kept) = job(4);
         assert!(pool.dispatch(fourth).is_none());
@@ -216,7 +216,7 @@
     });
 }
 
-/// The kernel's TCP, on which no connection comes up before the gate is open.
+/// The kernel's TCP, on which no connection is made before the gate is open.
 #[derive(Clone)]
 struct Late(watch::Receiver<bool>);
 
@@ -230,16 +230,16 @@
     }
 }
 
-/// Danger: decided inside its window, a repeat whose connection comes up late would reach a server that has forgotten the
+/// A retry that is decided within its window, and whose connection is made late, would reach a server that has forgotten the
 /// first attempt, and take effect twice.
 #[test]
-fn a_repeat_whose_window_closes_before_its_connection_is_up_goes_nowhere() {
+fn a_retry_whose_window_closes_before_its_connection_is_made_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
         let (open, gate) = watch::channel(false);
         let (mut pool, mut inputs) = pool_on(Late(gate), address, 1, ms(10_000));
-        // Its connection does not come up in time at all.
+        // The connection is not made in time at all.
         let (mut never, _kept) = job(0);
         never.window_end = Some(Instant::now() + ms(50));
         assert!(pool.dispatch(never).is_none());
@@ -253,13 +253,13 @@
         first.window_end = Some(Instant::now() + ms(100));
         let second = job(2);
         assert!(pool.dispatch(first).is_none());
-        // Its connection comes up in the very turn in which the window has closed.
+        // The connection is made in the same turn of the loop in which the window has closed.
         std::thread::sleep(ms(120));
         open.send_replace(true);
         let ended = end(&mut pool, &mut inputs).await;
         assert_eq!(ended.result.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 0);
-        // One that lies before an idle connection, and one that waits for a socket, likewise.
+        // The same for a job queued at an idle connection, and for one that waits for a socket.
         let (mut third, _kept) = job(3);
         assert!(pool.dispatch(second.0).is_none());
         third.window_end = Some(Instant::now() + ms(30));
@@ -283,9 +283,9 @@
     });
 }
 
-/// Danger: a server that stops reading takes the rest of a long command after the window has closed.
+/// A server that stops reading could take the rest of a long command after the window has closed.
 #[test]
-fn a_repeat_that_is_not_written_whole_inside_its_window_is_broken_off() {
+fn a_retry_not_written_as_a_whole_within_its_window_is_aborted() {
     run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (mut pool, mut inputs) = pool(listener.local_addr().unwrap(), 1);
@@ -312,10 +312,10 @@
     });
 }
 
-/// Danger: a loop that stood still, or an answer that came late, has a connection look fresh that its server is just closing:
-/// what is written to it then may have run.
+/// After a stalled loop or a late answer, a connection can look fresh that its server is just closing: a request written to
+/// it may have run.
 #[test]
-fn a_connection_past_the_idle_limit_is_not_used_though_the_loop_was_late() {
+fn a_connection_past_its_idle_timeout_is_not_reused_after_a_stalled_loop() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
@@ -326,7 +326,7 @@
             end(&mut pool, &mut inputs).await.result.outcome,
             Outcome::Served
         );
-        // Its task has begun to wait; then nothing runs for longer than the limit.
+        // The task has begun to wait; then nothing runs for longer than the timeout.
         tokio::time::sleep(ms(10)).await;
         std::thread::sleep(ms(100));
         let (second, _kept) = job(2);
@@ -339,10 +339,10 @@
     });
 }
 
-/// Danger: a second answer comes some milliseconds after the first, names no request, and would be the answer to the next
-/// one on its connection.
+/// A second reply comes some milliseconds after the first, names no request, and would answer the next one on its
+/// connection.
 #[test]
-fn connections_rest_between_attempts_once_more_came_on_one_than_was_asked_for() {
+fn connections_rest_between_attempts_after_a_surplus_reply() {
     run(async {
         let log = Log::default();
         let twice = |n: usize, _: &[String]| match hit("v") {
@@ -358,16 +358,16 @@
                 assert!(pool.dispatch(job).is_none());
                 assert_eq!(end(pool, inputs).await.result.outcome, Outcome::Served);
             };
-        // Nothing of the kind was seen yet.
+        // No surplus was seen yet.
         serve(&mut pool, &mut inputs, 1).await;
         serve(&mut pool, &mut inputs, 2).await;
         assert_eq!(opened(&log), 1);
-        // The second answer ends its connection, and is told.
+        // The second reply ends its connection, and is reported.
         match inputs.recv().await {
             Some(EngineEvent::Pool(event @ PoolEvent::Closed { surplus: true, .. })) => {
                 pool.handle(event, &mut Vec::new())
             }
-            _ => panic!("the surplus is not told"),
+            _ => panic!("the surplus is not reported"),
         }
         let mut at_once = false;
         for id in 3.. {
@@ -379,7 +379,7 @@
             }
             at_once = true;
         }
-        // Rested, they are used again.
+        // After the rest they are reused.
         tokio::time::sleep(ms(60)).await;
         let before = opened(&log);
         serve(&mut pool, &mut inputs, 100).await;
@@ -387,10 +387,10 @@
     });
 }
 
-/// The false alarm: a server that closes its connection behind an answer has sent nothing more, and no connection rests for it.
-/// Danger: where servers close often every attempt would have a new connection.
+/// A server that closes its connection behind a reply has sent no surplus. If connections rested for it, every attempt would
+/// need a new connection where servers close often.
 #[test]
-fn a_connection_that_its_server_closes_behind_an_answer_has_none_rest() {
+fn a_connection_closed_behind_a_reply_is_no_surplus_and_makes_none_rest() {
     run(async {
         let log = Log::default();
         let closing = |n: usize, _: &[String]| match hit("v") {
@@ -410,7 +410,7 @@
                 }
             }
             assert_eq!(ended[0].result.outcome, Outcome::Served);
-            // The end of the first connection is heard before the next attempt.
+            // The end of the first connection is handled before the next attempt.
             tokio::time::sleep(ms(5)).await;
         }
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
--- a/crates/stairfront-balancer/tests/virtual_network.rs
+++ b/crates/stairfront-balancer/tests/virtual_network.rs
@@ -1,4 +1,4 @@
-//! The seam: the same network code on a network of pipes and a paused clock, with no socket and no time of its own.
+//! The same network code on a simulated network of pipes and a paused clock, without sockets.
 mod common;
 
 use std::cell::RefCell;
@@ -22,16 +22,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, LocalSet};
 
-/// One direction: bytes on their way, and whether the writer has gone.
+/// One direction: bytes in flight, and whether the writer has ended.
 #[derive(Default)]
-struct Way {
+struct Direction {
     bytes: Vec<u8>,
     ended: bool,
     reader: Option<Waker>,
     writes: usize,
 }
 
-impl Way {
+impl Direction {
     fn wake(&mut self) {
         if let Some(reader) = self.reader.take() {
             reader.wake();
@@ -40,8 +40,8 @@
 }
 
 struct Pipe {
-    input: Rc<RefCell<Way>>,
-    output: Rc<RefCell<Way>>,
+    input: Rc<RefCell<Direction>>,
+    output: Rc<RefCell<Direction>>,
 }
 
 fn pipes() -> (Pipe, Pipe) {
@@ -134,19 +134,19 @@
 
 /// Listeners by address.
 #[derive(Clone, Default)]
-struct Made(Rc<RefCell<FxHashMap<SocketAddr, mpsc::UnboundedSender<Pipe>>>>);
+struct PipeNetwork(Rc<RefCell<FxHashMap<SocketAddr, mpsc::UnboundedSender<Pipe>>>>);
 
-struct Ear(SocketAddr, RefCell<mpsc::UnboundedReceiver<Pipe>>);
+struct PipeListener(SocketAddr, RefCell<mpsc::UnboundedReceiver<Pipe>>);
 
-impl Made {
-    fn listen(&self, at: SocketAddr) -> Ear {
+impl PipeNetwork {
+    fn listen(&self, at: SocketAddr) -> PipeListener {
         let (calls, ear) = mpsc::unbounded_channel();
         self.0.borrow_mut().insert(at, calls);
-        Ear(at, RefCell::new(ear))
+        PipeListener(at, RefCell::new(ear))
     }
 }
 
-impl Network for Made {
+impl Network for PipeNetwork {
     type Stream = Pipe;
     async fn connect(&self, to: SocketAddr) -> io::Result<Pipe> {
         let (near, far) = pipes();
@@ -163,7 +163,7 @@
     }
 }
 
-impl Listener for Ear {
+impl Listener for PipeListener {
     type Stream = Pipe;
     async fn accept(&self) -> io::Result<Pipe> {
         poll_fn(|cx| self.1.borrow_mut().poll_recv(cx))
@@ -175,8 +175,8 @@
     }
 }
 
-/// Answers the first request on each connection so; no bytes mean silence.
-async fn host(ear: Ear, answer: &'static str) {
+/// Answers requests on each connection with this value; an empty one means silence.
+async fn host(ear: PipeListener, answer: &'static str) {
     while let Ok(mut pipe) = ear.accept().await {
         spawn_local(async move {
             let mut piece = [0; 4096];
@@ -192,15 +192,15 @@
     }
 }
 
-/// On a paused clock, with a balancer at `at(1)` between a cache that answers and one that is silent.
-fn virtually<F: Future<Output = ()>>(test: impl FnOnce(Made) -> F) {
+/// Runs a test on a paused clock, with a balancer at `at(1)` before a cache that answers and one that is silent.
+fn virtually<F: Future<Output = ()>>(test: impl FnOnce(PipeNetwork) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        let network = Made::default();
+        let network = PipeNetwork::default();
         spawn_local(host(network.listen(at(2)), "good"));
         spawn_local(host(network.listen(at(3)), ""));
         let lines = [line("good", at(2), "box"), line("silent", at(3), "box")];
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn commands_that_come_together_are_answered_in_order_and_with_one_write() {
+fn pipelined_commands_are_answered_in_order_and_with_one_write() {
     virtually(|network| async move {
         let mut client = network.connect(at(1)).await.unwrap();
         let (ping, wrong) = (command(&["PING"]), command(&["C.GET", "k", "1", "c=other"]));
@@ -282,7 +282,7 @@
         client.read_exact(&mut answers).await.unwrap();
         assert_eq!(String::from_utf8(answers).unwrap(), wanted);
         assert_eq!(client.input.borrow().writes, 1);
-        // Behind a request that waits for its server nothing overtakes.
+        // No answer overtakes that of a request that waits for its server.
         let mut key = 0;
         let good = loop {
             client
