--- a/crates/stairfront-balancer/src/configuration/config.rs
+++ b/crates/stairfront-balancer/src/configuration/config.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use stairfront_membership_agent::{MembershipSection, DESCRIPTORS};
 use stairfront_raft_node::{AgreementSection, STORE_DESCRIPTORS};
-use stairfront_settings::{Start, NOT_RETUNED};
+use stairfront_settings::{LoadedSettings, FIXED_KEYS};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::configuration::difference::{differing_keys, missing_key};
@@ -66,9 +66,9 @@
 
     /// Every error that can be found before anything is built.
     fn errors(&self) -> Vec<KeyError> {
-        let mut errors: Vec<KeyError> = Start::faults(self.settings.clone())
+        let mut errors: Vec<KeyError> = LoadedSettings::errors(self.settings.clone())
             .into_iter()
-            .map(|error| KeyError::within("settings", &error.key, error.problem))
+            .map(|error| KeyError::within("settings", &error.key, error.error))
             .collect();
         errors.extend(self.group_errors());
         errors.extend(self.limit_errors());
@@ -78,9 +78,9 @@
     fn group_errors(&self) -> Vec<KeyError> {
         let mut errors = Vec::new();
         if let Some(membership) = &self.membership {
-            let faults = membership.faults(&self.name).into_iter();
+            let found = membership.validate(&self.name).into_iter();
             errors
-                .extend(faults.map(|(key, problem)| KeyError::within("membership", key, problem)));
+                .extend(found.map(|error| KeyError::within("membership", error.key, error.reason)));
             if self.settings["caps"]["peer_messages"] != Value::Bool(true) {
                 errors.push(KeyError::new(
                     "membership",
@@ -94,9 +94,10 @@
                 .membership
                 .as_ref()
                 .map(|membership| &membership.roster[..]);
-            let found = agreement.errors(roster);
-            let found = found.iter();
-            errors.extend(found.map(|error| KeyError::within("agreement", error.key(), error)));
+            let found = agreement.errors(roster).into_iter();
+            errors.extend(
+                found.map(|error| KeyError::within("agreement", error.key(), error.to_string())),
+            );
         }
         errors
     }
@@ -144,7 +145,7 @@
     /// The voters by which the group agrees, where it agrees on anything.
     pub agreement: Option<AgreementSection>,
     /// The settings of the decision module, and what goes with them.
-    pub start: Start,
+    pub start: LoadedSettings,
 }
 
 impl Config {
@@ -218,8 +219,8 @@
     fn build(path: &str, mut platform: Value, raw: RawConfig) -> Result<Self, KeyError> {
         let sockets = Sockets::split(raw.max_sockets(), raw.reserved_descriptors());
         let memory = Memory::of(raw.limit_mb());
-        let start = Start::from_value(raw.settings)
-            .map_err(|error| KeyError::within("settings", &error.key, error.problem))?;
+        let start = LoadedSettings::from_value(raw.settings)
+            .map_err(|error| KeyError::within("settings", &error.key, error.error))?;
         let known = raw
             .known
             .read(&start.names)
@@ -251,7 +252,7 @@
         let mut paths = Vec::new();
         differing_keys(String::new(), &self.compared, &new.compared, &mut paths);
         paths.retain(|path| match path.strip_prefix("settings.") {
-            Some(key) => NOT_RETUNED.contains(&key.split('.').next().unwrap_or_default()),
+            Some(key) => FIXED_KEYS.contains(&key.split('.').next().unwrap_or_default()),
             None => true,
         });
         paths
--- a/crates/stairfront-balancer/src/control/gossip_transport.rs
+++ b/crates/stairfront-balancer/src/control/gossip_transport.rs
@@ -25,13 +25,13 @@
     /// Runs until the engine has ended.
     pub async fn run(self) {
         loop {
-            match self.membership.next_turn().await {
-                MembershipEvent::Cordon { host, held } => {
-                    if self.apply_cordon(&host, held).await.is_none() {
+            match self.membership.next_event().await {
+                MembershipEvent::Cordon { host, cordoned } => {
+                    if self.apply_cordon(&host, cordoned).await.is_none() {
                         return;
                     }
                 }
-                MembershipEvent::Hearsay { host, stop } => {
+                MembershipEvent::DrainHint { host, stop } => {
                     let hint = EngineEvent::DrainHint {
                         host,
                         draining: stop,
@@ -40,15 +40,15 @@
                         return;
                     }
                 }
-                MembershipEvent::AskAgent => self.poll_agent.notify_one(),
+                MembershipEvent::PollDiscovery => self.poll_agent.notify_one(),
             }
         }
     }
 
     /// Applies a cordon of the group at all processes of this balancer, and only then confirms it: a host whose cordon
     /// is confirmed before the engine has it would get requests while it is worked on. `None` once the engine has ended.
-    async fn apply_cordon(&self, host: &str, held: bool) -> Option<()> {
-        let order = if held {
+    async fn apply_cordon(&self, host: &str, cordoned: bool) -> Option<()> {
+        let order = if cordoned {
             OperatorOrder::GroupCordon(host.to_string())
         } else {
             OperatorOrder::GroupUncordon(host.to_string())
@@ -66,7 +66,7 @@
         }
         // Otherwise it stays unconfirmed, and the operator who ordered it is told so.
         if applied {
-            self.membership.applied(host, held);
+            self.membership.cordon_applied(host, cordoned);
         }
         Some(())
     }
--- a/crates/stairfront-balancer/src/control/maintenance/leader.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/leader.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stairfront_maintenance::{
-    Balancer, Command, CommandKind, Fleet, Host, LeaderObservation, MachineKey, NextCommands, Stage,
+    Balancer, Command, CommandKind, Fleet, Host, LeaderObservation, MachineKey, Stage,
 };
 use stairfront_membership_agent::MemberState;
 use stairfront_policy::interface::EndpointState;
@@ -22,22 +22,18 @@
 const STEP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// A proposal of the leader that is not committed by then is dropped.
 const STEP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Over which the service is judged.
-const HEALTH_WINDOW: Duration = Duration::from_secs(2);
-
 /// Reports of quiet members that the leader keeps for one host.
 const MAX_QUIET_REPORTS: usize = 4096;
-
-/// A cache host that a plan holds out, and the index of the log entry since which it does.
-type HeldHost = (String, u64);
+/// Over which the service is judged.
+const HEALTH_WINDOW: Duration = Duration::from_secs(2);
 
 /// State of the leader between two steps of its loop; empty at all other members.
 #[derive(Default)]
 pub(super) struct LeaderState {
     /// Numbers of the group's orders that ask members to confirm a cordon.
-    confirmations: BTreeMap<HeldHost, u64>,
+    confirmations: BTreeMap<MachineKey, u64>,
     /// Members that have reported that no attempt is open at the host.
-    quiet: BTreeMap<HeldHost, BTreeSet<String>>,
+    quiet: BTreeMap<MachineKey, BTreeSet<String>>,
     /// When each step was last proposed, by the text of its command.
     proposed: BTreeMap<String, Instant>,
     fleet_proposed_at: Option<Instant>,
@@ -65,17 +61,17 @@
         };
         self.observe_cordons(&mut observation);
         self.query_quiet_hosts(&mut observation);
-        let NextCommands { due, blocked } = raft.state_machine().0.next_commands(&observation);
+        let next = raft.state_machine().0.next_commands(&observation);
         // The leadership may have been lost while this task waited for the observation.
         if raft.leader_term() != Some(term) {
             return;
         }
-        for command in due {
+        for command in next.due {
             self.propose_step(term, command);
         }
-        self.set_blocked(blocked.clone());
-        if !blocked.is_empty() {
-            let event = SideEvent::BlockedMachines(blocked);
+        self.set_blocked(next.blocked.clone());
+        if !next.blocked.is_empty() {
+            let event = SideEvent::BlockedMachines(next.blocked);
             for name in self.handles.membership.roster() {
                 if name != self.handles.name {
                     self.send_side_event(&name, &event);
@@ -197,7 +193,7 @@
                 has_left: member.state == MemberState::Left,
                 is_voter: self.handles.voters.contains(&member.name),
                 is_leader: member.name == self.handles.name,
-                process_id: member.run,
+                process_id: member.process_id,
             })
             .collect()
     }
@@ -235,13 +231,15 @@
             let order = leader.confirmations.get(&key);
             let progress = order.and_then(|order| self.handles.membership.progress(*order));
             if let Some(progress) = progress {
-                observation
-                    .confirmed
-                    .insert(machine_key(key), progress.confirmed);
+                observation.confirmed.insert(key, progress.confirmed);
                 continue;
             }
             // An order that is refused, because too many are open, is given again at the next step.
-            if let Ok(order) = self.handles.membership.ask_planned(&key.0, key.1) {
+            if let Ok(order) = self
+                .handles
+                .membership
+                .confirm_planned_cordon(&key.host, key.notified)
+            {
                 leader.confirmations.insert(key, order);
             }
         }
@@ -253,8 +251,8 @@
         for key in self.hosts_at(Stage::Draining) {
             let quiet = leader.quiet.entry(key.clone()).or_default();
             let query = SideEvent::QuietQuery {
-                host: key.0.clone(),
-                entry: key.1,
+                host: key.host.clone(),
+                entry: key.notified,
             };
             for name in self.handles.membership.roster() {
                 if !quiet.contains(&name) {
@@ -263,21 +261,25 @@
             }
             observation
                 .drained
-                .insert(machine_key(key), quiet.iter().cloned().collect());
+                .insert(key, quiet.iter().cloned().collect());
         }
     }
 
-    fn hosts_at(&self, stage: Stage) -> Vec<HeldHost> {
+    fn hosts_at(&self, stage: Stage) -> Vec<MachineKey> {
         let machine = self.handles.raft.state_machine();
         let held = machine.0.hosts_at(stage);
-        held.map(|held| (held.host, held.notified)).collect()
+        held.map(|held| MachineKey {
+            host: held.host,
+            notified: held.notified,
+        })
+        .collect()
     }
 }
 
 impl LeaderState {
     /// Keeps the report that no attempt of `member` is open at a host, if it was asked for.
-    pub(super) fn add_quiet(&mut self, host: String, entry: u64, member: &str) {
-        let Some(quiet) = self.quiet.get_mut(&(host, entry)) else {
+    pub(super) fn add_quiet(&mut self, key: &MachineKey, member: &str) {
+        let Some(quiet) = self.quiet.get_mut(key) else {
             return;
         };
         if quiet.len() < MAX_QUIET_REPORTS {
@@ -286,18 +288,13 @@
     }
 
     /// Drops what is known of hosts that are no longer being taken out.
-    fn retain_only(&mut self, told: &[HeldHost], held: &[HeldHost]) {
-        let wanted: BTreeSet<&HeldHost> = told.iter().chain(held).collect();
+    fn retain_only(&mut self, told: &[MachineKey], held: &[MachineKey]) {
+        let wanted: BTreeSet<&MachineKey> = told.iter().chain(held).collect();
         self.confirmations.retain(|key, _| wanted.contains(key));
         self.quiet.retain(|key, _| wanted.contains(key));
     }
 }
 
-/// The key of a host in the leader's observations.
-fn machine_key((host, notified): HeldHost) -> MachineKey {
-    MachineKey { host, notified }
-}
-
 /// Unix time in milliseconds, for people alone.
 fn unix_ms() -> u64 {
     SystemTime::now()
--- a/crates/stairfront-balancer/src/control/maintenance/mod.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/mod.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
-use stairfront_maintenance::{BlockedMachine, Maintenance, Stage};
-use stairfront_membership_agent::MembershipAgent;
+use stairfront_maintenance::{BlockedMachine, MachineKey, Maintenance, Stage};
+use stairfront_membership_agent::{MembershipAgent, PlannedCordon, PlannedCordons};
 use stairfront_raft_node::RaftNode;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle};
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy)]
 struct HostUsage {
     /// Attempts that have not ended.
-    in_flight: u64,
+    open: u64,
     /// All attempts sent.
     sent: u64,
 }
@@ -141,15 +141,18 @@
             return;
         }
         let machine = self.handles.raft.state_machine();
-        let held: Vec<(String, u64)> = machine
-            .0
-            .cordoned_hosts()
-            .into_iter()
-            .map(|held| (held.host, held.notified))
-            .collect();
+        let cordoned = machine.0.cordoned_hosts().into_iter();
+        let cordons = cordoned.map(|cordoned| PlannedCordon {
+            host: cordoned.host,
+            log_index: cordoned.notified,
+        });
         self.handles
             .membership
-            .follow(applied.cluster_id, &held, applied.index);
+            .apply_planned_cordons(&PlannedCordons {
+                cluster_id: applied.cluster_id,
+                cordons: cordons.collect(),
+                up_to: applied.index,
+            });
         self.log_own_stage(machine.0.balancer_stage(&self.handles.name));
     }
 
@@ -176,7 +179,11 @@
                 self.answer_quiet_query(from, host, entry).await;
             }
             Some(SideEvent::QuietReport { host, entry }) => {
-                self.leader.borrow_mut().add_quiet(host, entry, from);
+                let key = MachineKey {
+                    host,
+                    notified: entry,
+                };
+                self.leader.borrow_mut().add_quiet(&key, from);
             }
             Some(SideEvent::BlockedMachines(machines)) => self.set_blocked(machines),
             // A message of another version.
@@ -203,12 +210,12 @@
 
     /// Whether a host is held out here and no attempt is open there in any process of this balancer.
     async fn is_quiet(&self, host: &str) -> bool {
-        if !self.handles.membership.holds(host) {
+        if !self.handles.membership.is_cordoned(host) {
             return false;
         }
         self.host_usage(host)
             .await
-            .is_some_and(|usage| usage.in_flight == 0)
+            .is_some_and(|usage| usage.open == 0)
     }
 
     /// How far this balancer uses a host; `None` if one of its processes does not answer.
@@ -222,7 +229,10 @@
             .run_at_peers(own, &order, OrderSource::Operator)
             .await?;
         match all {
-            OrderOutcome::Usage { in_flight, sent } => Some(HostUsage { in_flight, sent }),
+            OrderOutcome::Usage { in_flight, sent } => Some(HostUsage {
+                open: in_flight,
+                sent,
+            }),
             _ => None,
         }
     }
--- a/crates/stairfront-balancer/src/control/reload.rs
+++ b/crates/stairfront-balancer/src/control/reload.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
@@ -37,7 +37,7 @@
     /// The configuration that this process was started with, but for the address of discovery, which is the one in use.
     current: Config,
     /// The settings in use.
-    in_use: Start,
+    in_use: LoadedSettings,
     /// Positions of the classes in use that the file has no more.
     retired: Vec<usize>,
     /// Gives the discovery watch the address of the agent.
@@ -115,19 +115,23 @@
     }
 
     async fn retune(&mut self, new: &Config) {
-        let retuned = new.start.clone().following(&self.in_use, &self.retired);
-        if retuned.start == self.in_use && retuned.retired == self.retired {
+        let retuned = new.start.clone().replacing(&self.in_use, &self.retired);
+        if retuned.loaded == self.in_use && retuned.retired_classes == self.retired {
             return;
         }
-        let names = &retuned.start.names.classes;
-        let retired: Vec<&str> = retuned.retired.iter().map(|i| names[*i].as_str()).collect();
+        let names = &retuned.loaded.names.classes;
+        let retired: Vec<&str> = retuned
+            .retired_classes
+            .iter()
+            .map(|i| names[*i].as_str())
+            .collect();
         info!(
             classes = names.len(),
             retired = retired.join(", "),
             "new settings are in use"
         );
-        self.in_use = retuned.start.clone();
-        self.retired = retuned.retired.clone();
+        self.in_use = retuned.loaded.clone();
+        self.retired = retuned.retired_classes.clone();
         // The engine ends only with the whole balancer.
         let _ = self
             .events
--- a/crates/stairfront-balancer/src/engine/endpoint_list.rs
+++ b/crates/stairfront-balancer/src/engine/endpoint_list.rs
@@ -174,7 +174,7 @@
     /// Announces the version of the list in use to the group, so that what members say of older lists counts as known.
     pub(super) fn announce_list(&self, index: u64, leaving: Vec<String>) {
         if let Some(membership) = &self.membership {
-            membership.told(&DrainAnnouncement {
+            membership.handle_announcement(&DrainAnnouncement {
                 index,
                 hosts: self.cache_host_count(),
                 leaving,
--- a/crates/stairfront-balancer/src/engine/mod.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -20,7 +20,7 @@
 use stairfront_policy::interface::{
     Action, CacheId, CacheMode, DiscoveryMode, Endpoint, Event, RequestId, Settings,
 };
-use stairfront_settings::{Retuned, Start};
+use stairfront_settings::{LoadedSettings, SettingsUpdate};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::time::DelayQueue;
 use tracing::info;
@@ -115,7 +115,7 @@
 impl<D: Decide, N: Network> Engine<D, N> {
     /// An engine with the decision module that `build_policy` makes from its settings.
     pub fn new(
-        start: Start,
+        start: LoadedSettings,
         build_policy: impl FnOnce(Settings) -> D,
         memory: Memory,
         pool: UpstreamPool<N>,
@@ -132,7 +132,7 @@
         let settings = for_push_discovery(&start.settings);
         Engine {
             clock: handles.runtime.clock,
-            table: RequestTable::new(start.host.open_requests, memory),
+            table: RequestTable::new(start.host.max_open_requests, memory),
             pool,
             timers: DelayQueue::new(),
             counters: handles.runtime.counters,
@@ -255,16 +255,16 @@
 
     /// Takes new settings over in one step, between two requests: those of the decision module and all that follow from
     /// them.
-    fn retune(&mut self, retuned: &Retuned) {
-        let host = &retuned.start.host;
-        let settings = for_push_discovery(&retuned.start.settings);
+    fn retune(&mut self, retuned: &SettingsUpdate) {
+        let host = &retuned.loaded.host;
+        let settings = for_push_discovery(&retuned.loaded.settings);
         self.max_attempts = settings.limits.max_attempts;
         self.min_remaining_lifetime = min_remaining_lifetime(&settings);
         self.removal_is_advisory = settings.rules.removal_is_advisory;
-        self.table.set_max_open(host.open_requests);
+        self.table.set_max_open(host.max_open_requests);
         self.pool.retune(
             timer_duration(settings.limits.connect_timeout),
-            timer_duration(host.idle),
+            timer_duration(host.idle_timeout),
             stall_timeout(&settings),
         );
         self.admission
@@ -272,7 +272,7 @@
             .update_settings(&admission_settings(&settings, 0));
         self.notify_policy(Event::SettingsChanged {
             settings: &settings,
-            tenants: &retuned.tenants,
+            tenants: &retuned.former_tenants,
         });
         *self.catalog.borrow_mut() = RequestCatalog::retuned(self.clock.now(), retuned);
     }
--- a/crates/stairfront-balancer/src/lifecycle/assembly.rs
+++ b/crates/stairfront-balancer/src/lifecycle/assembly.rs
@@ -11,7 +11,7 @@
 use stairfront_membership_agent::MembershipAgent;
 use stairfront_policy::interface::Settings;
 use stairfront_raft_node::{AgreementSection, RaftNode, RaftNodeSettings};
-use stairfront_settings::Start;
+use stairfront_settings::LoadedSettings;
 use tokio::sync::{mpsc, watch, Notify, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
 use tracing::info;
@@ -77,7 +77,7 @@
     pub(super) runtime: RuntimeHandles,
     seed: u64,
     memory: Memory,
-    start: Start,
+    start: LoadedSettings,
     agreement: Option<AgreementSection>,
     catalog: Rc<RefCell<RequestCatalog>>,
     origin: Rc<OriginUsage>,
@@ -153,7 +153,7 @@
             max_connections: self.sockets.servers,
             held_by_predecessor: connections_held_by(predecessor).servers,
             connect_timeout: timer_duration(self.start.settings.limits.connect_timeout),
-            servers_idle_timeout: timer_duration(self.start.host.idle),
+            servers_idle_timeout: timer_duration(self.start.host.idle_timeout),
             stall_timeout: stall_timeout(&self.start.settings),
             memory: self.memory,
         };
@@ -221,7 +221,7 @@
     ) -> Option<GroupMembership> {
         let agent = Rc::clone(self.membership.as_ref()?);
         tasks.spawn(Rc::clone(&agent).run());
-        let held_hosts = agent.held_at_start(ask_members).await;
+        let held_hosts = agent.bootstrap(ask_members).await;
         Some(GroupMembership { agent, held_hosts })
     }
 
@@ -295,9 +295,10 @@
         let (Some(membership), Some(agreement)) = (&self.membership, &self.agreement) else {
             return;
         };
+        let group = membership.report().group;
         let settings = RaftNodeSettings {
             name: self.name.clone(),
-            group: membership.report().group,
+            group,
             voter_names: agreement.voters.clone(),
             store_path: agreement.store.clone(),
             seed: self.seed,
--- a/crates/stairfront-balancer/src/lifecycle/handover.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover.rs
@@ -15,7 +15,7 @@
 
 use rustc_hash::FxHashMap;
 use stairfront_admin_api::{OperatorOrder, OrderOutcome, OrderSource};
-use stairfront_handover::{split_state, Message, StateAssembler, StateTooLarge, MAX_PART_BYTES};
+use stairfront_handover::{split_state, Message, StateAssembler, MAX_PART_BYTES};
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tracing::{debug, info, warn};
 
@@ -52,8 +52,8 @@
     },
     #[error("the running process listens at {0}")]
     OtherAddress(SocketAddr),
-    #[error("the state cannot be received: {0}")]
-    State(#[from] StateTooLarge),
+    #[error("the state is not whole: {0}")]
+    State(#[from] stairfront_handover::StateTooLarge),
 }
 
 /// Why a successor is not welcomed.
--- a/crates/stairfront-balancer/src/lifecycle/server.rs
+++ b/crates/stairfront-balancer/src/lifecycle/server.rs
@@ -101,7 +101,7 @@
     state_directory: Option<&Path>,
 ) -> Option<Rc<MembershipAgent>> {
     let section = config.membership.as_ref()?;
-    let record = CordonSetFile::within(state_directory, &section.group, &config.name);
+    let record = CordonSetFile::in_directory(state_directory, &section.group, &config.name);
     Some(MembershipAgent::new(
         section,
         &config.name,
--- a/crates/stairfront-balancer/src/stages/parse.rs
+++ b/crates/stairfront-balancer/src/stages/parse.rs
@@ -100,7 +100,7 @@
         let group = self
             .membership
             .as_ref()
-            .map_or(String::new(), |membership| membership.metrics_text());
+            .map_or(String::new(), |membership| membership.render_info());
         let maintenance = self
             .maintenance
             .get()
--- a/crates/stairfront-balancer/tests/stored_forms.rs
+++ b/crates/stairfront-balancer/tests/stored_forms.rs
@@ -160,24 +160,29 @@
     });
 }
 
-/// The body of `/admin/members`, with each word for a quorum status and a state. The types of its rows belong to another
-/// crate, so that it is built from a text here and checked by its fields.
-#[test]
-fn the_members_page_is_as_pinned() {
+/// Rows of `/admin/members`, one of each state.
+fn member_rows() -> Vec<serde_json::Value> {
     let states = [
         ("alive", Some("127.0.0.1:7001"), 0),
         ("suspect", Some("[::1]:7002"), 12),
         ("failed", None, 13),
         ("left", Some("10.0.0.4:7004"), 1_u64 << 61),
     ];
-    let rows: Vec<_> = states
+    states
         .iter()
         .enumerate()
         .map(|(i, (state, address, incarnation))| {
             json!({"name": format!("b-{i}"), "address": address, "state": state,
                    "incarnation": incarnation, "since_ms": 100 + i})
         })
-        .collect();
+        .collect()
+}
+
+/// The body of `/admin/members`, with each word for a quorum status and a state. The types of its rows belong to another
+/// crate, so that it is built from a text here and checked by its fields.
+#[test]
+fn the_members_page_is_as_pinned() {
+    let rows = member_rows();
     let standings = [
         ("settling", QuorumStatus::Settling),
         ("whole", QuorumStatus::Whole),
@@ -199,10 +204,17 @@
     let read = through("members.json", &reports);
     assert_eq!(read, reports);
     for (i, (report, (_, standing))) in read.iter().zip(standings).enumerate() {
-        assert_eq!((report.me.as_str(), report.group.as_str()), ("b-0", "g-1"));
-        assert_eq!((report.standing, report.standing_since_ms), (standing, 21));
         assert_eq!(
-            (report.digest.as_str(), report.disagree_ms, report.namesake),
+            (report.name.as_str(), report.group.as_str()),
+            ("b-0", "g-1")
+        );
+        assert_eq!((report.quorum, report.quorum_since_ms), (standing, 21));
+        assert_eq!(
+            (
+                report.digest.as_str(),
+                report.divergence_ms,
+                report.name_conflict
+            ),
             ("00ff", 22, i % 2 == 0)
         );
         assert_eq!(report.roster_differs, ["b-3"]);
@@ -220,7 +232,7 @@
     );
     let of = &read[0].members[1];
     assert_eq!(
-        (of.name.as_str(), of.incarnation, of.since_ms, of.run),
+        (of.name.as_str(), of.incarnation, of.since_ms, of.process_id),
         ("b-1", 12, 101, 0)
     );
     assert_eq!(of.address, Some("[::1]:7002".parse().unwrap()));
--- a/crates/stairfront-raft-node/src/transport.rs
+++ b/crates/stairfront-raft-node/src/transport.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use stairfront_membership_agent::MembershipAgent;
+use stairfront_membership_agent::{MembershipAgent, ReceivedPayload};
 use stairfront_raft::{Envelope, OutgoingEnvelope};
 use tokio::sync::Notify;
 
@@ -44,13 +44,13 @@
     /// Returns once this process receives. During an upgrade the process before it still votes and
     /// has the store open.
     pub(crate) async fn start(&self) {
-        self.membership.take_carried();
-        self.membership.listens().await;
+        self.membership.enable_payloads();
+        self.membership.wait_until_listening().await;
     }
 
     /// A number that identifies this process.
     pub(crate) fn process_id(&self) -> u64 {
-        self.membership.run_number()
+        self.membership.process_id()
     }
 
     /// Frames that were dropped because they could not be read or named another sender.
@@ -60,13 +60,14 @@
 
     pub(crate) fn send(&self, outgoing: OutgoingEnvelope) {
         let frame = Frame::Raft(outgoing.envelope);
-        self.membership.carry(&outgoing.to_name, frame.encode());
+        self.membership
+            .send_payload(&outgoing.to_name, frame.encode());
     }
 
     /// Receives a frame. Returns the message of the consensus, if it holds one; a side message is
     /// queued.
     pub(crate) async fn receive(&self) -> Option<Envelope> {
-        let (from, bytes) = self.membership.next_carried().await;
+        let ReceivedPayload { from, bytes } = self.membership.next_payload().await;
         match Frame::decode(&bytes) {
             // A member that could send in another's name could vote twice.
             Ok(Frame::Raft(envelope)) if envelope.from.name == from => Some(envelope),
@@ -97,7 +98,7 @@
             return self.queue_side_message(SideMessage { from, bytes });
         }
         self.membership
-            .carry(to, Frame::SideMessage(bytes).encode());
+            .send_payload(to, Frame::SideMessage(bytes).encode());
     }
 
     /// Returns the next side message, once there is one.
