--- a/crates/stairfront-balancer/src/control/maintenance/leader.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/leader.rs
@@ -22,16 +22,18 @@
 const STEP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// A proposal of the leader that is not committed by then is dropped.
 const STEP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Reports of quiet members that the leader keeps for one host.
+const MAX_QUIET_REPORTS: usize = 4096;
 /// Over which the service is judged.
 const HEALTH_WINDOW: Duration = Duration::from_secs(2);
 
-/// What the leader keeps between two steps of its loop; empty at all others.
+/// State of the leader between two steps of its loop; empty at all other members.
 #[derive(Default)]
 pub(super) struct LeaderState {
     /// Numbers of the group's orders that ask members to confirm a cordon.
     confirmations: BTreeMap<MachineKey, u64>,
     /// Members that have reported that no attempt is open at the host.
-    pub(super) quiet: BTreeMap<MachineKey, BTreeSet<String>>,
+    quiet: BTreeMap<MachineKey, BTreeSet<String>>,
     /// When each step was last proposed, by the text of its command.
     proposed: BTreeMap<String, Instant>,
     fleet_proposed_at: Option<Instant>,
@@ -144,14 +146,14 @@
         }
         let balancers = self.fleet_balancers();
         let warm = self.warm_machines(&hosts, &balancers).await;
-        let trouble = self
+        let fault = self
             .judge_service()
             .map(|fault| fault.describe(&self.handles.name));
         Some(LeaderObservation {
             fleet: Fleet {
                 hosts,
                 balancers,
-                fault: trouble,
+                fault,
             },
             leader: self.handles.name.clone(),
             now_ms: unix_ms(),
@@ -196,7 +198,7 @@
             .collect()
     }
 
-    /// What is wrong with the service: judged anew at the end of each window, and unchanged until the end of the next.
+    /// The fault of the service, if there is one: judged anew at the end of each window, and unchanged until the end of the next.
     fn judge_service(&self) -> Option<ServiceFault> {
         let now = Instant::now();
         let counts = self.service_counts();
@@ -222,9 +224,9 @@
 
     /// Asks the members to confirm the cordons of machines that are about to be taken out, and notes who has.
     fn observe_cordons(&self, observation: &mut LeaderObservation) {
-        let told = self.held_hosts(Stage::Notified);
+        let told = self.hosts_at(Stage::Notified);
         let mut leader = self.leader.borrow_mut();
-        leader.forget_except(&told, &self.held_hosts(Stage::Draining));
+        leader.retain_only(&told, &self.hosts_at(Stage::Draining));
         for key in told {
             let order = leader.confirmations.get(&key);
             let progress = order.and_then(|order| self.handles.membership.progress(*order));
@@ -246,7 +248,7 @@
     /// Asks the members whether attempts are open at hosts that are held out, and notes who has none.
     fn query_quiet_hosts(&self, observation: &mut LeaderObservation) {
         let mut leader = self.leader.borrow_mut();
-        for key in self.held_hosts(Stage::Draining) {
+        for key in self.hosts_at(Stage::Draining) {
             let quiet = leader.quiet.entry(key.clone()).or_default();
             let query = SideEvent::QuietQuery {
                 host: key.host.clone(),
@@ -263,7 +265,7 @@
         }
     }
 
-    fn held_hosts(&self, stage: Stage) -> Vec<MachineKey> {
+    fn hosts_at(&self, stage: Stage) -> Vec<MachineKey> {
         let machine = self.handles.raft.state_machine();
         let held = machine.0.hosts_at(stage);
         held.map(|held| MachineKey {
@@ -275,8 +277,18 @@
 }
 
 impl LeaderState {
+    /// Keeps the report that no attempt of `member` is open at a host, if it was asked for.
+    pub(super) fn add_quiet(&mut self, key: &MachineKey, member: &str) {
+        let Some(quiet) = self.quiet.get_mut(key) else {
+            return;
+        };
+        if quiet.len() < MAX_QUIET_REPORTS {
+            quiet.insert(member.to_string());
+        }
+    }
+
     /// Drops what is known of hosts that are no longer being taken out.
-    fn forget_except(&mut self, told: &[MachineKey], held: &[MachineKey]) {
+    fn retain_only(&mut self, told: &[MachineKey], held: &[MachineKey]) {
         let wanted: BTreeSet<&MachineKey> = told.iter().chain(held).collect();
         self.confirmations.retain(|key, _| wanted.contains(key));
         self.quiet.retain(|key, _| wanted.contains(key));
