--- a/crates/stairfront-lab/src/compare.rs
+++ b/crates/stairfront-lab/src/compare.rs
@@ -4,26 +4,27 @@
 
 use serde::Serialize;
 
-use crate::experiment::{Experiment, Knee};
-use crate::pack::GroupOutcome;
-use crate::run::{run, Outcome, Progress, Surroundings};
-use crate::work::WorkOutcome;
+use crate::balancer_group::GroupOutcome;
+use crate::experiment::{Experiment, KneeSearch};
+use crate::maintenance_work::MaintenanceOutcome;
+use crate::run::{run, Outcome, Progress, RunEnvironment};
 
 /// The rate found by the search, and what it was found by.
 #[derive(Clone, Debug, Serialize)]
-pub struct KneeFound {
+pub struct KneeResult {
     pub variant: String,
     pub seed: u64,
     pub rate: f64,
     /// The lowest rate tried that was too much.
-    pub too_much: f64,
+    #[serde(rename = "too_much")]
+    pub overload_rate: f64,
 }
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Results {
     pub name: String,
     pub about: String,
-    pub knees: Vec<KneeFound>,
+    pub knees: Vec<KneeResult>,
     pub runs: Vec<Outcome>,
     pub ratios: Vec<Ratio>,
 }
@@ -40,24 +41,28 @@
     pub variant: String,
     pub figure: &'static str,
     pub mean: f64,
-    pub least: f64,
-    pub most: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 type Figure = (&'static str, fn(&Outcome) -> f64);
 
 /// What variants are compared by.
 const COMPARED: [Figure; 6] = [
-    ("served in time", |run| run.on_time),
+    ("served in time", |run| run.in_time_ratio),
     ("p99", |run| run.latency.p99_ms),
-    ("worst server over the median", |run| run.worst_over_median),
+    ("worst server over the median", |run| {
+        run.max_over_median_load
+    }),
     ("fetches", |run| run.fetches as f64),
     ("attempts", |run| run.attempts as f64),
     ("processor time a request", |run| run.cpu_us_per_request),
 ];
 
 /// Runs it all; blocks until it is over.
-pub fn experiment(experiment: &Experiment, around: &Surroundings) -> io::Result<Results> {
+pub fn experiment(experiment: &Experiment, environment: &RunEnvironment) -> io::Result<Results> {
     let mut results = Results {
         name: experiment.name.clone(),
         about: experiment.about.clone(),
@@ -76,16 +81,16 @@
             for variant in &experiment.variants {
                 results
                     .runs
-                    .push(run(experiment, variant, *seed, *rate, around)?);
+                    .push(run(experiment, variant, *seed, *rate, environment)?);
             }
         }
         for variant in &experiment.variants {
             match &experiment.knee {
                 None => {}
                 Some(knee) => {
-                    let at = |rate| run(experiment, variant, *seed, rate, around);
+                    let at = |rate| run(experiment, variant, *seed, rate, environment);
                     let (found, runs) = search(knee, at)?;
-                    results.knees.push(KneeFound {
+                    results.knees.push(KneeResult {
                         variant: variant.name.clone(),
                         seed: *seed,
                         ..found
@@ -95,7 +100,7 @@
             }
         }
     }
-    if around.progress == Progress::Line {
+    if environment.progress == Progress::Line {
         eprintln!();
     }
     results.ratios = ratios(&results.runs);
@@ -106,9 +111,9 @@
 /// at multiples of it. A rate is too much if it is so twice: a machine that others share stalls now and then, and one
 /// stall of a tenth of a second is the slowest percent of ten seconds.
 fn search(
-    knee: &Knee,
+    knee: &KneeSearch,
     at: impl Fn(f64) -> io::Result<Outcome>,
-) -> io::Result<(KneeFound, Vec<Outcome>)> {
+) -> io::Result<(KneeResult, Vec<Outcome>)> {
     let good = |rate: f64| -> io::Result<Option<Outcome>> {
         for _ in 0..2 {
             let run = at(rate)?;
@@ -141,11 +146,11 @@
         runs.push(at(rate * times)?);
     }
     Ok((
-        KneeFound {
+        KneeResult {
             variant: String::new(),
             seed: 0,
             rate,
-            too_much: high,
+            overload_rate: high,
         },
         runs,
     ))
@@ -186,8 +191,8 @@
                 variant: variant.clone(),
                 figure,
                 mean,
-                least: fold(f64::min),
-                most: fold(f64::max),
+                min: fold(f64::min),
+                max: fold(f64::max),
             });
         }
     }
@@ -223,14 +228,14 @@
         "rules"
     ));
     for run in &results.runs {
-        let part = |n: u64| n as f64 / run.counts.tries.max(1) as f64;
+        let part = |n: u64| n as f64 / run.counts.attempts.max(1) as f64;
         let others =
             run.counts.failed + run.counts.lost + run.counts.unanswered + run.counts.unsent;
         line(format!(
             "{:18}{:>5}{:>9.0}{:>8.3}{:>8.3}{:>8.3}{:>8.3}{:>8.1}{:>9.1}{:>9.0}{:>8}{:>8}{:>8.3}{:>7.2}{:>7.1}{:>6.0}{:>7}",
-            run.variant, run.seed, run.rate, run.on_time, part(run.counts.served), part(run.counts.refused),
-            part(others), run.latency.p50_ms, run.latency.p99_ms, run.latency.most_ms, run.retries, run.fetches,
-            run.hit_ratio, run.worst_over_median, run.cpu_us_per_request, run.memory_mb,
+            run.variant, run.seed, run.rate, run.in_time_ratio, part(run.counts.served), part(run.counts.rejected),
+            part(others), run.latency.p50_ms, run.latency.p99_ms, run.latency.max_ms, run.retries, run.fetches,
+            run.hit_ratio, run.max_over_median_load, run.cpu_us_per_request, run.memory_mb,
             if run.rules.holds() { "held" } else { "BROKEN" }
         ));
     }
@@ -240,7 +245,7 @@
             let tenants = run
                 .tenants
                 .iter()
-                .map(|t| format!("{} {:.3} of {}", t.name, t.on_time, t.counts.asked));
+                .map(|t| format!("{} {:.3} of {}", t.name, t.in_time_ratio, t.counts.requests));
             line(format!(
                 "{:18}{:>5}{:>9.0}  {}",
                 run.variant,
@@ -253,7 +258,7 @@
     for knee in &results.knees {
         line(format!(
             "\nknee of {}, seed {}: {:.0} requests a second; {:.0} were too much",
-            knee.variant, knee.seed, knee.rate, knee.too_much
+            knee.variant, knee.seed, knee.rate, knee.overload_rate
         ));
     }
     if !results.ratios.is_empty() {
@@ -263,12 +268,12 @@
         variant,
         figure,
         mean,
-        least,
-        most,
+        min,
+        max,
     } in &results.ratios
     {
         line(format!(
-            "{variant:18}{figure:30}{mean:>8.3}  ({least:.3} to {most:.3})"
+            "{variant:18}{figure:30}{mean:>8.3}  ({min:.3} to {max:.3})"
         ));
     }
     line(String::new());
@@ -278,7 +283,7 @@
 }
 
 /// Median and 99th percentile in milliseconds, and of how many.
-fn spread(mut of: Vec<f64>) -> String {
+fn percentiles(mut of: Vec<f64>) -> String {
     of.sort_by(f64::total_cmp);
     let at = |part: f64| of[((of.len() - 1) as f64 * part).round() as usize];
     match of.is_empty() {
@@ -334,29 +339,29 @@
             .collect();
         line(format!(
             "  whole after the last trouble (median, p99, most): {}",
-            spread(whole)
+            percentiles(whole)
         ));
         line(format!(
             "  a killed one failed at another: {}",
-            spread(all(|group| &group.detected_ms))
+            percentiles(all(|group| &group.detected_ms))
         ));
         line(format!(
             "  a killed one failed at all: {}",
-            spread(all(|group| &group.detected_by_all_ms))
+            percentiles(all(|group| &group.detected_by_all_ms))
         ));
         line(format!(
             "  a woken one alive at another again: {}",
-            spread(all(|group| &group.woken_ms))
+            percentiles(all(|group| &group.wake_detected_ms))
         ));
         line(format!(
             "  orders: {} yes, {} no; a member and second: {:.1} datagrams and streams' bytes {:.0}, {:.0} us of processor",
-            sum(|group| group.orders_yes),
-            sum(|group| group.orders_no),
+            sum(|group| group.orders_accepted),
+            sum(|group| group.orders_rejected),
             mean(|group| group.datagrams_per_s),
             mean(|group| group.bytes_per_s),
             mean(|group| group.cpu_us_per_s),
         ));
-        work(&runs, line);
+        maintenance(&runs, line);
         for (seed, group) in runs.iter().filter(|(_, group)| group.report.broken > 0) {
             line(format!("  seed {seed}:"));
             group
@@ -374,60 +379,72 @@
 }
 
 /// What the people who work by plans saw.
-fn work(runs: &[(u64, &GroupOutcome)], line: &mut impl FnMut(String)) {
-    let works: Vec<_> = runs
+fn maintenance(runs: &[(u64, &GroupOutcome)], line: &mut impl FnMut(String)) {
+    let maintenance: Vec<_> = runs
         .iter()
-        .filter_map(|(seed, group)| Some((*seed, group.work.as_ref()?, &group.script)))
+        .filter_map(|(seed, group)| Some((*seed, group.maintenance.as_ref()?, &group.script)))
         .collect();
-    if works.is_empty() {
+    if maintenance.is_empty() {
         return;
     }
-    let sum = |of: fn(&WorkOutcome) -> u64| works.iter().map(|(_, work, _)| of(work)).sum::<u64>();
-    if works.iter().all(|(_, work, _)| work.by_hand) {
+    let sum = |of: fn(&MaintenanceOutcome) -> u64| {
+        maintenance
+            .iter()
+            .map(|(_, maintenance, _)| of(maintenance))
+            .sum::<u64>()
+    };
+    if maintenance
+        .iter()
+        .all(|(_, maintenance, _)| maintenance.manual_baseline)
+    {
         line(format!(
             "  by hand: {} cache hosts and {} balancers worked at, {} at once at most; {} calls with a yes, {} without; over \
              after {}; not over in {} runs",
-            sum(|work| work.hosts),
-            sum(|work| work.balancers),
-            works.iter().map(|(_, work, _)| work.most_out).max().unwrap_or(0),
-            sum(|work| work.settled),
-            sum(|work| work.unsettled),
-            spread(works.iter().filter_map(|(_, work, _)| work.took_ms).collect()),
-            sum(|work| u64::from(work.took_ms.is_none())),
+            sum(|maintenance| maintenance.hosts),
+            sum(|maintenance| maintenance.balancers),
+            maintenance.iter().map(|(_, maintenance, _)| maintenance.max_out).max().unwrap_or(0),
+            sum(|maintenance| maintenance.accepted),
+            sum(|maintenance| maintenance.rejected),
+            percentiles(maintenance.iter().filter_map(|(_, maintenance, _)| maintenance.duration_ms).collect()),
+            sum(|maintenance| u64::from(maintenance.duration_ms.is_none())),
         ));
         return;
     }
-    let broken = sum(|work| work.broken);
+    let broken = sum(|maintenance| maintenance.broken);
     line(format!(
         "  plans: {}; {} cache hosts and {} balancers worked at, {} at once at most; {} words settled, {} refused or not \
          known to be; a majority of the disks lost in {} runs, whose end is not judged",
         if broken == 0 { "held".to_string() } else { format!("BROKEN {broken} times") },
-        sum(|work| work.hosts),
-        sum(|work| work.balancers),
-        works.iter().map(|(_, work, _)| work.most_out).max().unwrap_or(0),
-        sum(|work| work.settled),
-        sum(|work| work.unsettled),
-        sum(|work| u64::from(work.log_lost)),
+        sum(|maintenance| maintenance.hosts),
+        sum(|maintenance| maintenance.balancers),
+        maintenance.iter().map(|(_, maintenance, _)| maintenance.max_out).max().unwrap_or(0),
+        sum(|maintenance| maintenance.accepted),
+        sum(|maintenance| maintenance.rejected),
+        sum(|maintenance| u64::from(maintenance.log_lost)),
     ));
     line(format!(
         "  plans over after the first post: {}; after the last trouble: {}",
-        spread(
-            works
+        percentiles(
+            maintenance
                 .iter()
-                .filter_map(|(_, work, _)| work.took_ms)
+                .filter_map(|(_, maintenance, _)| maintenance.duration_ms)
                 .collect()
         ),
-        spread(
-            works
+        percentiles(
+            maintenance
                 .iter()
-                .filter_map(|(_, work, _)| work.after_quiet_ms)
+                .filter_map(|(_, maintenance, _)| maintenance.duration_after_faults_ms)
                 .collect()
         ),
     ));
-    for (seed, work, script) in works.iter().filter(|(_, work, _)| work.broken > 0) {
+    for (seed, maintenance, script) in maintenance
+        .iter()
+        .filter(|(_, maintenance, _)| maintenance.broken > 0)
+    {
         line(format!("  seed {seed}:"));
         script.iter().for_each(|words| line(format!("    {words}")));
-        work.examples
+        maintenance
+            .examples
             .iter()
             .take(3)
             .for_each(|example| line(format!("    {example}")));
@@ -461,7 +478,7 @@
         });
         examples.take(8).for_each(&mut *line);
     }
-    let most = |of: fn(&Outcome) -> f64| {
+    let max = |of: fn(&Outcome) -> f64| {
         results
             .runs
             .iter()
@@ -471,11 +488,11 @@
     line(format!(
         "latest answer {:+.1} ms from its deadline; {:.0} attempts at most, {:.1} ms together at most; \
          latest to a leaving server {:.1} ms; most into a cold one {:.2} of what it bears; origin stopped {:.0} times",
-        most(|run| run.rules.figures.latest_ms),
-        most(|run| run.rules.figures.most_attempts as f64),
-        most(|run| run.rules.figures.longest_overlap_ms),
-        most(|run| run.rules.figures.latest_to_leaving_ms),
-        most(|run| run.servers.iter().map(|server| server.counts.worst_cold).fold(0.0, f64::max)),
-        most(|run| run.rules.figures.origin_stops as f64),
+        max(|run| run.rules.figures.latest_ms),
+        max(|run| run.rules.figures.most_attempts as f64),
+        max(|run| run.rules.figures.longest_overlap_ms),
+        max(|run| run.rules.figures.latest_to_leaving_ms),
+        max(|run| run.servers.iter().map(|server| server.counts.worst_cold).fold(0.0, f64::max)),
+        max(|run| run.rules.figures.origin_stops as f64),
     ));
 }
--- a/crates/stairfront-lab/src/tape.rs
+++ b/crates/stairfront-lab/src/event_log.rs
@@ -6,101 +6,106 @@
 use stairfront_emulator::time::{Micros, SECOND};
 
 use crate::clock::RunClock;
-use crate::live::Live;
+use crate::live_counters::LiveCounters;
 
 /// Sightings handed over at once, and the longest that some wait.
-const BATCH: usize = 512;
-const LONGEST_WAIT: Micros = 20_000;
+const MAX_BATCH_EVENTS: usize = 512;
+const MAX_BATCH_DELAY: Micros = 20_000;
 /// Sightings between two looks for requests that can be judged.
-const SETTLE_EVERY: usize = 100_000;
+const CHECK_INTERVAL_EVENTS: usize = 100_000;
 
 type Batch = Vec<(Micros, Seen)>;
 
 /// One thread's end: sightings are gathered and handed over in batches.
-pub struct Tape {
+pub struct EventLog {
     clock: RunClock,
     to: Sender<Batch>,
     batch: Batch,
-    since: Micros,
+    first_at: Micros,
 }
 
-impl Tape {
+impl EventLog {
     pub fn new(clock: RunClock, to: Sender<Batch>) -> Self {
-        Tape {
+        EventLog {
             clock,
             to,
-            batch: Vec::with_capacity(BATCH),
-            since: 0,
+            batch: Vec::with_capacity(MAX_BATCH_EVENTS),
+            first_at: 0,
         }
     }
 
-    pub fn note(&mut self, at: Micros, seen: Seen) {
+    pub fn record(&mut self, at: Micros, seen: Seen) {
         if self.batch.is_empty() {
-            self.since = at;
+            self.first_at = at;
         }
         self.batch.push((at, seen));
-        if self.batch.len() >= BATCH {
-            self.hand_over();
+        if self.batch.len() >= MAX_BATCH_EVENTS {
+            self.flush();
         }
     }
 
     /// Hands over what has waited long enough; to be called now and then.
-    pub fn tick(&mut self) {
-        if !self.batch.is_empty() && self.clock.now() - self.since > LONGEST_WAIT {
-            self.hand_over();
+    pub fn flush_if_due(&mut self) {
+        if !self.batch.is_empty() && self.clock.now() - self.first_at > MAX_BATCH_DELAY {
+            self.flush();
         }
     }
 
-    fn hand_over(&mut self) {
+    fn flush(&mut self) {
         // The recorder ends only when all tapes have: then nobody is left to tell.
         let _ = self.to.send(std::mem::replace(
             &mut self.batch,
-            Vec::with_capacity(BATCH),
+            Vec::with_capacity(MAX_BATCH_EVENTS),
         ));
     }
 }
 
-impl Drop for Tape {
+impl Drop for EventLog {
     fn drop(&mut self) {
-        self.hand_over();
+        self.flush();
     }
 }
 
 /// Attempts by host and interval, and what the checker decided.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Recorded {
+pub struct RecordedRun {
     pub rules: Report,
     /// Attempts begun at each host in each interval; the origin last.
-    pub begun: Vec<Vec<u32>>,
+    pub attempts: Vec<Vec<u32>>,
 }
 
 /// Length of an interval of all series.
 pub const INTERVAL: Micros = SECOND / 4;
 
 /// Hears all tapes until the last one ends.
-pub fn record(from: Receiver<Batch>, limits: Limits, hosts: usize, live: &Live) -> Recorded {
+pub fn record(
+    from: Receiver<Batch>,
+    limits: Limits,
+    hosts: usize,
+    live_counters: &LiveCounters,
+) -> RecordedRun {
     let mut checker = Checker::new(limits);
-    let mut begun = vec![Vec::new(); hosts];
-    let mut heard = 0;
+    let mut attempts = vec![Vec::new(); hosts];
+    let mut handled = 0;
     for batch in from {
-        heard += batch.len();
+        handled += batch.len();
         for (at, seen) in batch {
             if let Seen::Began { host, .. } = seen {
-                live.began(usize::from(host));
-                if let Some(series) = begun.get_mut(usize::from(host)) {
+                live_counters.record_attempt(usize::from(host));
+                if let Some(series) = attempts.get_mut(usize::from(host)) {
                     count(series, at);
                 }
             }
             checker.hear(at, seen);
         }
-        if heard > SETTLE_EVERY {
-            heard = 0;
+        if handled > CHECK_INTERVAL_EVENTS {
+            handled = 0;
             checker.settle();
         }
     }
-    Recorded {
+    RecordedRun {
         rules: checker.finish(),
-        begun,
+        attempts,
     }
 }
 
--- a/crates/stairfront-lab/src/experiment.rs
+++ b/crates/stairfront-lab/src/experiment.rs
@@ -11,22 +11,19 @@
 use stairfront_emulator::origin::OriginSettings;
 use stairfront_emulator::time::{from_ms, Micros};
 
+use crate::balancer_group::{quiet_period_after, Group};
 use crate::fleet::{FleetPlan, HostPlan};
-use crate::load::{self, Habits};
-use crate::pack::{rest_after, Group};
+use crate::load::{self, ClientBehavior};
 
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    #[error("{path}: {problem}")]
-    File {
-        path: String,
-        problem: std::io::Error,
-    },
-    #[error("{path}: {key}: {problem}")]
+    #[error("{path}: {error}")]
+    File { path: String, error: std::io::Error },
+    #[error("{path}: {key}: {error}")]
     Parse {
         path: String,
         key: String,
-        problem: String,
+        error: String,
     },
     #[error("{path}: {}", faults.join(&format!("\n{path}: ")))]
     Faults { path: String, faults: Vec<String> },
@@ -34,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fleet {
+pub struct FleetSettings {
     pub caches: usize,
     /// Zones that the caches are spread over in turn.
     pub zones: Vec<String>,
@@ -50,9 +47,9 @@
     pub origin: OriginSettings,
 }
 
-impl Default for Fleet {
+impl Default for FleetSettings {
     fn default() -> Self {
-        Fleet {
+        FleetSettings {
             caches: 6,
             zones: vec!["a".to_string()],
             speeds: vec![1.0],
@@ -67,11 +64,12 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Balancers {
+pub struct BalancerSettings {
     pub count: usize,
     pub sockets: usize,
     pub memory_mb: usize,
-    pub most_tries: u8,
+    #[serde(rename = "most_tries")]
+    pub max_attempts: u8,
     pub connect_timeout_ms: f64,
     /// Longest advice that a refusal may give; 0 for none.
     pub max_retry_after_ms: f64,
@@ -79,32 +77,34 @@
     pub grace_ms: f64,
     pub may_cancel: bool,
     /// What a request beyond its tenant's share is worth.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_share_priority: f64,
 }
 
-impl Default for Balancers {
+impl Default for BalancerSettings {
     fn default() -> Self {
-        Balancers {
+        BalancerSettings {
             count: 1,
             sockets: 1024,
             memory_mb: 192,
-            most_tries: 3,
+            max_attempts: 3,
             connect_timeout_ms: 250.0,
             max_retry_after_ms: 1500.0,
             grace_ms: 250.0,
             may_cancel: true,
-            over_share_worth: 0.2,
+            over_share_priority: 0.2,
         }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ClientSide {
+pub struct ClientSettings {
     /// Threads of clients; 0 for one for each 40,000 requests a second.
     pub threads: usize,
     pub traffic: Traffic,
-    pub habits: Habits,
+    #[serde(rename = "habits")]
+    pub behavior: ClientBehavior,
     pub retries: RetrySettings,
 }
 
@@ -120,14 +120,14 @@
     #[serde(default)]
     pub program: Option<PathBuf>,
     /// The balancers know nothing of each other, whatever `[group]` says.
-    #[serde(default)]
-    pub apart: bool,
+    #[serde(default, rename = "apart")]
+    pub no_membership: bool,
     /// The balancers know each other and agree on nothing; no plan is posted.
-    #[serde(default)]
-    pub disagrees: bool,
+    #[serde(default, rename = "disagrees")]
+    pub no_agreement: bool,
     /// What `[group.maintenance]` plans is done by a script at every door, and the balancers know nothing of each other.
-    #[serde(default)]
-    pub by_hand: bool,
+    #[serde(default, rename = "by_hand")]
+    pub manual_baseline: bool,
     /// Clients speak to the caches with no balancer between: what the stand-ins and the clients can do by themselves.
     #[serde(default)]
     pub direct: bool,
@@ -139,10 +139,10 @@
 /// Looks for the rate at which the slowest percent of answers passes the aim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Knee {
+pub struct KneeSearch {
     /// Rate to begin with; it is doubled until it is too much, then halved in between `steps` times.
     pub from: f64,
-    #[serde(default = "some_steps")]
+    #[serde(default = "default_steps")]
     pub steps: u32,
     /// What the 99th percentile from when a request was due may take, in milliseconds.
     pub p99_ms: f64,
@@ -151,7 +151,7 @@
     pub then: Vec<f64>,
 }
 
-fn some_steps() -> u32 {
+fn default_steps() -> u32 {
     4
 }
 
@@ -164,55 +164,55 @@
     /// How long requests come.
     pub seconds: f64,
     /// What is due before then is not counted, but for the rules.
-    #[serde(default = "some_seconds")]
+    #[serde(default = "default_warm_up")]
     pub warm_up_s: f64,
-    #[serde(default = "one_seed")]
+    #[serde(default = "default_seeds")]
     pub seeds: Vec<u64>,
     /// Rates to run at in turn; the traffic's own where there are none.
     #[serde(default)]
     pub rates: Vec<f64>,
     #[serde(default)]
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
     #[serde(default)]
-    pub balancers: Balancers,
+    pub balancers: BalancerSettings,
     #[serde(default)]
-    pub clients: ClientSide,
-    #[serde(default = "one_class")]
+    pub clients: ClientSettings,
+    #[serde(default = "default_classes")]
     pub classes: Vec<ClassSettings>,
     #[serde(default)]
     pub faults: Vec<TimedFault>,
-    #[serde(default = "one_variant")]
+    #[serde(default = "default_variants")]
     pub variants: Vec<Variant>,
     #[serde(default)]
-    pub knee: Option<Knee>,
+    pub knee: Option<KneeSearch>,
     /// The balancers are members of one group.
     #[serde(default)]
     pub group: Option<Group>,
 }
 
-fn some_seconds() -> f64 {
+fn default_warm_up() -> f64 {
     2.0
 }
 
-fn one_seed() -> Vec<u64> {
+fn default_seeds() -> Vec<u64> {
     vec![1]
 }
 
-fn one_variant() -> Vec<Variant> {
+fn default_variants() -> Vec<Variant> {
     let name = "this build".to_string();
     vec![Variant {
         name,
         baseline: None,
         program: None,
-        apart: false,
-        disagrees: false,
-        by_hand: false,
+        no_membership: false,
+        no_agreement: false,
+        manual_baseline: false,
         direct: false,
         set: toml::Table::new(),
     }]
 }
 
-fn one_class() -> Vec<ClassSettings> {
+fn default_classes() -> Vec<ClassSettings> {
     vec![ClassSettings {
         name: "read".into(),
         aim_ms: 250.0,
@@ -242,25 +242,25 @@
 impl Experiment {
     pub fn from_file(path: &Path) -> Result<Self, ExperimentError> {
         let name = path.display().to_string();
-        let text = fs::read_to_string(path).map_err(|problem| ExperimentError::File {
+        let text = fs::read_to_string(path).map_err(|error| ExperimentError::File {
             path: name.clone(),
-            problem,
+            error,
         })?;
         Self::from_text(&name, &text)
     }
 
     /// `path` only names the source in errors.
     pub fn from_text(path: &str, text: &str) -> Result<Self, ExperimentError> {
-        let parse = |key: String, problem: String| ExperimentError::Parse {
+        let parse = |key: String, error: String| ExperimentError::Parse {
             path: path.to_string(),
             key,
-            problem: problem.trim_end().replace('\n', "\n    "),
+            error: error.trim_end().replace('\n', "\n    "),
         };
         let reader =
             toml::Deserializer::parse(text).map_err(|e| parse("syntax".into(), e.to_string()))?;
         let experiment: Experiment = serde_path_to_error::deserialize(reader)
             .map_err(|e| parse(e.path().to_string(), e.inner().to_string()))?;
-        let mut faults = experiment.faults_found();
+        let mut faults = experiment.validate();
         let whole: toml::Table = text
             .parse()
             .map_err(|e: toml::de::Error| parse("syntax".into(), e.to_string()))?;
@@ -275,36 +275,36 @@
     }
 
     /// All faults that no type tells, by key.
-    fn faults_found(&self) -> Vec<String> {
+    fn validate(&self) -> Vec<String> {
         let mut found = Vec::new();
-        let mut must = |good: bool, key: &str, problem: &str| {
-            if !good {
-                found.push(format!("{key}: {problem}"));
+        let mut require = |valid: bool, key: &str, error: &str| {
+            if !valid {
+                found.push(format!("{key}: {error}"));
             }
         };
-        must(
+        require(
             (0.1..=86_400.0).contains(&self.seconds),
             "seconds",
             "must be between 0.1 and a day",
         );
-        must(
+        require(
             (0.0..self.seconds.max(0.1)).contains(&self.warm_up_s),
             "warm_up_s",
             "must be below seconds",
         );
-        must(!self.seeds.is_empty(), "seeds", "at least one is needed");
-        let good = self
+        require(!self.seeds.is_empty(), "seeds", "at least one is needed");
+        let valid = self
             .rates
             .iter()
             .all(|rate| (0.0..=10_000_000.0).contains(rate));
-        must(good, "rates", "must be between 0 and 10,000,000 a second");
-        must(
+        require(valid, "rates", "must be between 0 and 10,000,000 a second");
+        require(
             !self.variants.is_empty(),
             "variants",
             "at least one is needed",
         );
         let most = if self.group.is_some() { 300 } else { 64 };
-        must(
+        require(
             (1..=most).contains(&self.balancers.count),
             "balancers.count",
             "must be between 1 and 64, 300 in a group",
@@ -313,25 +313,25 @@
             .faults
             .iter()
             .any(|timed| timed.fault.is_of_balancers());
-        let problem = "balancers of a group are troubled under [group] alone";
-        must(self.group.is_none() || !touched, "faults", problem);
+        let error = "balancers of a group are troubled under [group] alone";
+        require(self.group.is_none() || !touched, "faults", error);
         if let Some(group) = &self.group {
             let count = self.balancers.count;
             let known = group
                 .troubles
                 .iter()
                 .all(|timed| timed.trouble.touched().iter().all(|who| *who < count));
-            must(
+            require(
                 known,
                 "group.troubles",
                 "names a balancer that there is not; they are counted from 0",
             );
-            let good = group
+            let valid = group
                 .troubles
                 .iter()
                 .all(|timed| timed.at_ms >= 0.0 && timed.lasts_ms >= 0.0);
-            must(
-                good,
+            require(
+                valid,
                 "group.troubles",
                 "at_ms and lasts_ms must be 0 or more",
             );
@@ -342,40 +342,40 @@
                 .max()
                 .unwrap_or(0);
             let rest = from_ms(self.seconds * 1e3) - ends;
-            must(
-                rest >= rest_after(group),
+            require(
+                rest >= quiet_period_after(group),
                 "seconds",
                 "must leave whole_again_s and one more after the last trouble",
             );
         }
-        must(
+        require(
             (1..=5_000).contains(&self.fleet.caches),
             "fleet.caches",
             "must be between 1 and 5,000",
         );
-        must(
+        require(
             !self.fleet.zones.is_empty(),
             "fleet.zones",
             "at least one is needed",
         );
         let speeds = &self.fleet.speeds;
-        let good = !speeds.is_empty() && speeds.iter().all(|speed| (0.01..=100.0).contains(speed));
-        must(
-            good,
+        let valid = !speeds.is_empty() && speeds.iter().all(|speed| (0.01..=100.0).contains(speed));
+        require(
+            valid,
             "fleet.speeds",
             "at least one is needed, each between 0.01 and 100",
         );
-        must(
+        require(
             !self.classes.is_empty(),
             "classes",
             "at least one is needed",
         );
         for (i, class) in self.classes.iter().enumerate() {
-            let good = class.aim_ms > 0.0
+            let valid = class.aim_ms > 0.0
                 && class.deadline_ms >= class.aim_ms
                 && class.deadline_ms <= 3_600_000.0;
-            must(
-                good,
+            require(
+                valid,
                 &format!("classes[{i}].deadline_ms"),
                 "must be at least aim_ms, and that above 0",
             );
@@ -386,7 +386,7 @@
                 .as_deref()
                 .is_none_or(|name| BASELINES.contains(&name));
             let baseline = format!("variants[{i}].baseline");
-            must(
+            require(
                 known,
                 &baseline,
                 "must be one of random, least-in-flight, one-choice",
@@ -397,7 +397,7 @@
                 variant.direct,
             ];
             let several = ways.into_iter().filter(|way| *way).count() > 1;
-            must(
+            require(
                 !several,
                 &baseline,
                 "only one of baseline, program and direct can stand in a variant",
@@ -405,12 +405,12 @@
             let twice = self.variants[..i]
                 .iter()
                 .any(|other| other.name == variant.name);
-            must(!twice, &format!("variants[{i}].name"), "stands twice");
+            require(!twice, &format!("variants[{i}].name"), "stands twice");
         }
         if let Some(knee) = &self.knee {
-            let good = knee.from >= 1.0 && knee.p99_ms > 0.0 && knee.steps <= 20;
-            must(
-                good,
+            let valid = knee.from >= 1.0 && knee.p99_ms > 0.0 && knee.steps <= 20;
+            require(
+                valid,
                 "knee",
                 "needs from of 1 or more, p99_ms above 0 and steps of 20 at most",
             );
@@ -421,23 +421,23 @@
                 self.fleet
                     .cache
                     .fault()
-                    .map(|(key, problem)| (key.to_string(), problem)),
+                    .map(|(key, error)| (key.to_string(), error)),
             ),
             (
                 "fleet.origin",
                 self.fleet
                     .origin
                     .fault()
-                    .map(|(key, problem)| (key.to_string(), problem)),
+                    .map(|(key, error)| (key.to_string(), error)),
             ),
             ("clients.traffic", self.clients.traffic.fault()),
             (
                 "clients.habits",
-                load::fault(&self.clients.habits).map(|(key, p)| (key.to_string(), p)),
+                load::behavior_error(&self.clients.behavior).map(|(key, p)| (key.to_string(), p)),
             ),
         ];
         for (place, fault) in parts {
-            found.extend(fault.map(|(key, problem)| format!("{place}.{key}: {problem}")));
+            found.extend(fault.map(|(key, error)| format!("{place}.{key}: {error}")));
         }
         if self.clients.traffic.classes.len() > self.classes.len() {
             found
@@ -523,8 +523,8 @@
             "areas": self.fleet.zones, "models": ["cache", "origin"], "family_info": mode,
             "profiles": self.classes.iter().map(class).collect::<Vec<_>>(),
             "tenants": self.clients.traffic.tenants.iter().map(tenant).collect::<Vec<_>>(),
-            "over_share_worth": set.over_share_worth,
-            "caps": {"most_tries": set.most_tries, "connect_timeout": set.connect_timeout_ms,
+            "over_share_worth": set.over_share_priority,
+            "caps": {"most_tries": set.max_attempts, "connect_timeout": set.connect_timeout_ms,
                      "keepalive": cache.idle_ms, "retry_after": set.max_retry_after_ms > 0.0,
                      "max_retry_after": set.max_retry_after_ms, "cancel": set.may_cancel},
             "report": {"fields": cache.report},
--- a/crates/stairfront-lab/src/fleet.rs
+++ b/crates/stairfront-lab/src/fleet.rs
@@ -20,14 +20,16 @@
 use tokio::task::{spawn_local, LocalSet};
 
 use crate::clock::RunClock;
-use crate::services::{AgentService, CacheService, OriginService, ServerCounts, Tell, Word};
-use crate::station::{Address, Station};
-use crate::tape::Tape;
+use crate::event_log::EventLog;
+use crate::server_host::{Address, ServerHost};
+use crate::services::{
+    AgentService, CacheService, Notifier, OriginNotification, OriginService, ServerCounts,
+};
 
 /// How often tapes are looked at for what has waited, and idle connections closed.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Connections of one station are numbered within so many.
-const NUMBERS: u64 = 1 << 40;
+const CONNECTION_IDS_PER_HOST: u64 = 1 << 40;
 
 /// One cache host of a fleet.
 #[derive(Clone, Debug)]
@@ -51,9 +53,9 @@
 }
 
 #[derive(Clone, Debug)]
-enum Order {
+enum FleetCommand {
     Act(Act),
-    Say(Word),
+    Notify(OriginNotification),
     /// Discovery's agents: a host is so.
     List(usize, Status, u64),
     /// Says what it counted and ends.
@@ -67,36 +69,37 @@
     #[serde(flatten)]
     pub counts: ServerCounts,
     /// The most that the origin was sent within its window, over its capacity.
-    pub worst_load: f64,
+    #[serde(rename = "worst_load")]
+    pub max_load: f64,
 }
 
 /// The stand-ins while they run.
 pub struct Fleet {
-    orders: Vec<mpsc::UnboundedSender<Order>>,
+    commands: Vec<mpsc::UnboundedSender<FleetCommand>>,
     threads: Vec<JoinHandle<Vec<ServerReport>>>,
     /// The agent of each balancer, now and after a move.
     agents: Vec<[SocketAddr; 2]>,
-    known: Vec<Value>,
+    initial_lists: Vec<Value>,
     hosts: Vec<SocketAddr>,
     plan: FleetPlan,
     clock: RunClock,
 }
 
 /// Addresses of all servers, by balancer.
-struct Places {
+struct AddressPlan {
     hosts: Vec<Vec<Address>>,
     origin: Vec<Address>,
     agents: Vec<[Address; 2]>,
 }
 
-impl Places {
+impl AddressPlan {
     fn reserve(plan: &FleetPlan) -> io::Result<Self> {
         let each = || {
             (0..plan.balancers)
                 .map(|_| Address::reserve())
                 .collect::<io::Result<Vec<_>>>()
         };
-        Ok(Places {
+        Ok(AddressPlan {
             hosts: plan
                 .hosts
                 .iter()
@@ -122,8 +125,14 @@
         };
         let hosts = plan.hosts.iter().zip(&self.hosts);
         let mut lines: Vec<Line> = hosts
-            .map(|(host, places)| {
-                line(&host.name, &host.zone, "cache", &places[balancer], since_ms)
+            .map(|(host, addresses)| {
+                line(
+                    &host.name,
+                    &host.zone,
+                    "cache",
+                    &addresses[balancer],
+                    since_ms,
+                )
             })
             .collect();
         let zone = plan.hosts.first().map_or("a", |host| &host.zone);
@@ -136,46 +145,46 @@
     pub fn start(
         plan: FleetPlan,
         clock: RunClock,
-        tapes: &Sender<Vec<(Micros, Seen)>>,
+        event_sender: &Sender<Vec<(Micros, Seen)>>,
     ) -> io::Result<Self> {
-        let mut places = Places::reserve(&plan)?;
+        let mut addresses = AddressPlan::reserve(&plan)?;
         let since = if plan.cold {
             clock.unix_ms(clock.now())
         } else {
             0
         };
         let lists: Vec<Vec<Line>> = (0..plan.balancers)
-            .map(|b| places.lines(&plan, b, since))
+            .map(|b| addresses.lines(&plan, b, since))
             .collect();
-        let known = lists
+        let initial_lists = lists
             .iter()
             .map(|lines| Agent::new(lines.clone(), 0).snapshot())
             .collect();
-        let hosts = places
+        let hosts = addresses
             .hosts
             .iter()
             .filter_map(|addresses| addresses.first().map(Address::at))
             .collect();
-        let agents = places
+        let agents = addresses
             .agents
             .iter()
             .map(|[now, later]| [now.at(), later.at()])
             .collect();
         let threads = plan.threads.max(1);
-        let (orders, inboxes): (Vec<_>, Vec<_>) =
+        let (commands, inboxes): (Vec<_>, Vec<_>) =
             (0..threads).map(|_| mpsc::unbounded_channel()).unzip();
         let group = RepeatGroup::shared();
         let mut running = Vec::new();
         for (i, inbox) in inboxes.into_iter().enumerate() {
-            let mut part = Part::new(
+            let mut settings = ThreadSettings::new(
                 plan.clone(),
                 clock,
-                Tape::new(clock, tapes.clone()),
-                orders.clone(),
+                EventLog::new(clock, event_sender.clone()),
+                commands.clone(),
             );
-            for (host, addresses) in places.hosts.iter_mut().enumerate() {
+            for (host, addresses) in addresses.hosts.iter_mut().enumerate() {
                 if host % threads == i {
-                    part.hosts.push((
+                    settings.hosts.push((
                         host,
                         std::mem::take(addresses),
                         std::sync::Arc::clone(&group),
@@ -183,19 +192,19 @@
                 }
             }
             if i == 0 {
-                part.origin = Some(std::mem::take(&mut places.origin));
-                part.agents = std::mem::take(&mut places.agents)
+                settings.origin = Some(std::mem::take(&mut addresses.origin));
+                settings.agents = std::mem::take(&mut addresses.agents)
                     .into_iter()
                     .zip(lists.clone())
                     .collect();
             }
-            running.push(part.run(inbox)?);
+            running.push(settings.run(inbox)?);
         }
         Ok(Fleet {
-            orders,
+            commands,
             threads: running,
             agents,
-            known,
+            initial_lists,
             hosts,
             plan,
             clock,
@@ -203,8 +212,8 @@
     }
 
     /// What is started with: the list as this balancer last had it.
-    pub fn known(&self, balancer: usize) -> &Value {
-        &self.known[balancer]
+    pub fn initial_list(&self, balancer: usize) -> &Value {
+        &self.initial_lists[balancer]
     }
 
     /// The caches themselves, as the first balancer reaches them.
@@ -217,28 +226,30 @@
     }
 
     /// Every change that hosts and lists know of by themselves.
-    pub fn act(&self, act: Act) {
+    pub fn apply(&self, act: Act) {
         let now = self.clock.unix_ms(self.clock.now());
         match act {
-            Act::Kill { host } => self.order(Order::List(host, Status::Gone, 0)),
-            Act::Start { host } => self.order(Order::List(host, Status::Serving, now)),
-            Act::ListDraining { host } => self.order(Order::List(host, Status::Draining, 0)),
-            Act::ListServing { host } => self.order(Order::List(host, Status::Serving, 0)),
+            Act::Kill { host } => self.command(FleetCommand::List(host, Status::Gone, 0)),
+            Act::Start { host } => self.command(FleetCommand::List(host, Status::Serving, now)),
+            Act::ListDraining { host } => {
+                self.command(FleetCommand::List(host, Status::Draining, 0))
+            }
+            Act::ListServing { host } => self.command(FleetCommand::List(host, Status::Serving, 0)),
             _ => {}
         }
-        self.order(Order::Act(act));
+        self.command(FleetCommand::Act(act));
     }
 
-    fn order(&self, order: Order) {
+    fn command(&self, command: FleetCommand) {
         // A thread that has ended has said why.
-        self.orders
+        self.commands
             .iter()
-            .for_each(|thread| drop(thread.send(order.clone())));
+            .for_each(|thread| drop(thread.send(command.clone())));
     }
 
     /// Ends all stand-ins; what each counted, in the order of the plan, the origin last.
     pub fn end(self) -> Vec<ServerReport> {
-        self.order(Order::End);
+        self.command(FleetCommand::End);
         let mut reports: Vec<ServerReport> = self
             .threads
             .into_iter()
@@ -256,27 +267,27 @@
 }
 
 /// What one thread runs.
-struct Part {
+struct ThreadSettings {
     plan: FleetPlan,
     clock: RunClock,
-    tape: Tape,
-    threads: Vec<mpsc::UnboundedSender<Order>>,
+    event_log: EventLog,
+    threads: Vec<mpsc::UnboundedSender<FleetCommand>>,
     hosts: Vec<(usize, Vec<Address>, std::sync::Arc<Mutex<RepeatGroup>>)>,
     origin: Option<Vec<Address>>,
     agents: Vec<([Address; 2], Vec<Line>)>,
 }
 
-impl Part {
+impl ThreadSettings {
     fn new(
         plan: FleetPlan,
         clock: RunClock,
-        tape: Tape,
-        threads: Vec<mpsc::UnboundedSender<Order>>,
+        event_log: EventLog,
+        threads: Vec<mpsc::UnboundedSender<FleetCommand>>,
     ) -> Self {
-        Part {
+        ThreadSettings {
             plan,
             clock,
-            tape,
+            event_log,
             threads,
             hosts: Vec::new(),
             origin: None,
@@ -287,7 +298,7 @@
     /// Listens on all its addresses before it returns.
     fn run(
         self,
-        inbox: mpsc::UnboundedReceiver<Order>,
+        inbox: mpsc::UnboundedReceiver<FleetCommand>,
     ) -> io::Result<JoinHandle<Vec<ServerReport>>> {
         let (ready, is_ready) = std::sync::mpsc::channel();
         let thread = std::thread::Builder::new()
@@ -298,19 +309,19 @@
                     .build()
                 {
                     Ok(runtime) => runtime,
-                    Err(problem) => {
-                        let _ = ready.send(Err(problem));
+                    Err(error) => {
+                        let _ = ready.send(Err(error));
                         return Vec::new();
                     }
                 };
                 runtime.block_on(LocalSet::new().run_until(async move {
-                    match Stations::start(self) {
+                    match ServerThread::start(self) {
                         Ok(stations) => {
                             let _ = ready.send(Ok(()));
                             stations.serve(inbox).await
                         }
-                        Err(problem) => {
-                            let _ = ready.send(Err(problem));
+                        Err(error) => {
+                            let _ = ready.send(Err(error));
                             Vec::new()
                         }
                     }
@@ -323,31 +334,31 @@
     }
 }
 
-struct Stations {
-    tape: Rc<RefCell<Tape>>,
-    hosts: FxHashMap<usize, Rc<Station<CacheService>>>,
-    origin: Option<Rc<Station<OriginService>>>,
-    agents: Vec<[Rc<Station<AgentService>>; 2]>,
+struct ServerThread {
+    event_log: Rc<RefCell<EventLog>>,
+    hosts: FxHashMap<usize, Rc<ServerHost<CacheService>>>,
+    origin: Option<Rc<ServerHost<OriginService>>>,
+    agents: Vec<[Rc<ServerHost<AgentService>>; 2]>,
     lines: Vec<Vec<Line>>,
     plan: FleetPlan,
     moved: bool,
 }
 
-impl Stations {
-    fn start(part: Part) -> io::Result<Self> {
-        let Part {
+impl ServerThread {
+    fn start(settings: ThreadSettings) -> io::Result<Self> {
+        let ThreadSettings {
             plan,
             clock,
-            tape,
+            event_log,
             threads,
             hosts,
             origin,
             agents,
-        } = part;
-        let tape = Rc::new(RefCell::new(tape));
+        } = settings;
+        let event_log = Rc::new(RefCell::new(event_log));
         let origin_at = plan.hosts.len() as u16;
-        let mut stations = Stations {
-            tape: Rc::clone(&tape),
+        let mut stations = ServerThread {
+            event_log: Rc::clone(&event_log),
             hosts: FxHashMap::default(),
             origin: None,
             agents: Vec::new(),
@@ -361,23 +372,33 @@
             if stations.plan.cold {
                 model.start_cold(clock.now());
             }
-            let service = CacheService::new(model, i as u16, Rc::clone(&tape));
-            let station = Station::new(clock, service, addresses, i as u64 * NUMBERS);
-            station.listen()?;
-            stations.hosts.insert(i, station);
+            let service = CacheService::new(model, i as u16, Rc::clone(&event_log));
+            let server_host = ServerHost::new(
+                clock,
+                service,
+                addresses,
+                i as u64 * CONNECTION_IDS_PER_HOST,
+            );
+            server_host.listen()?;
+            stations.hosts.insert(i, server_host);
         }
         if let Some(addresses) = origin {
             let model = Origin::new(stations.plan.origin.clone(), stations.plan.seed);
-            let tell: Tell = Rc::new(move |word: Word| {
+            let notifier: Notifier = Rc::new(move |notification: OriginNotification| {
                 // All threads hear it, this one too.
-                threads
-                    .iter()
-                    .for_each(|thread| drop(thread.send(Order::Say(word.clone()))));
+                threads.iter().for_each(|thread| {
+                    drop(thread.send(FleetCommand::Notify(notification.clone())))
+                });
             });
-            let service = OriginService::new(model, origin_at, Rc::clone(&tape), tell);
-            let station = Station::new(clock, service, addresses, u64::from(origin_at) * NUMBERS);
-            station.listen()?;
-            stations.origin = Some(station);
+            let service = OriginService::new(model, origin_at, Rc::clone(&event_log), notifier);
+            let server_host = ServerHost::new(
+                clock,
+                service,
+                addresses,
+                u64::from(origin_at) * CONNECTION_IDS_PER_HOST,
+            );
+            server_host.listen()?;
+            stations.origin = Some(server_host);
         }
         let mut names: FxHashMap<String, u16> = stations
             .plan
@@ -388,15 +409,15 @@
             .collect();
         names.insert("origin".to_string(), origin_at);
         for (balancer, ([now, later], lines)) in agents.into_iter().enumerate() {
-            let station = |address: Address, lag| {
+            let server_host = |address: Address, lag| {
                 let model = Agent::new(lines.clone(), lag);
                 let service =
-                    AgentService::new(model, names.clone(), balancer as u16, Rc::clone(&tape));
-                Station::new(clock, service, vec![address], 0)
+                    AgentService::new(model, names.clone(), balancer as u16, Rc::clone(&event_log));
+                ServerHost::new(clock, service, vec![address], 0)
             };
             let pair = [
-                station(now, stations.plan.lag),
-                station(later, stations.plan.lag),
+                server_host(now, stations.plan.lag),
+                server_host(later, stations.plan.lag),
             ];
             pair[0].listen()?;
             stations.agents.push(pair);
@@ -405,19 +426,22 @@
         Ok(stations)
     }
 
-    async fn serve(mut self, mut inbox: mpsc::UnboundedReceiver<Order>) -> Vec<ServerReport> {
-        let mut tick = tokio::time::interval(TICK);
+    async fn serve(
+        mut self,
+        mut inbox: mpsc::UnboundedReceiver<FleetCommand>,
+    ) -> Vec<ServerReport> {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         let mut ticks = 0_u64;
         loop {
             tokio::select! {
-                order = inbox.recv() => match order {
-                    Some(Order::End) | None => return self.reports(),
-                    Some(Order::Act(act)) => self.act(act),
-                    Some(Order::Say(word)) => self.say(&word),
-                    Some(Order::List(host, status, since_ms)) => self.list(host, status, since_ms),
+                command = inbox.recv() => match command {
+                    Some(FleetCommand::End) | None => return self.reports(),
+                    Some(FleetCommand::Act(act)) => self.apply(act),
+                    Some(FleetCommand::Notify(notification)) => self.notify_caches(&notification),
+                    Some(FleetCommand::List(host, status, since_ms)) => self.change_list(host, status, since_ms),
                 },
                 _ = tick.tick() => {
-                    self.tape.borrow_mut().tick();
+                    self.event_log.borrow_mut().flush_if_due();
                     ticks += 1;
                     if ticks.is_multiple_of(50) {
                         self.close_idle();
@@ -428,21 +452,21 @@
     }
 
     fn close_idle(&self) {
-        for station in self.hosts.values() {
-            station.with(|service, now, posts| service.close_idle(now, posts));
+        for server_host in self.hosts.values() {
+            server_host.with(|service, now, outputs| service.close_idle(now, outputs));
         }
     }
 
-    fn say(&self, word: &Word) {
-        for station in self.hosts.values() {
-            station.with(|service, now, _| match word {
-                Word::Filled { id } => service.model.fill(now, id),
-                Word::Written { key } => service.model.drop_key(key),
+    fn notify_caches(&self, notification: &OriginNotification) {
+        for server_host in self.hosts.values() {
+            server_host.with(|service, now, _| match notification {
+                OriginNotification::Filled { id } => service.model.fill(now, id),
+                OriginNotification::Written { key } => service.model.drop_key(key),
             });
         }
     }
 
-    fn list(&mut self, host: usize, status: Status, since_ms: u64) {
+    fn change_list(&mut self, host: usize, status: Status, since_ms: u64) {
         for (pair, lines) in self.agents.iter().zip(&mut self.lines) {
             let Some(line) = lines.get_mut(host) else {
                 continue;
@@ -452,18 +476,18 @@
                 line.since_ms = since_ms;
             }
             for agent in pair {
-                agent.with(|service, now, posts| {
+                agent.with(|service, now, outputs| {
                     service.model.change(now, line.clone());
                     service.model.advance(now, &mut service.actions);
-                    service.carry_out(now, posts);
+                    service.apply_actions(now, outputs);
                 });
             }
         }
     }
 
-    fn ail(&self, host: usize, change: impl FnOnce(&mut Ailments)) {
-        if let Some(station) = self.hosts.get(&host) {
-            station.with(|service, _, _| {
+    fn change_faults(&self, host: usize, change: impl FnOnce(&mut Ailments)) {
+        if let Some(server_host) = self.hosts.get(&host) {
+            server_host.with(|service, _, _| {
                 let mut ailments = service.model.ailments();
                 change(&mut ailments);
                 service.model.set_ailments(ailments);
@@ -471,69 +495,79 @@
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn apply(&mut self, act: Act) {
         let of = |host: &usize| self.hosts.get(host);
         match act {
-            Act::Slow { host, factor } => self.ail(host, |ailments| ailments.slow = factor),
-            Act::Lose { host, chance } => self.ail(host, |ailments| ailments.lost = chance),
-            Act::Spoil { host, chance } => self.ail(host, |ailments| ailments.spoilt = chance),
-            Act::Double { host, chance } => self.ail(host, |ailments| ailments.doubled = chance),
-            Act::Reset { host, chance } => self.ail(host, |ailments| ailments.reset = chance),
+            Act::Slow { host, factor } => {
+                self.change_faults(host, |ailments| ailments.slow = factor)
+            }
+            Act::Lose { host, chance } => {
+                self.change_faults(host, |ailments| ailments.lost = chance)
+            }
+            Act::Spoil { host, chance } => {
+                self.change_faults(host, |ailments| ailments.spoilt = chance)
+            }
+            Act::Double { host, chance } => {
+                self.change_faults(host, |ailments| ailments.doubled = chance)
+            }
+            Act::Reset { host, chance } => {
+                self.change_faults(host, |ailments| ailments.reset = chance)
+            }
             Act::SlowOrigin { factor } => {
                 if let Some(origin) = &self.origin {
                     origin.with(|service, _, _| service.model.set_slow(factor));
                 }
             }
             Act::Freeze { host } | Act::CutOff { host } => {
-                if let Some(station) = of(&host) {
-                    station.hold();
+                if let Some(server_host) = of(&host) {
+                    server_host.pause();
                 }
             }
             Act::Thaw { host } => {
-                if let Some(station) = of(&host) {
-                    station.release();
+                if let Some(server_host) = of(&host) {
+                    server_host.resume();
                 }
             }
             Act::Mend { host } => {
                 // What was open across the cut is reset when the network is back.
-                if let Some(station) = of(&host) {
-                    station.reset_all();
-                    station.release();
+                if let Some(server_host) = of(&host) {
+                    server_host.reset_all();
+                    server_host.resume();
                 }
             }
             Act::Kill { host } => {
-                if let Some(station) = of(&host) {
-                    station.with(|service, _, _| service.model.stop());
-                    station.die();
+                if let Some(server_host) = of(&host) {
+                    server_host.with(|service, _, _| service.model.stop());
+                    server_host.die();
                 }
             }
             Act::Start { host } => {
-                if let Some(station) = of(&host) {
-                    station.with(|service, now, _| service.start_cold(now));
-                    if let Err(problem) = station.listen() {
-                        eprintln!("cache host {host} cannot listen again: {problem}");
+                if let Some(server_host) = of(&host) {
+                    server_host.with(|service, now, _| service.start_cold(now));
+                    if let Err(error) = server_host.listen() {
+                        eprintln!("cache host {host} cannot listen again: {error}");
                     }
                 }
             }
             Act::Void { host, part } => {
-                if let Some(station) = of(&host) {
-                    station.with(|service, _, _| service.model.void(part));
+                if let Some(server_host) = of(&host) {
+                    server_host.with(|service, _, _| service.model.void(part));
                 }
             }
             Act::Drain { host, draining } => {
-                if let Some(station) = of(&host) {
-                    station.with(|service, _, _| service.model.drain(draining));
+                if let Some(server_host) = of(&host) {
+                    server_host.with(|service, _, _| service.model.drain(draining));
                 }
             }
-            Act::Silence { on } => self.agents(|agent, now| {
+            Act::Silence { on } => self.change_agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
                 model.set_silent(now, on, actions);
             }),
-            Act::Stale { on } => self.agents(|agent, now| {
+            Act::Stale { on } => self.change_agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
                 model.set_still(now, on, actions);
             }),
-            Act::MoveDiscovery => self.move_agents(),
+            Act::MoveDiscovery => self.move_discovery(),
             // Theirs who run the balancers, or told by `Order::List`.
             Act::ListDraining { .. }
             | Act::ListServing { .. }
@@ -545,23 +579,23 @@
         }
     }
 
-    fn agents(&self, act: impl Fn(&mut AgentService, Micros)) {
+    fn change_agents(&self, change: impl Fn(&mut AgentService, Micros)) {
         for agent in self.agents.iter().flatten() {
-            agent.with(|service, now, posts| {
-                act(service, now);
-                service.carry_out(now, posts);
+            agent.with(|service, now, outputs| {
+                change(service, now);
+                service.apply_actions(now, outputs);
             });
         }
     }
 
     /// The new address listens; the old one takes no new connection and closes the open ones a while later.
-    fn move_agents(&mut self) {
+    fn move_discovery(&mut self) {
         if std::mem::replace(&mut self.moved, true) {
             return;
         }
         for [old, new] in &self.agents {
-            if let Err(problem) = new.listen() {
-                eprintln!("discovery's agent cannot listen at its new address: {problem}");
+            if let Err(error) = new.listen() {
+                eprintln!("discovery's agent cannot listen at its new address: {error}");
             }
             let old = Rc::clone(old);
             old.stop_listening();
@@ -574,21 +608,21 @@
 
     fn reports(&self) -> Vec<ServerReport> {
         let mut reports = Vec::new();
-        for (i, station) in &self.hosts {
-            let counts = station.with(|service, _, _| service.counts());
+        for (i, server_host) in &self.hosts {
+            let counts = server_host.with(|service, _, _| service.counts());
             reports.push(ServerReport {
                 name: self.plan.hosts[*i].name.clone(),
                 counts,
-                worst_load: 0.0,
+                max_load: 0.0,
             });
         }
         if let Some(origin) = &self.origin {
-            let (counts, worst_load) =
+            let (counts, max_load) =
                 origin.with(|service, _, _| (service.counts, service.model.worst()));
             reports.push(ServerReport {
                 name: "origin".to_string(),
                 counts,
-                worst_load,
+                max_load,
             });
         }
         reports
--- a/crates/stairfront-lab/src/live.rs
+++ b/crates/stairfront-lab/src/live_counters.rs
@@ -5,58 +5,58 @@
 
 /// Counted since the last look; shared by all threads of a run.
 #[derive(Debug, Default)]
-pub struct Live {
+pub struct LiveCounters {
     served: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     other: AtomicU64,
     slowest_us: AtomicU64,
     /// Attempts at each host, the origin last.
-    begun: Vec<AtomicU64>,
+    attempts: Vec<AtomicU64>,
 }
 
 /// What was counted between two looks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Glance {
+pub struct LiveSnapshot {
     pub served: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub other: u64,
     pub slowest_us: u64,
-    pub begun: Vec<u64>,
+    pub attempts: Vec<u64>,
 }
 
-impl Live {
+impl LiveCounters {
     pub fn new(hosts: usize) -> Self {
-        Live {
-            begun: (0..hosts).map(|_| AtomicU64::new(0)).collect(),
-            ..Live::default()
+        LiveCounters {
+            attempts: (0..hosts).map(|_| AtomicU64::new(0)).collect(),
+            ..LiveCounters::default()
         }
     }
 
-    pub fn ended(&self, end: End, took_us: u64) {
+    pub fn record_end(&self, end: End, took_us: u64) {
         let counter = match end {
             End::Served => &self.served,
-            End::Refused { .. } => &self.refused,
+            End::Refused { .. } => &self.rejected,
             _ => &self.other,
         };
         counter.fetch_add(1, Ordering::Relaxed);
         self.slowest_us.fetch_max(took_us, Ordering::Relaxed);
     }
 
-    pub fn began(&self, host: usize) {
-        if let Some(counter) = self.begun.get(host) {
+    pub fn record_attempt(&self, host: usize) {
+        if let Some(counter) = self.attempts.get(host) {
             counter.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Takes what was counted since the last call.
-    pub fn take(&self) -> Glance {
+    pub fn take(&self) -> LiveSnapshot {
         let take = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
-        Glance {
+        LiveSnapshot {
             served: take(&self.served),
-            refused: take(&self.refused),
+            rejected: take(&self.rejected),
             other: take(&self.other),
             slowest_us: take(&self.slowest_us),
-            begun: self.begun.iter().map(take).collect(),
+            attempts: self.attempts.iter().map(take).collect(),
         }
     }
 }
--- a/crates/stairfront-lab/src/load.rs
+++ b/crates/stairfront-lab/src/load.rs
@@ -29,34 +29,34 @@
 use tokio_util::codec::Decoder;
 
 use crate::clock::RunClock;
-use crate::live::Live;
-use crate::tally::Tally;
-use crate::tape::Tape;
+use crate::event_log::EventLog;
+use crate::live_counters::LiveCounters;
+use crate::summary::Summary;
 
 /// How often waits are looked through.
-const SWEEP: Micros = 10 * MS;
+const SWEEP_INTERVAL: Micros = 10 * MS;
 /// A connection that does not come up in this time is given up.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A balancer that refused a connection is left alone for so long while there are others.
-const DOWN_FOR: Micros = 200 * MS;
+const UNAVAILABLE_TTL: Micros = 200 * MS;
 /// Beyond its time a client with one request on a connection closes it after this.
-const CLOSE_AFTER: Micros = 60 * MS;
+const CLOSE_TIMEOUT: Micros = 60 * MS;
 /// Others on a connection that carries several wait so long for answers that are late.
-const PATIENCE: Micros = 30 * SECOND;
+const LATE_ANSWER_TIMEOUT: Micros = 30 * SECOND;
 /// Times that a request which nobody has read goes to another connection.
-const MOST_MOVES: u8 = 4;
+const MAX_REASSIGNMENTS: u8 = 4;
 /// Between two commands, and two reads, of a client that reads slowly.
-const SLOW_PAUSE: Duration = Duration::from_millis(20);
+const SLOW_READ_INTERVAL: Duration = Duration::from_millis(20);
 /// Looks, a millisecond apart, for the reset behind an end: on loopback it is there at once, or when a kernel thread
 /// has got round to it.
-const RESET_LOOKS: u32 = 20;
-const LARGEST_VALUE: usize = 16 * 1024 * 1024;
-const READ_BUFFER: usize = 16 * 1024;
+const MAX_RESET_CHECKS: u32 = 20;
+const MAX_VALUE_BYTES: usize = 16 * 1024 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// How clients use connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Habits {
+pub struct ClientBehavior {
     /// Most kept connections to each balancer.
     pub connections: usize,
     /// Most requests open on one of them; above 1 they are pipelined.
@@ -69,9 +69,9 @@
     pub slow_readers: usize,
 }
 
-impl Default for Habits {
+impl Default for ClientBehavior {
     fn default() -> Self {
-        Habits {
+        ClientBehavior {
             connections: 64,
             pipelining: 1,
             one_shot: 0.0,
@@ -83,7 +83,7 @@
 
 /// One balancer as the front that deals out connections knows it.
 #[derive(Clone, Debug)]
-pub struct Front {
+pub struct BalancerEndpoint {
     pub address: SocketAddr,
     /// Gets no new connections.
     pub closed: Arc<AtomicBool>,
@@ -94,28 +94,28 @@
     pub traffic: Traffic,
     pub classes: Vec<ClassSettings>,
     pub retries: RetrySettings,
-    pub habits: Habits,
-    pub balancers: Vec<Front>,
+    pub behavior: ClientBehavior,
+    pub balancers: Vec<BalancerEndpoint>,
     pub threads: usize,
     pub seed: u64,
     /// Arrivals end then; what is due from `count_from` on is counted.
     pub end: Micros,
     pub count_from: Micros,
-    pub live: Arc<Live>,
+    pub live_counters: Arc<LiveCounters>,
 }
 
 /// Runs all clients until the last answer is in or nobody waits any more.
 pub fn run(
     plan: &LoadPlan,
     clock: RunClock,
-    tapes: &Sender<Vec<(Micros, Seen)>>,
-) -> io::Result<Tally> {
+    event_sender: &Sender<Vec<(Micros, Seen)>>,
+) -> io::Result<Summary> {
     let popularity = Arc::new(Popularity::new(plan.traffic.keys, plan.traffic.zipf));
     let (classes, tenants) = (plan.classes.len(), plan.traffic.tenants.len());
     let mut threads = Vec::new();
     for source in 0..plan.threads.max(1) {
         let (plan, popularity) = (plan.clone(), Arc::clone(&popularity));
-        let tape = Tape::new(clock, tapes.clone());
+        let event_log = EventLog::new(clock, event_sender.clone());
         threads.push(
             std::thread::Builder::new()
                 .name("clients".to_string())
@@ -123,98 +123,99 @@
                     let runtime = tokio::runtime::Builder::new_current_thread()
                         .enable_all()
                         .build()?;
-                    Ok(runtime.block_on(
-                        LocalSet::new()
-                            .run_until(Source::run(plan, popularity, clock, tape, source)),
-                    ))
+                    Ok(
+                        runtime.block_on(LocalSet::new().run_until(ClientThread::run(
+                            plan, popularity, clock, event_log, source,
+                        ))),
+                    )
                 })?,
         );
     }
-    let mut tally = Tally::new(classes, tenants, plan.count_from, plan.end);
+    let mut summary = Summary::new(classes, tenants, plan.count_from, plan.end);
     for thread in threads {
-        let part: io::Result<Tally> = thread
+        let part: io::Result<Summary> = thread
             .join()
             .unwrap_or_else(|_| Err(io::Error::other("a thread of clients ended")));
-        tally.add(&part?);
+        summary.add(&part?);
     }
-    Ok(tally)
+    Ok(summary)
 }
 
 /// A request that has no answer yet.
-struct Owed {
-    ask: Ask,
+struct PendingRequest {
+    request: Ask,
     /// Its last byte has been written.
     sent: bool,
     /// The balancer had ended its side by the time that was written: it cannot be read as a command any more.
-    crossed: bool,
+    crossed_close: bool,
     /// Its client waits no longer.
-    given_up: bool,
-    moves: u8,
+    timed_out: bool,
+    reassignments: u8,
 }
 
 /// One connection.
-struct Line {
+struct ClientConnection {
     balancer: usize,
     out: RefCell<BytesMut>,
-    owed: RefCell<VecDeque<Owed>>,
-    bell: Notify,
+    pending: RefCell<VecDeque<PendingRequest>>,
+    wakeup: Notify,
     /// Takes no further request.
-    last: Cell<bool>,
+    closing: Cell<bool>,
     /// Closes at once, whatever it is owed.
-    left: Cell<bool>,
+    abandoned: Cell<bool>,
     /// Has carried an answer before.
-    used: Cell<bool>,
+    has_answered: Cell<bool>,
 }
 
-impl Line {
+impl ClientConnection {
     fn new(balancer: usize) -> Rc<Self> {
-        Rc::new(Line {
+        Rc::new(ClientConnection {
             balancer,
             out: RefCell::default(),
-            owed: RefCell::default(),
-            bell: Notify::new(),
-            last: Cell::new(false),
-            left: Cell::new(false),
-            used: Cell::new(false),
+            pending: RefCell::default(),
+            wakeup: Notify::new(),
+            closing: Cell::new(false),
+            abandoned: Cell::new(false),
+            has_answered: Cell::new(false),
         })
     }
 }
 
 /// What one balancer is to a source.
-struct Road {
-    front: Front,
-    lines: RefCell<Vec<Rc<Line>>>,
+struct BalancerConnections {
+    endpoint: BalancerEndpoint,
+    connections: RefCell<Vec<Rc<ClientConnection>>>,
     /// Where to look first for a free one.
-    turn: Cell<usize>,
-    down_until: Cell<Micros>,
+    next_index: Cell<usize>,
+    unavailable_until: Cell<Micros>,
 }
 
 /// The clients of one thread.
-struct Source {
+struct ClientThread {
     plan: LoadPlan,
     clock: RunClock,
     clients: RefCell<Clients>,
-    tape: RefCell<Tape>,
-    tally: RefCell<Tally>,
-    roads: Vec<Road>,
-    turn: Cell<usize>,
+    event_log: RefCell<EventLog>,
+    summary: RefCell<Summary>,
+    balancers: Vec<BalancerConnections>,
+    next_index: Cell<usize>,
     /// Due, and without a connection yet.
     waiting: RefCell<VecDeque<(Ask, u8)>>,
-    open: Cell<usize>,
-    dice: RefCell<Dice>,
+    in_flight: Cell<usize>,
+    rng: RefCell<Dice>,
     wake: Notify,
     /// Most kept connections to each balancer from this thread.
-    most: usize,
+    max_connections: usize,
 }
 
-impl Source {
+impl ClientThread {
     async fn run(
         plan: LoadPlan,
         popularity: Arc<Popularity>,
         clock: RunClock,
-        tape: Tape,
+        event_log: EventLog,
         source: usize,
-    ) -> Tally {
+    ) -> Summary {
         let threads = plan.threads.max(1);
         let arrivals = Arrivals::new(plan.traffic.clone(), popularity, plan.seed, source, threads);
         let clients = Clients::new(
@@ -225,37 +226,37 @@
             source,
             plan.end,
         );
-        let tally = Tally::new(
+        let summary = Summary::new(
             plan.classes.len(),
             plan.traffic.tenants.len(),
             plan.count_from,
             plan.end,
         );
-        let road = |front: &Front| Road {
-            front: front.clone(),
-            lines: RefCell::default(),
-            turn: Cell::new(0),
-            down_until: Cell::new(0),
+        let balancer = |endpoint: &BalancerEndpoint| BalancerConnections {
+            endpoint: endpoint.clone(),
+            connections: RefCell::default(),
+            next_index: Cell::new(0),
+            unavailable_until: Cell::new(0),
         };
-        let this = Rc::new(Source {
+        let this = Rc::new(ClientThread {
             clock,
             clients: RefCell::new(clients),
-            tape: RefCell::new(tape),
-            tally: RefCell::new(tally),
-            roads: plan.balancers.iter().map(road).collect(),
-            turn: Cell::new(source),
+            event_log: RefCell::new(event_log),
+            summary: RefCell::new(summary),
+            balancers: plan.balancers.iter().map(balancer).collect(),
+            next_index: Cell::new(source),
             waiting: RefCell::default(),
-            open: Cell::new(0),
-            dice: RefCell::new(Dice::new(plan.seed, &format!("habits-{source}"))),
+            in_flight: Cell::new(0),
+            rng: RefCell::new(Dice::new(plan.seed, &format!("habits-{source}"))),
             wake: Notify::new(),
-            most: plan.habits.connections.div_ceil(threads).max(1),
+            max_connections: plan.behavior.connections.div_ceil(threads).max(1),
             plan,
         });
         let share = |all: usize| all / threads + usize::from(source < all % threads);
-        for i in 0..share(this.plan.habits.idle) {
-            spawn_local(Rc::clone(&this).stand_idle(i));
+        for i in 0..share(this.plan.behavior.idle) {
+            spawn_local(Rc::clone(&this).hold_idle_connection(i));
         }
-        let slow = 0..share(this.plan.habits.slow_readers);
+        let slow = 0..share(this.plan.behavior.slow_readers);
         let slow: Vec<_> = slow
             .map(|i| spawn_local(Rc::clone(&this).read_slowly(i, source)))
             .collect();
@@ -265,30 +266,30 @@
             // It ends with the plan, and fails only by a panic, which has been shown.
             let _ = reader.await;
         }
-        this.tally.replace(Tally::new(0, 1, 0, 0))
+        this.summary.replace(Summary::new(0, 1, 0, 0))
     }
 
     async fn drive(self: Rc<Self>) {
-        let mut sweep_at = 0;
+        let mut next_sweep = 0;
         loop {
             let now = self.clock.now();
             // Bound first: settling within the loop would borrow the clients again.
             loop {
-                let ask = self.clients.borrow_mut().take(now);
-                let Some(ask) = ask else { break };
-                self.place(ask, 0);
+                let request = self.clients.borrow_mut().take(now);
+                let Some(request) = request else { break };
+                self.dispatch(request, 0);
             }
-            self.place_waiting(now);
-            if now >= sweep_at {
-                self.sweep(now);
-                sweep_at = now + SWEEP;
+            self.dispatch_waiting(now);
+            if now >= next_sweep {
+                self.expire_requests(now);
+                next_sweep = now + SWEEP_INTERVAL;
             }
             let next = self.clients.borrow().next_due();
-            let idle = self.open.get() == 0 && self.waiting.borrow().is_empty();
+            let idle = self.in_flight.get() == 0 && self.waiting.borrow().is_empty();
             if next.is_none() && idle {
                 return;
             }
-            let due = next.map_or(sweep_at, |next| next.min(sweep_at));
+            let due = next.map_or(next_sweep, |next| next.min(next_sweep));
             tokio::select! {
                 () = sleep_until(self.clock.instant(due)) => {}
                 () = self.wake.notified() => {}
@@ -297,114 +298,139 @@
     }
 
     /// Gives a request to a connection, or has it wait for one.
-    fn place(self: &Rc<Self>, ask: Ask, moves: u8) {
+    fn dispatch(self: &Rc<Self>, request: Ask, reassignments: u8) {
         let now = self.clock.now();
-        if moves == 0 {
-            self.open.set(self.open.get() + 1);
+        if reassignments == 0 {
+            self.in_flight.set(self.in_flight.get() + 1);
         }
-        if moves > MOST_MOVES {
-            return self.settle(now, &ask, End::Lost, true);
+        if reassignments > MAX_REASSIGNMENTS {
+            return self.finish_attempt(now, &request, End::Lost, true);
         }
-        let one_shot = self.dice.borrow_mut().happens(self.plan.habits.one_shot);
-        let Some(road) = self.road(now) else {
-            return self.settle(now, &ask, End::Lost, true);
+        let one_shot = self.rng.borrow_mut().happens(self.plan.behavior.one_shot);
+        let Some(balancer) = self.next_balancer(now) else {
+            return self.finish_attempt(now, &request, End::Lost, true);
         };
-        let line = if one_shot {
-            let line = Line::new(road);
-            line.last.set(true);
-            spawn_local(Rc::clone(self).talk(Rc::clone(&line)));
-            Some(line)
+        let connection = if one_shot {
+            let connection = ClientConnection::new(balancer);
+            connection.closing.set(true);
+            spawn_local(Rc::clone(self).run_connection(Rc::clone(&connection)));
+            Some(connection)
         } else {
-            self.free_line(road)
+            self.free_connection(balancer)
         };
-        match line {
-            Some(line) => self.write(now, &line, ask, moves),
-            None => self.waiting.borrow_mut().push_back((ask, moves)),
+        match connection {
+            Some(connection) => self.write_request(now, &connection, request, reassignments),
+            None => self
+                .waiting
+                .borrow_mut()
+                .push_back((request, reassignments)),
         }
     }
 
     /// The next balancer in turn that is not known to be down; any if all are.
-    fn road(&self, now: Micros) -> Option<usize> {
-        let n = self.roads.len();
-        let first = self.turn.replace((self.turn.get() + 1) % n.max(1));
-        let is_up = |road: &Road| {
-            road.down_until.get() <= now && !road.front.closed.load(Ordering::Relaxed)
+    fn next_balancer(&self, now: Micros) -> Option<usize> {
+        let n = self.balancers.len();
+        let first = self
+            .next_index
+            .replace((self.next_index.get() + 1) % n.max(1));
+        let is_up = |balancer: &BalancerConnections| {
+            balancer.unavailable_until.get() <= now
+                && !balancer.endpoint.closed.load(Ordering::Relaxed)
         };
         let up = (0..n)
             .map(|i| (first + i) % n)
-            .find(|i| is_up(&self.roads[*i]));
+            .find(|i| is_up(&self.balancers[*i]));
         up.or((n > 0).then_some(first % n.max(1)))
     }
 
-    fn free_line(self: &Rc<Self>, balancer: usize) -> Option<Rc<Line>> {
-        let road = &self.roads[balancer];
-        let mut lines = road.lines.borrow_mut();
-        let (n, depth) = (lines.len(), self.plan.habits.pipelining.max(1));
+    fn free_connection(self: &Rc<Self>, balancer: usize) -> Option<Rc<ClientConnection>> {
+        let target = &self.balancers[balancer];
+        let mut connections = target.connections.borrow_mut();
+        let (n, depth) = (connections.len(), self.plan.behavior.pipelining.max(1));
         let first = if depth > 1 {
-            road.turn.replace(road.turn.get().wrapping_add(1))
+            target
+                .next_index
+                .replace(target.next_index.get().wrapping_add(1))
         } else {
             0
         };
-        let free = |line: &Rc<Line>| !line.last.get() && line.owed.borrow().len() < depth;
+        let free = |connection: &Rc<ClientConnection>| {
+            !connection.closing.get() && connection.pending.borrow().len() < depth
+        };
         // With one request at a time the first free one serves: few connections are kept busy.
-        if depth == 1 || n >= self.most {
-            if let Some(line) = (0..n)
-                .map(|i| &lines[(first + i) % n])
-                .find(|line| free(line))
+        if depth == 1 || n >= self.max_connections {
+            if let Some(connection) = (0..n)
+                .map(|i| &connections[(first + i) % n])
+                .find(|connection| free(connection))
             {
-                return Some(Rc::clone(line));
+                return Some(Rc::clone(connection));
             }
         }
-        if n >= self.most {
+        if n >= self.max_connections {
             return None;
         }
-        let line = Line::new(balancer);
-        lines.push(Rc::clone(&line));
-        spawn_local(Rc::clone(self).talk(Rc::clone(&line)));
-        Some(line)
+        let connection = ClientConnection::new(balancer);
+        connections.push(Rc::clone(&connection));
+        spawn_local(Rc::clone(self).run_connection(Rc::clone(&connection)));
+        Some(connection)
     }
 
-    fn place_waiting(self: &Rc<Self>, now: Micros) {
+    fn dispatch_waiting(self: &Rc<Self>, now: Micros) {
         loop {
             // Bound first: what is settled below may come back to wait.
             let first = self.waiting.borrow_mut().pop_front();
-            let Some((ask, moves)) = first else { return };
-            if ask.deadline <= now {
-                self.settle(now, &ask, End::Unanswered, true);
+            let Some((request, reassignments)) = first else {
+                return;
+            };
+            if request.deadline <= now {
+                self.finish_attempt(now, &request, End::Unanswered, true);
                 continue;
             }
-            let line = (0..self.roads.len())
-                .find_map(|_| self.road(now).and_then(|road| self.free_line(road)));
-            match line {
-                Some(line) => self.write(now, &line, ask, moves),
-                None => return self.waiting.borrow_mut().push_front((ask, moves)),
+            let connection = (0..self.balancers.len()).find_map(|_| {
+                self.next_balancer(now)
+                    .and_then(|balancer| self.free_connection(balancer))
+            });
+            match connection {
+                Some(connection) => self.write_request(now, &connection, request, reassignments),
+                None => {
+                    return self
+                        .waiting
+                        .borrow_mut()
+                        .push_front((request, reassignments))
+                }
             }
         }
     }
 
-    fn write(&self, now: Micros, line: &Line, ask: Ask, moves: u8) {
-        let left_ms = ((ask.deadline - now) / MS).max(1);
-        let Some(class) = self.plan.classes.get(usize::from(ask.class)) else {
+    fn write_request(
+        &self,
+        now: Micros,
+        connection: &ClientConnection,
+        request: Ask,
+        reassignments: u8,
+    ) {
+        let left_ms = ((request.deadline - now) / MS).max(1);
+        let Some(class) = self.plan.classes.get(usize::from(request.class)) else {
             return;
         };
         let tenant = self
             .plan
             .traffic
             .tenants
-            .get(usize::from(ask.tenant))
+            .get(usize::from(request.tenant))
             .map_or("", |tenant| &tenant.name);
-        let id = format!("{:016x}", ask.id);
+        let id = format!("{:016x}", request.id);
         let mut info = format!("c={},t={tenant},d={left_ms}", class.name);
-        if ask.retry > 0 && self.plan.retries.marked {
+        if request.retry > 0 && self.plan.retries.marked {
             info.push_str(",r=1");
         }
         if class.repeats == Repeats::Keyed {
             info.push_str(&format!(",k={id}"));
         }
-        let mut out = line.out.borrow_mut();
+        let mut out = connection.out.borrow_mut();
         put_number(&mut out, b'*', if class.write { 5 } else { 4 });
         put_bulk(&mut out, if class.write { b"C.SET" } else { b"C.GET" });
-        put_bulk(&mut out, format!("{:016x}", ask.key).as_bytes());
+        put_bulk(&mut out, format!("{:016x}", request.key).as_bytes());
         put_bulk(&mut out, id.as_bytes());
         put_bulk(&mut out, info.as_bytes());
         if class.write {
@@ -412,225 +438,276 @@
             out.put_bytes(b'v', class.value_bytes);
             out.put_slice(b"\r\n");
         }
-        line.owed.borrow_mut().push_back(Owed {
-            ask,
+        connection.pending.borrow_mut().push_back(PendingRequest {
+            request,
             sent: false,
-            crossed: false,
-            given_up: false,
-            moves,
+            crossed_close: false,
+            timed_out: false,
+            reassignments,
         });
-        line.bell.notify_one();
+        connection.wakeup.notify_one();
     }
 
-    fn note(&self, at: Micros, seen: Seen) {
-        self.tape.borrow_mut().note(at, seen);
+    fn record(&self, at: Micros, seen: Seen) {
+        self.event_log.borrow_mut().record(at, seen);
     }
 
     /// The end of a try for its client.
-    fn settle(&self, now: Micros, ask: &Ask, end: End, unsent: bool) {
-        self.open.set(self.open.get().saturating_sub(1));
+    fn finish_attempt(&self, now: Micros, request: &Ask, end: End, unsent: bool) {
+        self.in_flight.set(self.in_flight.get().saturating_sub(1));
         let mut clients = self.clients.borrow_mut();
-        let in_time = end == End::Served && now - ask.first_due <= clients.aim(ask.class);
-        clients.settle(now, ask, end);
-        self.tally.borrow_mut().book(now, ask, end, unsent, in_time);
-        self.plan.live.ended(end, (now - ask.due).max(0) as u64);
+        let in_time = end == End::Served && now - request.first_due <= clients.aim(request.class);
+        clients.settle(now, request, end);
+        self.summary
+            .borrow_mut()
+            .record(now, request, end, unsent, in_time);
+        self.plan
+            .live_counters
+            .record_end(end, (now - request.due).max(0) as u64);
         self.wake.notify_one();
     }
 
     /// Ends the waits that are over.
-    fn sweep(self: &Rc<Self>, now: Micros) {
-        self.tape.borrow_mut().tick();
-        let alone = self.plan.habits.pipelining <= 1;
+    fn expire_requests(self: &Rc<Self>, now: Micros) {
+        self.event_log.borrow_mut().flush_if_due();
+        let unpipelined = self.plan.behavior.pipelining <= 1;
         let mut over = Vec::new();
-        for road in &self.roads {
-            for line in road.lines.borrow().iter() {
-                for owed in line
-                    .owed
+        for balancer in &self.balancers {
+            for connection in balancer.connections.borrow().iter() {
+                for pending in connection
+                    .pending
                     .borrow_mut()
                     .iter_mut()
-                    .take_while(|owed| owed.ask.deadline <= now)
+                    .take_while(|pending| pending.request.deadline <= now)
                 {
-                    if !owed.given_up {
-                        owed.given_up = true;
-                        over.push((owed.ask, !owed.sent));
+                    if !pending.timed_out {
+                        pending.timed_out = true;
+                        over.push((pending.request, !pending.sent));
                     }
                 }
-                let first = line.owed.borrow().front().map(|owed| owed.ask.deadline);
-                let patience = if alone { CLOSE_AFTER } else { PATIENCE };
-                if first.is_some_and(|deadline| deadline + patience <= now) {
-                    line.left.set(true);
-                    line.bell.notify_one();
+                let first = connection
+                    .pending
+                    .borrow()
+                    .front()
+                    .map(|pending| pending.request.deadline);
+                let answer_timeout = if unpipelined {
+                    CLOSE_TIMEOUT
+                } else {
+                    LATE_ANSWER_TIMEOUT
+                };
+                if first.is_some_and(|deadline| deadline + answer_timeout <= now) {
+                    connection.abandoned.set(true);
+                    connection.wakeup.notify_one();
                 }
             }
         }
-        over.iter()
-            .for_each(|(ask, unsent)| self.settle(now, ask, End::Unanswered, *unsent));
+        over.iter().for_each(|(request, unsent)| {
+            self.finish_attempt(now, request, End::Unanswered, *unsent)
+        });
     }
 
     /// The life of one connection.
-    async fn talk(self: Rc<Self>, line: Rc<Line>) {
-        let road = &self.roads[line.balancer];
-        let ended = match timeout(CONNECT_LIMIT, TcpStream::connect(road.front.address)).await {
+    async fn run_connection(self: Rc<Self>, connection: Rc<ClientConnection>) {
+        let balancer = &self.balancers[connection.balancer];
+        let ended = match timeout(
+            CONNECT_TIMEOUT,
+            TcpStream::connect(balancer.endpoint.address),
+        )
+        .await
+        {
             Ok(Ok(socket)) => {
                 // Without it requests only go out later.
                 let _ = socket.set_nodelay(true);
-                self.exchange(socket, &line).await
+                self.exchange(socket, &connection).await
             }
             _ => {
-                road.down_until.set(self.clock.now() + DOWN_FOR);
-                Ended::Unread
+                balancer
+                    .unavailable_until
+                    .set(self.clock.now() + UNAVAILABLE_TTL);
+                ConnectionEnd::Unread
             }
         };
-        line.last.set(true);
-        road.lines
+        connection.closing.set(true);
+        balancer
+            .connections
             .borrow_mut()
-            .retain(|other| !Rc::ptr_eq(other, &line));
-        self.wind_up(&line, ended);
+            .retain(|other| !Rc::ptr_eq(other, &connection));
+        self.finish_connection(&connection, ended);
         self.wake.notify_one();
     }
 
     /// What becomes of the requests on a connection that has ended.
-    fn wind_up(self: &Rc<Self>, line: &Line, ended: Ended) {
+    fn finish_connection(self: &Rc<Self>, connection: &ClientConnection, ended: ConnectionEnd) {
         let now = self.clock.now();
-        for owed in std::mem::take(&mut *line.owed.borrow_mut()) {
-            let Owed {
-                ask,
+        for pending in std::mem::take(&mut *connection.pending.borrow_mut()) {
+            let PendingRequest {
+                request,
                 sent,
-                crossed,
-                given_up,
-                moves,
-            } = owed;
+                crossed_close,
+                timed_out,
+                reassignments,
+            } = pending;
             match ended {
-                _ if given_up => self.note(now, Seen::Left { id: ask.id }),
+                _ if timed_out => self.record(now, Seen::Left { id: request.id }),
                 // Not read by the balancer, so it goes out once more, as clients of this protocol do.
-                _ if !sent || crossed => self.place(ask, moves + 1),
-                Ended::Unread => self.place(ask, moves + 1),
-                Ended::Left => {
-                    self.note(now, Seen::Left { id: ask.id });
-                    self.settle(now, &ask, End::Unanswered, false);
+                _ if !sent || crossed_close => self.dispatch(request, reassignments + 1),
+                ConnectionEnd::Unread => self.dispatch(request, reassignments + 1),
+                ConnectionEnd::ByClient => {
+                    self.record(now, Seen::Left { id: request.id });
+                    self.finish_attempt(now, &request, End::Unanswered, false);
                 }
-                Ended::Closed => {
-                    self.note(now, Seen::Lost { id: ask.id });
-                    self.settle(now, &ask, End::Lost, false);
+                ConnectionEnd::Closed => {
+                    self.record(now, Seen::Lost { id: request.id });
+                    self.finish_attempt(now, &request, End::Lost, false);
                 }
             }
         }
     }
 
-    async fn exchange(&self, mut socket: TcpStream, line: &Line) -> Ended {
-        let mut codec = ReplyReader::new(LARGEST_VALUE, &Budget::new(usize::MAX / 2));
-        let mut input = BytesMut::with_capacity(READ_BUFFER);
+    async fn exchange(
+        &self,
+        mut socket: TcpStream,
+        connection: &ClientConnection,
+    ) -> ConnectionEnd {
+        let mut codec = ReplyReader::new(MAX_VALUE_BYTES, &Budget::new(usize::MAX / 2));
+        let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
-            if line.left.get() {
-                return Ended::Left;
+            if connection.abandoned.get() {
+                return ConnectionEnd::ByClient;
             }
-            let out = line.out.borrow_mut().split();
+            let out = connection.out.borrow_mut().split();
             if !out.is_empty() {
-                let unsent = line.owed.borrow().iter().filter(|owed| !owed.sent).count();
+                let unsent = connection
+                    .pending
+                    .borrow()
+                    .iter()
+                    .filter(|pending| !pending.sent)
+                    .count();
                 let written = tokio::select! {
                     written = socket.write_all(&out) => written,
-                    () = left(line) => return Ended::Left,
+                    () = abandoned(connection) => return ConnectionEnd::ByClient,
                 };
                 if written.is_err() {
-                    return self.broken(line);
+                    return self.classify_reset(connection);
                 }
                 // Danger: asked any later, an end that came behind a request that was read would excuse its loss. What came
                 // within the write stays in doubt, and is believed.
-                self.note_sent(line, unsent, line.used.get() && has_ended(&socket));
+                self.record_sent(
+                    connection,
+                    unsent,
+                    connection.has_answered.get() && has_ended(&socket),
+                );
             }
-            input.reserve(READ_BUFFER);
+            input.reserve(READ_BUFFER_BYTES);
             tokio::select! {
                 biased;
-                () = line.bell.notified() => continue,
+                () = connection.wakeup.notified() => continue,
                 read = socket.read_buf(&mut input) => match read {
-                    Ok(0) if line.owed.borrow().is_empty() => return Ended::Left,
-                    Ok(0) => return self.end_read(&socket, line).await,
+                    Ok(0) if connection.pending.borrow().is_empty() => return ConnectionEnd::ByClient,
+                    Ok(0) => return self.classify_end_of_stream(&socket, connection).await,
                     Ok(_) => {}
-                    Err(_) => return self.broken(line),
+                    Err(_) => return self.classify_reset(connection),
                 },
             }
             loop {
                 match codec.decode(&mut input) {
-                    Ok(Some(reply)) => self.take(line, reply),
+                    Ok(Some(reply)) => self.handle_reply(connection, reply),
                     Ok(None) => break,
-                    Err(_) => return Ended::Closed,
+                    Err(_) => return ConnectionEnd::Closed,
                 }
             }
-            if line.last.get() && line.owed.borrow().is_empty() {
-                return Ended::Left;
+            if connection.closing.get() && connection.pending.borrow().is_empty() {
+                return ConnectionEnd::ByClient;
             }
         }
     }
 
     /// A request that crossed the close is answered with a reset, which comes behind the end that was read.
-    async fn end_read(&self, socket: &TcpStream, line: &Line) -> Ended {
-        for _ in 0..RESET_LOOKS {
+    async fn classify_end_of_stream(
+        &self,
+        socket: &TcpStream,
+        connection: &ClientConnection,
+    ) -> ConnectionEnd {
+        for _ in 0..MAX_RESET_CHECKS {
             if matches!(socket.take_error(), Ok(Some(_))) {
-                return self.broken(line);
+                return self.classify_reset(connection);
             }
             sleep(Duration::from_millis(1)).await;
         }
-        Ended::Closed
+        ConnectionEnd::Closed
     }
 
     /// A reset on a connection that was in use before says that what crossed it was not read.
-    fn broken(&self, line: &Line) -> Ended {
-        if line.used.get() {
-            Ended::Unread
+    fn classify_reset(&self, connection: &ClientConnection) -> ConnectionEnd {
+        if connection.has_answered.get() {
+            ConnectionEnd::Unread
         } else {
-            Ended::Closed
+            ConnectionEnd::Closed
         }
     }
 
-    fn note_sent(&self, line: &Line, unsent: usize, crossed: bool) {
+    fn record_sent(&self, connection: &ClientConnection, unsent: usize, crossed_close: bool) {
         let now = self.clock.now();
-        let mut owed = line.owed.borrow_mut();
-        for owed in owed.iter_mut().filter(|owed| !owed.sent).take(unsent) {
-            (owed.sent, owed.crossed) = (true, crossed);
+        let mut pending = connection.pending.borrow_mut();
+        for pending in pending
+            .iter_mut()
+            .filter(|pending| !pending.sent)
+            .take(unsent)
+        {
+            (pending.sent, pending.crossed_close) = (true, crossed_close);
             let Ask {
                 id,
                 class,
                 deadline,
                 ..
-            } = owed.ask;
-            self.note(
+            } = pending.request;
+            self.record(
                 now,
                 Seen::Sent {
                     id,
                     class,
-                    balancer: line.balancer as u16,
+                    balancer: connection.balancer as u16,
                     deadline,
                 },
             );
         }
     }
 
-    fn take(&self, line: &Line, reply: Value) {
+    fn handle_reply(&self, connection: &ClientConnection, reply: Value) {
         let now = self.clock.now();
-        line.used.set(true);
-        let Some(Owed { ask, given_up, .. }) = line.owed.borrow_mut().pop_front() else {
-            return self.note(
+        connection.has_answered.set(true);
+        let Some(PendingRequest {
+            request, timed_out, ..
+        }) = connection.pending.borrow_mut().pop_front()
+        else {
+            return self.record(
                 now,
                 Seen::Surplus {
-                    balancer: line.balancer as u16,
+                    balancer: connection.balancer as u16,
                 },
             );
         };
-        let (answer, end) = read_reply(&reply, ask.id);
-        self.note(now, Seen::Answered { id: ask.id, answer });
+        let (answer, end) = read_reply(&reply, request.id);
+        self.record(
+            now,
+            Seen::Answered {
+                id: request.id,
+                answer,
+            },
+        );
         // An answer that came late is the checker's; its client has gone on.
-        if !given_up {
-            self.settle(now, &ask, end, false);
+        if !timed_out {
+            self.finish_attempt(now, &request, end, false);
         }
     }
 
     /// A connection that says nothing; opened again a while after the balancer has closed it.
-    async fn stand_idle(self: Rc<Self>, i: usize) {
+    async fn hold_idle_connection(self: Rc<Self>, i: usize) {
         while self.clock.now() < self.plan.end {
-            let Some(road) = self.roads.get(i % self.roads.len().max(1)) else {
+            let Some(balancer) = self.balancers.get(i % self.balancers.len().max(1)) else {
                 return;
             };
-            if let Ok(mut socket) = TcpStream::connect(road.front.address).await {
+            if let Ok(mut socket) = TcpStream::connect(balancer.endpoint.address).await {
                 let _ = socket.read(&mut [0; 64]).await;
             }
             sleep(Duration::from_millis(500)).await;
@@ -639,17 +716,17 @@
 
     /// A connection that asks for values on and on and reads a few bytes at a time.
     async fn read_slowly(self: Rc<Self>, i: usize, source: usize) {
-        let (mut number, far) = (0_u64, self.plan.end + 3_600 * SECOND);
+        let (mut number, never) = (0_u64, self.plan.end + 3_600 * SECOND);
         let Some(class) = self.plan.classes.first() else {
             return;
         };
-        let balancer = i % self.roads.len().max(1);
+        let balancer = i % self.balancers.len().max(1);
         while self.clock.now() < self.plan.end {
-            let Some(road) = self.roads.get(balancer) else {
+            let Some(target) = self.balancers.get(balancer) else {
                 return;
             };
-            if let Ok(mut socket) = TcpStream::connect(road.front.address).await {
-                let mut piece = [0; 16];
+            if let Ok(mut socket) = TcpStream::connect(target.endpoint.address).await {
+                let mut buffer = [0; 16];
                 let mut ids = Vec::new();
                 while self.clock.now() < self.plan.end {
                     number += 1;
@@ -657,11 +734,11 @@
                     let mut out = BytesMut::new();
                     put_number(&mut out, b'*', 4);
                     let info = format!("c={},t=,d={}", class.name, class.deadline_ms);
-                    let words = [
+                    let arguments = [
                         Bytes::from_static(b"C.GET"),
                         Bytes::from(format!("{:016x}", number % 64)),
                     ];
-                    words.iter().for_each(|word| put_bulk(&mut out, word));
+                    arguments.iter().for_each(|word| put_bulk(&mut out, word));
                     put_bulk(&mut out, format!("{id:016x}").as_bytes());
                     put_bulk(&mut out, info.as_bytes());
                     if !matches!(
@@ -671,25 +748,25 @@
                         break;
                     }
                     // Its own slowness is no breach: it waits for ever.
-                    self.note(
+                    self.record(
                         self.clock.now(),
                         Seen::Sent {
                             id,
                             class: 0,
                             balancer: balancer as u16,
-                            deadline: far,
+                            deadline: never,
                         },
                     );
                     ids.push(id);
-                    let read = timeout(SLOW_PAUSE, socket.read(&mut piece)).await;
+                    let read = timeout(SLOW_READ_INTERVAL, socket.read(&mut buffer)).await;
                     if !matches!(read, Ok(Ok(1..)) | Err(_)) {
                         break;
                     }
-                    sleep(SLOW_PAUSE).await;
+                    sleep(SLOW_READ_INTERVAL).await;
                 }
                 let now = self.clock.now();
                 ids.into_iter()
-                    .for_each(|id| self.note(now, Seen::Left { id }));
+                    .for_each(|id| self.record(now, Seen::Left { id }));
             }
             sleep(Duration::from_millis(500)).await;
         }
@@ -708,17 +785,17 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ended {
+enum ConnectionEnd {
     /// By the client.
-    Left,
+    ByClient,
     /// Before the balancer had read what is owed.
     Unread,
     Closed,
 }
 
-async fn left(line: &Line) {
-    while !line.left.get() {
-        line.bell.notified().await;
+async fn abandoned(connection: &ClientConnection) {
+    while !connection.abandoned.get() {
+        connection.wakeup.notified().await;
     }
 }
 
@@ -733,8 +810,8 @@
             Some(Value::Bulk(bytes)) => value(bytes),
             _ => (Answer::Failed, End::Failed),
         },
-        Value::Error(line) if line.starts_with(b"BUSY") => {
-            let after = std::str::from_utf8(&line[4..])
+        Value::Error(connection) if connection.starts_with(b"BUSY") => {
+            let after = std::str::from_utf8(&connection[4..])
                 .ok()
                 .and_then(|text| text.trim().parse::<u64>().ok());
             (Answer::Refused, End::Refused { after_ms: after })
@@ -744,13 +821,13 @@
 }
 
 /// The plan's faults that no type tells: the key, and what is wrong.
-pub fn fault(habits: &Habits) -> Option<(&'static str, String)> {
-    if habits.connections == 0 || habits.connections > 100_000 {
+pub fn behavior_error(behavior: &ClientBehavior) -> Option<(&'static str, String)> {
+    if behavior.connections == 0 || behavior.connections > 100_000 {
         return Some(("connections", "must be between 1 and 100,000".to_string()));
     }
-    if habits.pipelining == 0 || habits.pipelining > 10_000 {
+    if behavior.pipelining == 0 || behavior.pipelining > 10_000 {
         return Some(("pipelining", "must be between 1 and 10,000".to_string()));
     }
-    (!(0.0..=1.0).contains(&habits.one_shot))
+    (!(0.0..=1.0).contains(&behavior.one_shot))
         .then(|| ("one_shot", "must be between 0 and 1".to_string()))
 }
--- a/crates/stairfront-lab/src/process.rs
+++ b/crates/stairfront-lab/src/process.rs
@@ -19,13 +19,13 @@
 use tokio::time::{sleep, timeout};
 
 /// A balancer that is not ready after so long will not be.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Between two looks whether it is.
-const READY_POLL: Duration = Duration::from_millis(1);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// One told to stop has this long: longer than the longest deadline that experiments have, and a while.
-const STOP_LIMIT: Duration = Duration::from_secs(15);
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 /// Ports below the range from which kernels give out others, so that none is taken while its balancer is down.
-const PORTS: std::ops::Range<u16> = 15_000..32_000;
+const PORT_RANGE: std::ops::Range<u16> = 15_000..32_000;
 
 /// A program that serves as a balancer, told all it needs by the environment that the platform gives.
 #[derive(Clone, Debug)]
@@ -36,14 +36,14 @@
 
 /// What the kernel says of a process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Sample {
+pub struct ProcessSample {
     /// Time on a processor since its start, in microseconds.
     pub cpu_us: u64,
     pub memory_kb: u64,
     pub descriptors: u64,
 }
 
-pub struct Balancer {
+pub struct BalancerProcess {
     build: Build,
     name: String,
     config: PathBuf,
@@ -54,34 +54,35 @@
     child: Option<Child>,
     started: Instant,
     /// It is to run: an end by itself is a crash.
-    pub wanted: bool,
+    pub should_run: bool,
     /// From the start of the process to its first `+PONG`, each time.
     pub ready_ms: Vec<f64>,
     /// Processor time of processes that have ended.
     ended_cpu_us: u64,
-    pub most_memory_kb: u64,
-    pub most_descriptors: u64,
-    last: Sample,
+    pub max_memory_kb: u64,
+    pub max_descriptors: u64,
+    last: ProcessSample,
 }
 
 /// An address on loopback that was free just now, and that this process has not given out before. Danger: of two runs
 /// with one address the clients of both would speak to whichever balancer came first.
-pub fn free_address(dice: &mut Dice) -> io::Result<SocketAddr> {
-    static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
-    let mut given = GIVEN.lock().unwrap_or_else(PoisonError::into_inner);
+pub fn free_address(rng: &mut Dice) -> io::Result<SocketAddr> {
+    static ASSIGNED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+    let mut assigned = ASSIGNED.lock().unwrap_or_else(PoisonError::into_inner);
     for _ in 0..1000 {
-        let port = PORTS.start + dice.below(u64::from(PORTS.end - PORTS.start)) as u16;
+        let port =
+            PORT_RANGE.start + rng.below(u64::from(PORT_RANGE.end - PORT_RANGE.start)) as u16;
         let at = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-        if given.insert(port) && TcpListener::bind(at).is_ok() {
+        if assigned.insert(port) && TcpListener::bind(at).is_ok() {
             return Ok(at);
         }
     }
     Err(io::Error::other("no free port on loopback"))
 }
 
-impl Balancer {
+impl BalancerProcess {
     pub fn new(build: Build, name: &str, folder: &Path, address: SocketAddr) -> Self {
-        Balancer {
+        BalancerProcess {
             build,
             name: name.to_string(),
             config: folder.join(format!("{name}.json")),
@@ -90,17 +91,17 @@
             address,
             child: None,
             started: Instant::now(),
-            wanted: false,
+            should_run: false,
             ready_ms: Vec::new(),
             ended_cpu_us: 0,
-            most_memory_kb: 0,
-            most_descriptors: 0,
-            last: Sample::default(),
+            max_memory_kb: 0,
+            max_descriptors: 0,
+            last: ProcessSample::default(),
         }
     }
 
     /// Its own folder for what is to outlive a process.
-    pub fn set_folder(&mut self, folder: &Path) {
+    pub fn set_data_folder(&mut self, folder: &Path) {
         self.folder = Some(folder.to_path_buf());
     }
 
@@ -120,7 +121,7 @@
     /// Starts it and waits until it is ready.
     pub async fn start(&mut self) -> io::Result<()> {
         self.launch()?;
-        self.until_ready().await
+        self.wait_until_ready().await
     }
 
     /// Starts it.
@@ -141,24 +142,24 @@
         if let Some(folder) = &self.folder {
             command.env("TMPDIR", folder);
         }
-        let named = |problem: io::Error| {
-            io::Error::other(format!("{}: {problem}", self.build.program.display()))
+        let with_program = |error: io::Error| {
+            io::Error::other(format!("{}: {error}", self.build.program.display()))
         };
-        self.child = Some(command.spawn().map_err(named)?);
-        self.wanted = true;
+        self.child = Some(command.spawn().map_err(with_program)?);
+        self.should_run = true;
         self.started = Instant::now();
         Ok(())
     }
 
     /// Waits until one that was started is ready.
-    pub async fn until_ready(&mut self) -> io::Result<()> {
+    pub async fn wait_until_ready(&mut self) -> io::Result<()> {
         let started = self.started;
         while !self.answers_ping().await {
             let ended = self
                 .child
                 .as_mut()
                 .and_then(|child| child.try_wait().ok().flatten());
-            if ended.is_some() || started.elapsed() > READY_LIMIT {
+            if ended.is_some() || started.elapsed() > READY_TIMEOUT {
                 let log = fs::read_to_string(&self.log).unwrap_or_default();
                 let last = log
                     .lines()
@@ -170,21 +171,21 @@
                     self.name
                 )));
             }
-            sleep(READY_POLL).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         self.ready_ms.push(started.elapsed().as_secs_f64() * 1e3);
         Ok(())
     }
 
     async fn answers_ping(&self) -> bool {
-        let ask = async {
+        let ping = async {
             let mut socket = TcpStream::connect(self.address).await?;
             socket.write_all(b"*1\r\n$4\r\nPING\r\n").await?;
             let mut answer = [0; 7];
             socket.read_exact(&mut answer).await?;
             Ok::<bool, io::Error>(&answer == b"+PONG\r\n")
         };
-        matches!(timeout(Duration::from_secs(1), ask).await, Ok(Ok(true)))
+        matches!(timeout(Duration::from_secs(1), ping).await, Ok(Ok(true)))
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -207,12 +208,12 @@
 
     /// Ends it at once.
     pub async fn kill(&mut self) {
-        self.look();
+        self.inspect();
         if let Some(mut child) = self.child.take() {
             // Already over if it fails.
             let _ = child.kill().await;
         }
-        self.book_end();
+        self.add_ended_cpu();
     }
 
     /// Waits for the end of one that was told to stop; killed if it does not. True for a good end.
@@ -220,30 +221,30 @@
         let Some(mut child) = self.child.take() else {
             return false;
         };
-        let good = match timeout(STOP_LIMIT, child.wait()).await {
+        let good = match timeout(STOP_TIMEOUT, child.wait()).await {
             Ok(Ok(status)) => status.success(),
             _ => {
                 let _ = child.kill().await;
                 false
             }
         };
-        self.book_end();
+        self.add_ended_cpu();
         good
     }
 
-    fn book_end(&mut self) {
+    fn add_ended_cpu(&mut self) {
         self.ended_cpu_us += std::mem::take(&mut self.last).cpu_us;
     }
 
     /// Asks the kernel about it.
-    pub fn look(&mut self) -> Sample {
+    pub fn inspect(&mut self) -> ProcessSample {
         let Some(pid) = self.child.as_ref().and_then(Child::id) else {
             return self.last;
         };
         if let Some(sample) = sample(pid) {
             self.last = sample;
-            self.most_memory_kb = self.most_memory_kb.max(sample.memory_kb);
-            self.most_descriptors = self.most_descriptors.max(sample.descriptors);
+            self.max_memory_kb = self.max_memory_kb.max(sample.memory_kb);
+            self.max_descriptors = self.max_descriptors.max(sample.descriptors);
         }
         self.last
     }
@@ -255,7 +256,7 @@
 }
 
 /// None once the process has ended.
-fn sample(pid: u32) -> Option<Sample> {
+fn sample(pid: u32) -> Option<ProcessSample> {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let on_cpu = |task: fs::DirEntry| -> Option<u64> {
         let text = fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -269,7 +270,7 @@
     let memory_kb = resident.split_whitespace().next()?.parse().ok()?;
     let descriptors =
         fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |files| files.count() as u64);
-    Some(Sample {
+    Some(ProcessSample {
         cpu_us: cpu_ns / 1000,
         memory_kb,
         descriptors,
--- a/crates/stairfront-lab/src/relay.rs
+++ b/crates/stairfront-lab/src/relay.rs
@@ -23,24 +23,24 @@
 use crate::clock::RunClock;
 
 /// Where processes listen, and where the relay stands for each of them, on the process's own address.
-const OWN_PORT: u16 = 7946;
+const PROCESS_PORT: u16 = 7946;
 const RELAY_PORT: u16 = 7947;
-const CLIENT_PORTS: [u16; 2] = [6379, 19000];
+const CLIENT_AND_ADMIN_PORTS: [u16; 2] = [6379, 19000];
 /// What a silent link's bytes wait before they are looked at again, and until the stream is given up.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-const GIVE_UP: u32 = 200;
-const LARGEST: usize = 65_536;
+const SILENT_LINK_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_SILENT_POLLS: u32 = 200;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Rows of addresses tried until one is free.
-const MOST_TRIES: usize = 50;
+const MAX_ADDRESS_ATTEMPTS: usize = 50;
 
 #[derive(Clone, Debug)]
-enum Word {
-    Lay {
+enum RelayCommand {
+    AddFault {
         number: u64,
         pairs: Vec<(usize, usize)>,
         fault: LinkFault,
     },
-    Lift {
+    RemoveFault {
         number: u64,
     },
     End,
@@ -48,7 +48,7 @@
 
 /// What has gone over the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct RelayTraffic {
     pub datagrams: u64,
     pub bytes: u64,
     pub streams: u64,
@@ -57,14 +57,14 @@
 /// A relay on a thread of its own.
 pub struct Relay {
     ips: Vec<Ipv4Addr>,
-    words: mpsc::UnboundedSender<Word>,
-    thread: Option<JoinHandle<Carried>>,
+    commands: mpsc::UnboundedSender<RelayCommand>,
+    thread: Option<JoinHandle<RelayTraffic>>,
 }
 
 /// A row of loopback addresses by chance. Another run on this machine may have it, which the relay's own sockets tell:
 /// all addresses of a run are taken by them first.
-fn addresses(count: usize, dice: &mut Dice) -> Vec<Ipv4Addr> {
-    let (second, third) = (64 + dice.below(180) as u8, dice.below(250) as u8);
+fn addresses(count: usize, rng: &mut Dice) -> Vec<Ipv4Addr> {
+    let (second, third) = (64 + rng.below(180) as u8, rng.below(250) as u8);
     let one = |i: usize| {
         Ipv4Addr::new(
             127,
@@ -83,55 +83,57 @@
         let count = members * 2;
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let mut dice = Dice::new(u64::from(std::process::id()) << 20 ^ run, "loopback");
-        let mut tried = Self::start_at(addresses(count, &mut dice), seed, clock);
-        for _ in 0..MOST_TRIES {
-            match tried {
-                Err(problem) if problem.kind() == io::ErrorKind::AddrInUse => {
-                    tried = Self::start_at(addresses(count, &mut dice), seed, clock);
+        let mut rng = Dice::new(u64::from(std::process::id()) << 20 ^ run, "loopback");
+        let mut started = Self::start_at(addresses(count, &mut rng), seed, clock);
+        for _ in 0..MAX_ADDRESS_ATTEMPTS {
+            match started {
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
+                    started = Self::start_at(addresses(count, &mut rng), seed, clock);
                 }
                 done => return done,
             }
         }
-        tried
+        started
     }
 
     fn start_at(ips: Vec<Ipv4Addr>, seed: u64, clock: RunClock) -> io::Result<Relay> {
-        let (words, heard) = mpsc::unbounded_channel();
-        let (ready, is_ready) = std_mpsc::channel();
-        let own = ips.clone();
+        let (commands, received) = mpsc::unbounded_channel();
+        let (ready, ready_result) = std_mpsc::channel();
+        let relay_ips = ips.clone();
         let thread = std::thread::spawn(move || {
             let runtime = match tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
             {
                 Ok(runtime) => runtime,
-                Err(problem) => {
-                    let _ = ready.send(Err(problem));
-                    return Carried::default();
+                Err(error) => {
+                    let _ = ready.send(Err(error));
+                    return RelayTraffic::default();
                 }
             };
-            runtime.block_on(LocalSet::new().run_until(carry(own, seed, clock, heard, ready)))
+            runtime.block_on(
+                LocalSet::new().run_until(run_relay(relay_ips, seed, clock, received, ready)),
+            )
         });
         let relay = Relay {
             ips,
-            words,
+            commands,
             thread: Some(thread),
         };
-        is_ready
+        ready_result
             .recv()
             .unwrap_or_else(|_| Err(io::Error::other("the relay ended")))?;
         Ok(relay)
     }
 
     /// Where a process listens.
-    pub fn own(&self, who: usize) -> SocketAddr {
-        SocketAddr::from((self.ips[who], OWN_PORT))
+    pub fn process_address(&self, who: usize) -> SocketAddr {
+        SocketAddr::from((self.ips[who], PROCESS_PORT))
     }
 
     /// Where clients come to it, and operators: addresses that no other run has, also while the process is down.
-    pub fn doors(&self, who: usize) -> [SocketAddr; 2] {
-        CLIENT_PORTS.map(|port| SocketAddr::from((self.ips[who], port)))
+    pub fn client_and_admin_addresses(&self, who: usize) -> [SocketAddr; 2] {
+        CLIENT_AND_ADMIN_PORTS.map(|port| SocketAddr::from((self.ips[who], port)))
     }
 
     /// Where others reach it.
@@ -139,20 +141,20 @@
         SocketAddr::from((self.ips[who], RELAY_PORT))
     }
 
-    pub fn lay(&self, number: u64, pairs: Vec<(usize, usize)>, fault: LinkFault) {
-        let _ = self.words.send(Word::Lay {
+    pub fn add_fault(&self, number: u64, pairs: Vec<(usize, usize)>, fault: LinkFault) {
+        let _ = self.commands.send(RelayCommand::AddFault {
             number,
             pairs,
             fault,
         });
     }
 
-    pub fn lift(&self, number: u64) {
-        let _ = self.words.send(Word::Lift { number });
+    pub fn remove_fault(&self, number: u64) {
+        let _ = self.commands.send(RelayCommand::RemoveFault { number });
     }
 
-    pub fn end(mut self) -> Carried {
-        let _ = self.words.send(Word::End);
+    pub fn finish(mut self) -> RelayTraffic {
+        let _ = self.commands.send(RelayCommand::End);
         self.thread
             .take()
             .and_then(|thread| thread.join().ok())
@@ -162,27 +164,27 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        let _ = self.words.send(Word::End);
+        let _ = self.commands.send(RelayCommand::End);
     }
 }
 
-struct Hub {
+struct RelayHub {
     members: usize,
     links: RefCell<Links>,
     clock: RunClock,
     ips: Vec<Ipv4Addr>,
     by_ip: FxHashMap<IpAddr, usize>,
     sockets: Vec<UdpSocket>,
-    carried: RefCell<Carried>,
+    traffic: RefCell<RelayTraffic>,
 }
 
-async fn carry(
+async fn run_relay(
     ips: Vec<Ipv4Addr>,
     seed: u64,
     clock: RunClock,
-    mut words: mpsc::UnboundedReceiver<Word>,
+    mut commands: mpsc::UnboundedReceiver<RelayCommand>,
     ready: std_mpsc::Sender<io::Result<()>>,
-) -> Carried {
+) -> RelayTraffic {
     let opened = async {
         let (mut sockets, mut listeners) = (Vec::new(), Vec::new());
         for ip in &ips {
@@ -193,9 +195,9 @@
     };
     let (sockets, listeners) = match opened.await {
         Ok(opened) => opened,
-        Err(problem) => {
-            let _ = ready.send(Err(problem));
-            return Carried::default();
+        Err(error) => {
+            let _ = ready.send(Err(error));
+            return RelayTraffic::default();
         }
     };
     let by_ip = ips
@@ -205,39 +207,39 @@
         .collect();
     let members = ips.len() / 2;
     let links = RefCell::new(Links::new(members, seed));
-    let hub = Rc::new(Hub {
+    let hub = Rc::new(RelayHub {
         members,
         links,
         clock,
         ips,
         by_ip,
         sockets,
-        carried: RefCell::default(),
+        traffic: RefCell::default(),
     });
     for (to, listener) in listeners.into_iter().enumerate() {
-        spawn_local(Rc::clone(&hub).datagrams(to));
-        spawn_local(Rc::clone(&hub).streams(to, listener));
+        spawn_local(Rc::clone(&hub).relay_datagrams(to));
+        spawn_local(Rc::clone(&hub).accept_streams(to, listener));
     }
     let _ = ready.send(Ok(()));
-    while let Some(word) = words.recv().await {
+    while let Some(command) = commands.recv().await {
         let now = hub.clock.now();
-        match word {
-            Word::Lay {
+        match command {
+            RelayCommand::AddFault {
                 number,
                 pairs,
                 fault,
             } => hub.links.borrow_mut().lay(now, number, &pairs, fault),
-            Word::Lift { number } => hub.links.borrow_mut().lift(number),
-            Word::End => break,
+            RelayCommand::RemoveFault { number } => hub.links.borrow_mut().lift(number),
+            RelayCommand::End => break,
         }
     }
-    let carried = *hub.carried.borrow();
-    carried
+    let traffic = *hub.traffic.borrow();
+    traffic
 }
 
-impl Hub {
-    async fn datagrams(self: Rc<Self>, to: usize) {
-        let mut buffer = vec![0; LARGEST];
+impl RelayHub {
+    async fn relay_datagrams(self: Rc<Self>, to: usize) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             // An error is an earlier datagram's, whose process was not there.
             let Ok((length, from)) = self.sockets[to].recv_from(&mut buffer).await else {
@@ -247,9 +249,9 @@
                 continue;
             };
             {
-                let mut carried = self.carried.borrow_mut();
-                carried.datagrams += 1;
-                carried.bytes += length as u64;
+                let mut traffic = self.traffic.borrow_mut();
+                traffic.datagrams += 1;
+                traffic.bytes += length as u64;
             }
             let (link_from, link_to) = (from % self.members, to % self.members);
             let now = self.clock.now();
@@ -263,30 +265,30 @@
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
                     // It comes from where its sender is reached, as behind address translation.
                     let _ = hub.sockets[from]
-                        .send_to(&bytes, (hub.ips[to], OWN_PORT))
+                        .send_to(&bytes, (hub.ips[to], PROCESS_PORT))
                         .await;
                 });
             }
         }
     }
 
-    async fn streams(self: Rc<Self>, to: usize, listener: TcpListener) {
+    async fn accept_streams(self: Rc<Self>, to: usize, listener: TcpListener) {
         loop {
             let Ok((socket, from)) = listener.accept().await else {
-                sleep(LOOK_AGAIN).await;
+                sleep(SILENT_LINK_POLL_INTERVAL).await;
                 continue;
             };
             let Some(from) = self.by_ip.get(&from.ip()).copied() else {
                 continue;
             };
-            self.carried.borrow_mut().streams += 1;
-            spawn_local(Rc::clone(&self).stream(from, to, socket));
+            self.traffic.borrow_mut().streams += 1;
+            spawn_local(Rc::clone(&self).relay_stream(from, to, socket));
         }
     }
 
-    async fn stream(self: Rc<Self>, from: usize, to: usize, near: TcpStream) {
+    async fn relay_stream(self: Rc<Self>, from: usize, to: usize, near: TcpStream) {
         // A link that is silent lets no connection come up; this one is open at one end.
-        if !self.passes(from, to, 0).await {
+        if !self.wait_for_link(from, to, 0).await {
             return;
         }
         let Ok(far) = self.connect(from, to).await else {
@@ -294,8 +296,8 @@
         };
         let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
         tokio::join!(
-            self.pass(from, to, near_in, far_out),
-            self.pass(to, from, far_in, near_out)
+            self.copy_stream(from, to, near_in, far_out),
+            self.copy_stream(to, from, far_in, near_out)
         );
     }
 
@@ -303,13 +305,13 @@
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from((self.ips[from], 0)))?;
         socket
-            .connect(SocketAddr::from((self.ips[to], OWN_PORT)))
+            .connect(SocketAddr::from((self.ips[to], PROCESS_PORT)))
             .await
     }
 
     /// Waits for as long as bytes take; false if they never come.
-    async fn passes(&self, from: usize, to: usize, bytes: usize) -> bool {
-        for _ in 0..GIVE_UP {
+    async fn wait_for_link(&self, from: usize, to: usize, bytes: usize) -> bool {
+        for _ in 0..MAX_SILENT_POLLS {
             let (link_from, link_to) = (from % self.members, to % self.members);
             let passage =
                 self.links
@@ -320,13 +322,13 @@
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
                     return true;
                 }
-                Passage::Silent => sleep(LOOK_AGAIN).await,
+                Passage::Silent => sleep(SILENT_LINK_POLL_INTERVAL).await,
             }
         }
         false
     }
 
-    async fn pass(
+    async fn copy_stream(
         &self,
         from: usize,
         to: usize,
@@ -339,14 +341,14 @@
                 Ok(0) | Err(_) => break,
                 Ok(length) => length,
             };
-            self.carried.borrow_mut().bytes += length as u64;
-            if !self.passes(from, to, length).await
+            self.traffic.borrow_mut().bytes += length as u64;
+            if !self.wait_for_link(from, to, length).await
                 || sink.write_all(&buffer[..length]).await.is_err()
             {
                 break;
             }
         }
-        if self.passes(from, to, 0).await {
+        if self.wait_for_link(from, to, 0).await {
             let _ = sink.shutdown().await;
         }
     }
--- a/crates/stairfront-lab/src/report.rs
+++ b/crates/stairfront-lab/src/report.rs
@@ -3,11 +3,11 @@
 use plotters::prelude::*;
 
 use crate::compare::{table, Results};
-use crate::run::{Moment, Outcome};
+use crate::run::{IntervalSample, Outcome};
 
-const SIZE: (u32, u32) = (1000, 260);
+const PLOT_SIZE: (u32, u32) = (1000, 260);
 /// Runs with plots of their own; a report of hundreds would help nobody.
-const MOST_PLOTTED: usize = 24;
+const MAX_PLOTTED_RUNS: usize = 24;
 
 /// Renders the results; an error is the plotting library's own text.
 pub fn html(results: &Results) -> Result<String, String> {
@@ -17,7 +17,7 @@
         escape(&results.about)
     );
     body.push_str(&format!("<pre>{}</pre>", escape(&table(results))));
-    for run in results.runs.iter().take(MOST_PLOTTED) {
+    for run in results.runs.iter().take(MAX_PLOTTED_RUNS) {
         body.push_str(&format!(
             "<h2>{}, seed {}, {:.0} a second</h2>",
             escape(&run.variant),
@@ -53,15 +53,15 @@
 }
 
 fn plots(run: &Outcome) -> Vec<Plot> {
-    let over = |of: fn(&Moment) -> f64| {
-        run.moments
+    let over = |of: fn(&IntervalSample) -> f64| {
+        run.samples
             .iter()
             .map(|m| (m.at_s, of(m)))
             .collect::<Vec<_>>()
     };
-    let line = |name: &str, of: fn(&Moment) -> f64| (name.to_string(), over(of));
-    let each = if run.moments.len() > 1 {
-        run.moments[1].at_s - run.moments[0].at_s
+    let line = |name: &str, of: fn(&IntervalSample) -> f64| (name.to_string(), over(of));
+    let each = if run.samples.len() > 1 {
+        run.samples[1].at_s - run.samples[0].at_s
     } else {
         0.25
     };
@@ -83,7 +83,7 @@
             title: "answers a second, by when they were due",
             lines: vec![
                 line("served", |m| m.served),
-                line("refused", |m| m.refused),
+                line("refused", |m| m.rejected),
                 line("other", |m| m.other),
             ],
         },
@@ -93,7 +93,7 @@
         },
         Plot {
             title: "attempts a second at each cache",
-            lines: run.loads.iter().enumerate().map(load).collect(),
+            lines: run.cache_rates.iter().enumerate().map(load).collect(),
         },
         Plot {
             title: "fetches a second from the origin",
@@ -108,30 +108,30 @@
     let end = points().map(|(x, _)| *x).fold(1.0, f64::max);
     let top = points().map(|(_, y)| *y).fold(1.0, f64::max) * 1.05;
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let told = |problem: &dyn std::fmt::Display| problem.to_string();
-        area.fill(&WHITE).map_err(|e| told(&e))?;
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
+        let drawing_error = |error: &dyn std::fmt::Display| error.to_string();
+        area.fill(&WHITE).map_err(|e| drawing_error(&e))?;
         let mut chart = ChartBuilder::on(&area)
             .caption(plot.title, ("sans-serif", 14))
             .margin(8)
             .x_label_area_size(24)
             .y_label_area_size(60)
             .build_cartesian_2d(0.0..end, 0.0..top)
-            .map_err(|e| told(&e))?;
+            .map_err(|e| drawing_error(&e))?;
         chart
             .configure_mesh()
             .light_line_style(WHITE)
             .draw()
-            .map_err(|e| told(&e))?;
+            .map_err(|e| drawing_error(&e))?;
         for mark in &run.marks {
             let until = mark.until_s.max(mark.from_s + end / 400.0).min(end);
             let shade = Rectangle::new([(mark.from_s, 0.0), (until, top)], RED.mix(0.08).filled());
-            chart.draw_series([shade]).map_err(|e| told(&e))?;
+            chart.draw_series([shade]).map_err(|e| drawing_error(&e))?;
         }
         for (i, (name, points)) in plot.lines.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             let series = LineSeries::new(points.iter().copied(), color.stroke_width(1));
-            let drawn = chart.draw_series(series).map_err(|e| told(&e))?;
+            let drawn = chart.draw_series(series).map_err(|e| drawing_error(&e))?;
             if plot.lines.len() <= 8 {
                 drawn
                     .label(name)
@@ -144,9 +144,9 @@
                 .background_style(WHITE.mix(0.8))
                 .border_style(BLACK)
                 .draw();
-            labels.map_err(|e| told(&e))?;
+            labels.map_err(|e| drawing_error(&e))?;
         }
-        area.present().map_err(|e| told(&e))?;
+        area.present().map_err(|e| drawing_error(&e))?;
     }
     Ok(svg)
 }
--- a/crates/stairfront-lab/src/station.rs
+++ b/crates/stairfront-lab/src/server_host.rs
@@ -22,11 +22,11 @@
 use crate::clock::RunClock;
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
-const READ_BUFFER: usize = 8 * 1024;
+const ACCEPT_BACKLOG: i32 = 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 /// What a model says is to be sent.
-pub enum Post {
+pub enum ServerOutput {
     /// The answer to a command.
     Answer(Ticket, Vec<u8>),
     /// None will come, and those behind it need not wait.
@@ -40,26 +40,26 @@
     type Codec: Decoder;
     fn codec(&self) -> Self::Codec;
     /// False turns the connection away.
-    fn opened(&mut self, now: Micros, connection: ConnId) -> bool;
+    fn connection_opened(&mut self, now: Micros, connection: ConnId) -> bool;
     fn received(
         &mut self,
         now: Micros,
         ticket: Ticket,
         balancer: u16,
         item: <Self::Codec as Decoder>::Item,
-        posts: &mut Vec<Post>,
+        outputs: &mut Vec<ServerOutput>,
     );
-    fn closed(&mut self, now: Micros, connection: ConnId);
-    fn advance(&mut self, now: Micros, posts: &mut Vec<Post>);
+    fn connection_closed(&mut self, now: Micros, connection: ConnId);
+    fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>);
     fn next_due(&self) -> Option<Micros>;
     /// Nothing was done for so long.
-    fn held_up(&mut self, by: Micros);
+    fn resumed_after(&mut self, by: Micros);
 }
 
 /// An address that is kept for as long as this lives, whether or not anybody listens. Danger: the port of a dead
 /// stand-in would be given to another socket of this machine, and its return would fail.
 pub struct Address {
-    place: Socket,
+    reservation: Socket,
     at: SocketAddr,
 }
 
@@ -69,12 +69,12 @@
     }
 
     pub fn reserve_at(wanted: SocketAddr) -> io::Result<Self> {
-        let place = bound(wanted)?;
-        let at = place
+        let reservation = bound(wanted)?;
+        let at = reservation
             .local_addr()?
             .as_socket()
             .ok_or(io::ErrorKind::Unsupported)?;
-        Ok(Address { place, at })
+        Ok(Address { reservation, at })
     }
 
     pub fn at(&self) -> SocketAddr {
@@ -83,10 +83,10 @@
 
     fn listen(&self) -> io::Result<TcpListener> {
         // The reserved socket is not a listener itself, so that a dead stand-in refuses connections.
-        debug_assert!(!self.place.is_listener().unwrap_or(false));
+        debug_assert!(!self.reservation.is_listener().unwrap_or(false));
         let socket = bound(self.at)?;
         socket.set_nonblocking(true)?;
-        socket.listen(BACKLOG)?;
+        socket.listen(ACCEPT_BACKLOG)?;
         TcpListener::from_std(socket.into())
     }
 }
@@ -101,23 +101,23 @@
 
 /// Answers of one connection, in the order of its commands.
 #[derive(Default)]
-struct Lane {
+struct AnswerQueue {
     out: RefCell<BytesMut>,
     /// Answers that others go before, from command `first` on.
     waiting: RefCell<VecDeque<Option<Vec<u8>>>>,
     first: Cell<u64>,
     reset: Cell<bool>,
-    bell: Notify,
+    wakeup: Notify,
 }
 
-impl Lane {
+impl AnswerQueue {
     async fn is_reset(&self) {
         while !self.reset.get() {
-            self.bell.notified().await;
+            self.wakeup.notified().await;
         }
     }
 
-    fn put(&self, number: u64, answer: Vec<u8>) {
+    fn push(&self, number: u64, answer: Vec<u8>) {
         let (mut waiting, mut out) = (self.waiting.borrow_mut(), self.out.borrow_mut());
         let Some(i) = number.checked_sub(self.first.get()).map(|i| i as usize) else {
             return;
@@ -141,33 +141,33 @@
 
 struct Inner<S> {
     service: S,
-    lanes: FxHashMap<ConnId, Rc<Lane>>,
-    posts: Vec<Post>,
+    connections: FxHashMap<ConnId, Rc<AnswerQueue>>,
+    outputs: Vec<ServerOutput>,
 }
 
 impl<S: Service> Inner<S> {
     /// Puts what the model says where it is to be sent from, and wakes those who send it.
-    fn post(&mut self) {
-        for post in self.posts.drain(..) {
+    fn send_outputs(&mut self) {
+        for post in self.outputs.drain(..) {
             let connection = match &post {
-                Post::Answer(ticket, _) | Post::Skip(ticket) => ticket.connection,
-                Post::Reset(connection) => *connection,
+                ServerOutput::Answer(ticket, _) | ServerOutput::Skip(ticket) => ticket.connection,
+                ServerOutput::Reset(connection) => *connection,
             };
-            let Some(lane) = self.lanes.get(&connection) else {
+            let Some(answers) = self.connections.get(&connection) else {
                 continue;
             };
             match post {
-                Post::Answer(ticket, answer) => lane.put(ticket.number, answer),
-                Post::Skip(ticket) => lane.put(ticket.number, Vec::new()),
-                Post::Reset(_) => lane.reset.set(true),
+                ServerOutput::Answer(ticket, answer) => answers.push(ticket.number, answer),
+                ServerOutput::Skip(ticket) => answers.push(ticket.number, Vec::new()),
+                ServerOutput::Reset(_) => answers.reset.set(true),
             }
-            lane.bell.notify_one();
+            answers.wakeup.notify_one();
         }
     }
 }
 
 /// One stand-in with its addresses, one for each balancer that may know it.
-pub struct Station<S: Service> {
+pub struct ServerHost<S: Service> {
     clock: RunClock,
     inner: Rc<RefCell<Inner<S>>>,
     addresses: Vec<Address>,
@@ -175,30 +175,30 @@
     timer: Rc<Notify>,
     next: Rc<Cell<u64>>,
     /// Since when nothing is read or written.
-    held: Rc<Cell<Option<Micros>>>,
+    paused_since: Rc<Cell<Option<Micros>>>,
     released: Rc<Notify>,
 }
 
-impl<S: Service> Station<S> {
+impl<S: Service> ServerHost<S> {
     /// Does not listen yet. Connections are numbered from `first` on.
     pub fn new(clock: RunClock, service: S, addresses: Vec<Address>, first: u64) -> Rc<Self> {
         let inner = Inner {
             service,
-            lanes: FxHashMap::default(),
-            posts: Vec::new(),
+            connections: FxHashMap::default(),
+            outputs: Vec::new(),
         };
-        let station = Rc::new(Station {
+        let server_host = Rc::new(ServerHost {
             clock,
             inner: Rc::new(RefCell::new(inner)),
             addresses,
             listeners: RefCell::default(),
             timer: Rc::default(),
             next: Rc::new(Cell::new(first)),
-            held: Rc::default(),
+            paused_since: Rc::default(),
             released: Rc::default(),
         });
-        spawn_local(Rc::clone(&station).keep_time());
-        station
+        spawn_local(Rc::clone(&server_host).run_timer());
+        server_host
     }
 
     pub fn addresses(&self) -> Vec<SocketAddr> {
@@ -206,11 +206,13 @@
     }
 
     /// Has the model do something and sends what it says.
-    pub fn with<R>(&self, act: impl FnOnce(&mut S, Micros, &mut Vec<Post>) -> R) -> R {
+    pub fn with<R>(&self, act: impl FnOnce(&mut S, Micros, &mut Vec<ServerOutput>) -> R) -> R {
         let mut inner = self.inner.borrow_mut();
-        let Inner { service, posts, .. } = &mut *inner;
-        let done = act(service, self.clock.now(), posts);
-        inner.post();
+        let Inner {
+            service, outputs, ..
+        } = &mut *inner;
+        let done = act(service, self.clock.now(), outputs);
+        inner.send_outputs();
         self.timer.notify_one();
         done
     }
@@ -236,44 +238,44 @@
     pub fn die(&self) {
         self.stop_listening();
         self.reset_all();
-        self.release();
+        self.resume();
     }
 
     /// Resets all connections.
     pub fn reset_all(&self) {
-        for lane in self.inner.borrow().lanes.values() {
-            lane.reset.set(true);
-            lane.bell.notify_one();
+        for answers in self.inner.borrow().connections.values() {
+            answers.reset.set(true);
+            answers.wakeup.notify_one();
         }
     }
 
     /// From now on nothing is read or written. The kernel goes on taking connections and bytes.
-    pub fn hold(&self) {
-        if self.held.get().is_none() {
-            self.held.set(Some(self.clock.now()));
+    pub fn pause(&self) {
+        if self.paused_since.get().is_none() {
+            self.paused_since.set(Some(self.clock.now()));
         }
     }
 
-    pub fn release(&self) {
-        if let Some(since) = self.held.take() {
+    pub fn resume(&self) {
+        if let Some(since) = self.paused_since.take() {
             self.inner
                 .borrow_mut()
                 .service
-                .held_up(self.clock.now() - since);
+                .resumed_after(self.clock.now() - since);
             self.released.notify_waiters();
             self.timer.notify_one();
         }
     }
 
-    async fn while_held(&self) {
-        while self.held.get().is_some() {
+    async fn wait_while_paused(&self) {
+        while self.paused_since.get().is_some() {
             self.released.notified().await;
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timer(self: Rc<Self>) {
         loop {
-            self.while_held().await;
+            self.wait_while_paused().await;
             let due = self.inner.borrow().service.next_due();
             let due = async {
                 match due {
@@ -283,8 +285,8 @@
             };
             tokio::select! {
                 () = due => {
-                    if self.held.get().is_none() {
-                        self.with(|service, now, posts| service.advance(now, posts));
+                    if self.paused_since.get().is_none() {
+                        self.with(|service, now, outputs| service.advance(now, outputs));
                     }
                 }
                 () = self.timer.notified() => {}
@@ -299,20 +301,20 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            self.while_held().await;
+            self.wait_while_paused().await;
             let id = ConnId(self.next.get());
             self.next.set(id.0 + 1);
-            let lane = Rc::new(Lane::default());
-            let taken = {
+            let answers = Rc::new(AnswerQueue::default());
+            let accepted = {
                 let mut inner = self.inner.borrow_mut();
-                let taken = inner.service.opened(self.clock.now(), id);
-                if taken {
-                    inner.lanes.insert(id, Rc::clone(&lane));
+                let accepted = inner.service.connection_opened(self.clock.now(), id);
+                if accepted {
+                    inner.connections.insert(id, Rc::clone(&answers));
                 }
-                taken
+                accepted
             };
-            if taken {
-                spawn_local(Rc::clone(&self).serve(socket, id, lane, balancer));
+            if accepted {
+                spawn_local(Rc::clone(&self).serve(socket, id, answers, balancer));
             } else {
                 reset(&socket);
             }
@@ -323,59 +325,65 @@
         self: Rc<Self>,
         mut socket: TcpStream,
         id: ConnId,
-        lane: Rc<Lane>,
+        answers: Rc<AnswerQueue>,
         balancer: u16,
     ) {
         // Without it answers only come later.
         let _ = socket.set_nodelay(true);
-        if self.talk(&mut socket, id, &lane, balancer).await == Ending::Reset {
+        if self.exchange(&mut socket, id, &answers, balancer).await == ConnectionEnd::Reset {
             reset(&socket);
         }
         drop(socket);
         let mut inner = self.inner.borrow_mut();
-        inner.lanes.remove(&id);
-        inner.service.closed(self.clock.now(), id);
+        inner.connections.remove(&id);
+        inner.service.connection_closed(self.clock.now(), id);
     }
 
-    async fn talk(&self, socket: &mut TcpStream, id: ConnId, lane: &Lane, balancer: u16) -> Ending {
+    async fn exchange(
+        &self,
+        socket: &mut TcpStream,
+        id: ConnId,
+        answers: &AnswerQueue,
+        balancer: u16,
+    ) -> ConnectionEnd {
         let mut codec = self.inner.borrow().service.codec();
-        let mut input = BytesMut::with_capacity(READ_BUFFER);
+        let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
         let mut number = 0;
         loop {
-            self.while_held().await;
-            if lane.reset.get() {
-                return Ending::Reset;
+            self.wait_while_paused().await;
+            if answers.reset.get() {
+                return ConnectionEnd::Reset;
             }
-            let out = lane.out.borrow_mut().split();
+            let out = answers.out.borrow_mut().split();
             if !out.is_empty() {
                 let written = tokio::select! {
                     written = socket.write_all(&out) => written,
                     // A peer that reads nothing must not outlive its stand-in.
-                    () = lane.is_reset() => return Ending::Reset,
+                    () = answers.is_reset() => return ConnectionEnd::Reset,
                 };
                 if written.is_err() {
-                    return Ending::Gone;
+                    return ConnectionEnd::Closed;
                 }
             }
-            input.reserve(READ_BUFFER);
+            input.reserve(READ_BUFFER_BYTES);
             tokio::select! {
                 biased;
-                () = lane.bell.notified() => continue,
+                () = answers.wakeup.notified() => continue,
                 read = socket.read_buf(&mut input) => match read {
-                    Ok(0) | Err(_) => return Ending::Gone,
+                    Ok(0) | Err(_) => return ConnectionEnd::Closed,
                     Ok(_) => {}
                 },
             }
-            self.while_held().await;
-            if !self.take_in(&mut codec, &mut input, id, &mut number, balancer) {
+            self.wait_while_paused().await;
+            if !self.accept_commands(&mut codec, &mut input, id, &mut number, balancer) {
                 // What cannot be read ends the connection, whatever else waits on it.
-                return Ending::Reset;
+                return ConnectionEnd::Reset;
             }
         }
     }
 
     /// Hands all whole commands to the model; false if the rest cannot be read.
-    fn take_in(
+    fn accept_commands(
         &self,
         codec: &mut S::Codec,
         input: &mut BytesMut,
@@ -384,7 +392,9 @@
         balancer: u16,
     ) -> bool {
         let mut inner = self.inner.borrow_mut();
-        let Inner { service, posts, .. } = &mut *inner;
+        let Inner {
+            service, outputs, ..
+        } = &mut *inner;
         let before = service.next_due();
         let readable = loop {
             match codec.decode(input) {
@@ -394,14 +404,14 @@
                         number: *number,
                     };
                     *number += 1;
-                    service.received(self.clock.now(), ticket, balancer, item, posts);
+                    service.received(self.clock.now(), ticket, balancer, item, outputs);
                 }
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
         let sooner = service.next_due() != before;
-        inner.post();
+        inner.send_outputs();
         if sooner {
             self.timer.notify_one();
         }
@@ -410,8 +420,8 @@
 }
 
 #[derive(PartialEq, Eq)]
-enum Ending {
-    Gone,
+enum ConnectionEnd {
+    Closed,
     Reset,
 }
 
--- a/crates/stairfront-lab/src/services.rs
+++ b/crates/stairfront-lab/src/services.rs
@@ -15,26 +15,26 @@
 use stairfront_emulator::time::Micros;
 use tokio_util::codec::Encoder;
 
-use crate::station::{Post, Service};
-use crate::tape::Tape;
+use crate::event_log::EventLog;
+use crate::server_host::{ServerOutput, Service};
 
 /// Stand-ins are given all the memory they ask for: what is measured is the balancer.
-const PLENTY: usize = 1 << 30;
-const LARGEST_BODY: usize = 64 * 1024 * 1024;
+const UNLIMITED_BYTES: usize = 1 << 30;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A tape that the stand-ins of one thread share.
-pub type SharedTape = Rc<RefCell<Tape>>;
+pub type SharedEventLog = Rc<RefCell<EventLog>>;
 
 /// What the other stand-ins are told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum OriginNotification {
     /// The origin has answered this request: caches that missed for it store the value.
     Filled { id: Bytes },
     /// The origin has taken a write of this key: copies are void.
     Written { key: Bytes },
 }
 
-pub type Tell = Rc<dyn Fn(Word)>;
+pub type Notifier = Rc<dyn Fn(OriginNotification)>;
 
 /// Requests' ids as numbers: 16 hexadecimal digits, as this project's clients send them, or a hash of anything else.
 pub fn id_number(id: &[u8]) -> u64 {
@@ -49,32 +49,32 @@
 }
 
 /// Attempts that are out at one stand-in, told to the checker as they begin and end.
-struct Attempts {
+struct AttemptTracker {
     host: u16,
-    tape: SharedTape,
-    out: FxHashMap<Ticket, (u64, u64)>,
+    event_log: SharedEventLog,
+    open: FxHashMap<Ticket, (u64, u64)>,
     next: u64,
 }
 
-impl Attempts {
+impl AttemptTracker {
     /// `host`: its position among all hosts, which also keeps attempts of several hosts apart.
-    fn new(host: u16, tape: SharedTape) -> Self {
-        Attempts {
+    fn new(host: u16, event_log: SharedEventLog) -> Self {
+        AttemptTracker {
             host,
-            tape,
-            out: FxHashMap::default(),
+            event_log,
+            open: FxHashMap::default(),
             next: u64::from(host) << 48,
         }
     }
 
-    fn note(&self, at: Micros, seen: Seen) {
-        self.tape.borrow_mut().note(at, seen);
+    fn record(&self, at: Micros, seen: Seen) {
+        self.event_log.borrow_mut().record(at, seen);
     }
 
     fn begin(&mut self, at: Micros, ticket: Ticket, id: u64, balancer: u16) {
         self.next += 1;
-        self.out.insert(ticket, (self.next, id));
-        self.note(
+        self.open.insert(ticket, (self.next, id));
+        self.record(
             at,
             Seen::Began {
                 attempt: self.next,
@@ -86,14 +86,14 @@
     }
 
     fn end(&mut self, at: Micros, ticket: Ticket, ran: bool) {
-        if let Some((attempt, id)) = self.out.remove(&ticket) {
-            self.note(at, Seen::Ended { attempt, id, ran });
+        if let Some((attempt, id)) = self.open.remove(&ticket) {
+            self.record(at, Seen::Ended { attempt, id, ran });
         }
     }
 
     fn end_connection(&mut self, at: Micros, connection: ConnId) {
         let of: Vec<Ticket> = self
-            .out
+            .open
             .keys()
             .filter(|t| t.connection == connection)
             .copied()
@@ -109,15 +109,17 @@
     pub commands: u64,
     pub hits: u64,
     pub misses: u64,
-    pub turned_away: u64,
-    pub most_connections: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
+    #[serde(rename = "most_connections")]
+    pub max_connections: u64,
     /// The most work that came within a window of the fall-over rule while cold, over what it allows.
     pub worst_cold: f64,
 }
 
 pub struct CacheService {
     pub model: CacheHost,
-    attempts: Attempts,
+    attempts: AttemptTracker,
     actions: Vec<cache_host::Action>,
     pub counts: ServerCounts,
     connections: u64,
@@ -126,10 +128,10 @@
 }
 
 impl CacheService {
-    pub fn new(model: CacheHost, host: u16, tape: SharedTape) -> Self {
+    pub fn new(model: CacheHost, host: u16, event_log: SharedEventLog) -> Self {
         CacheService {
             model,
-            attempts: Attempts::new(host, tape),
+            attempts: AttemptTracker::new(host, event_log),
             actions: Vec::new(),
             counts: ServerCounts::default(),
             connections: 0,
@@ -145,9 +147,9 @@
     }
 
     /// Closes what has stood idle for longer than the host keeps it.
-    pub fn close_idle(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    pub fn close_idle(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         self.model.close_idle(now, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
     /// Starts anew, cold.
@@ -155,7 +157,7 @@
         self.model.start_cold(now);
     }
 
-    fn carry_out(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    fn apply_actions(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         for action in self.actions.drain(..) {
             match action {
                 cache_host::Action::Reply(ticket, reply) => {
@@ -168,76 +170,83 @@
                             self.counts.hits += 1
                         }
                         Reply::Value { .. } | Reply::Miss { .. } => self.counts.misses += 1,
-                        Reply::Busy => self.counts.turned_away += 1,
+                        Reply::Busy => self.counts.rejected += 1,
                         _ => {}
                     }
                     if reply == Reply::Silence {
                         // Out until its connection ends.
-                        posts.push(Post::Skip(ticket));
+                        outputs.push(ServerOutput::Skip(ticket));
                         continue;
                     }
                     self.attempts.end(now, ticket, ran);
-                    posts.push(Post::Answer(ticket, write_reply(&mut self.scratch, reply)));
+                    outputs.push(ServerOutput::Answer(
+                        ticket,
+                        write_reply(&mut self.scratch, reply),
+                    ));
+                }
+                cache_host::Action::Close(connection) => {
+                    outputs.push(ServerOutput::Reset(connection))
                 }
-                cache_host::Action::Close(connection) => posts.push(Post::Reset(connection)),
                 cache_host::Action::Effect { id, .. } => {
-                    self.attempts.note(now, Seen::Effect { id: id_number(&id) });
+                    self.attempts
+                        .record(now, Seen::Effect { id: id_number(&id) });
                 }
                 cache_host::Action::ColdMiss { id } => {
                     self.attempts
-                        .note(now, Seen::ColdMiss { id: id_number(&id) });
+                        .record(now, Seen::ColdMiss { id: id_number(&id) });
                 }
                 cache_host::Action::FellOver => {
                     let host = self.attempts.host;
-                    self.attempts.note(now, Seen::FellOver { host });
+                    self.attempts.record(now, Seen::FellOver { host });
                 }
             }
         }
     }
 }
 
-fn write_reply(to: &mut BytesMut, reply: Reply) -> Vec<u8> {
-    let array = |to: &mut BytesMut, value: Option<&[u8]>, note: &str, report: Option<&String>| {
-        put_number(to, b'*', 3);
-        match value {
-            Some(value) => put_bulk(to, value),
-            None => put_null(to),
-        }
-        put_bulk(to, note.as_bytes());
-        match report {
-            Some(report) => put_bulk(to, report.as_bytes()),
-            None => put_null(to),
-        }
-    };
-    to.clear();
+fn write_reply(buffer: &mut BytesMut, reply: Reply) -> Vec<u8> {
+    let array =
+        |buffer: &mut BytesMut, value: Option<&[u8]>, note: &str, report: Option<&String>| {
+            put_number(buffer, b'*', 3);
+            match value {
+                Some(value) => put_bulk(buffer, value),
+                None => put_null(buffer),
+            }
+            put_bulk(buffer, note.as_bytes());
+            match report {
+                Some(report) => put_bulk(buffer, report.as_bytes()),
+                None => put_null(buffer),
+            }
+        };
+    buffer.clear();
     match &reply {
         Reply::Value {
             value,
             note,
             report,
-        } => array(to, Some(value), note, report.as_ref()),
-        Reply::Miss { report } => array(to, None, "miss", report.as_ref()),
-        Reply::Failed => put_line(to, b'-', b"ERR failed"),
-        Reply::Busy => put_line(to, b'-', b"BUSY"),
-        Reply::Spoilt(bytes) => to.put_slice(bytes),
-        Reply::Doubled { value } => (0..2).for_each(|_| array(to, Some(value), "hit", None)),
+        } => array(buffer, Some(value), note, report.as_ref()),
+        Reply::Miss { report } => array(buffer, None, "miss", report.as_ref()),
+        Reply::Failed => put_line(buffer, b'-', b"ERR failed"),
+        Reply::Busy => put_line(buffer, b'-', b"BUSY"),
+        Reply::Spoilt(bytes) => buffer.put_slice(bytes),
+        Reply::Doubled { value } => (0..2).for_each(|_| array(buffer, Some(value), "hit", None)),
         Reply::Silence => {}
     }
-    to.to_vec()
+    buffer.to_vec()
 }
 
 impl Service for CacheService {
     type Codec = CommandReader;
 
     fn codec(&self) -> CommandReader {
-        CommandReader::new(&Budget::new(PLENTY), &Budget::new(PLENTY))
+        CommandReader::new(&Budget::new(UNLIMITED_BYTES), &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn opened(&mut self, now: Micros, connection: ConnId) -> bool {
-        let taken = self.model.open(now, connection);
-        self.connections += u64::from(taken);
-        self.counts.most_connections = self.counts.most_connections.max(self.connections);
-        taken
+    fn connection_opened(&mut self, now: Micros, connection: ConnId) -> bool {
+        let accepted = self.model.open(now, connection);
+        self.connections += u64::from(accepted);
+        self.counts.max_connections = self.counts.max_connections.max(self.connections);
+        accepted
     }
 
     fn received(
@@ -245,91 +254,94 @@
         now: Micros,
         ticket: Ticket,
         balancer: u16,
-        words: Vec<Bytes>,
-        posts: &mut Vec<Post>,
+        arguments: Vec<Bytes>,
+        outputs: &mut Vec<ServerOutput>,
     ) {
-        let name = words
+        let name = arguments
             .first()
             .map(|word| word.to_ascii_uppercase())
             .unwrap_or_default();
-        let mut plain = |line: &[u8]| posts.push(Post::Answer(ticket, line.to_vec()));
+        let mut reply_line =
+            |line: &[u8]| outputs.push(ServerOutput::Answer(ticket, line.to_vec()));
         let write = match &name[..] {
             b"C.GET" => false,
             b"C.SET" => true,
-            b"PING" => return plain(b"+PONG\r\n"),
-            b"CLIENT" | b"SELECT" => return plain(b"+OK\r\n"),
+            b"PING" => return reply_line(b"+PONG\r\n"),
+            b"CLIENT" | b"SELECT" => return reply_line(b"+OK\r\n"),
             // Between stand-ins alone: what the origin tells caches in other processes.
             b"STAND-IN.FILL" | b"STAND-IN.DROP" => {
-                let argument = words.get(1).cloned().unwrap_or_default();
+                let argument = arguments.get(1).cloned().unwrap_or_default();
                 match &name[9..] {
                     b"FILL" => self.model.fill(now, &argument),
                     _ => self.model.drop_key(&argument),
                 }
-                return plain(b"+OK\r\n");
+                return reply_line(b"+OK\r\n");
             }
-            b"INFO" => return plain(b"-NOPERM\r\n"),
-            _ => return plain(b"-ERR unknown command\r\n"),
+            b"INFO" => return reply_line(b"-NOPERM\r\n"),
+            _ => return reply_line(b"-ERR unknown command\r\n"),
         };
-        let mut words = words.into_iter().skip(1);
-        let (Some(key), Some(id), Some(info)) = (words.next(), words.next(), words.next()) else {
-            return plain(b"-SYNTAX\r\n");
+        let mut arguments = arguments.into_iter().skip(1);
+        let (Some(key), Some(id), Some(info)) =
+            (arguments.next(), arguments.next(), arguments.next())
+        else {
+            return reply_line(b"-SYNTAX\r\n");
         };
         let command = Command {
             write,
             key,
             id,
             info,
-            value: words.next().unwrap_or_default(),
+            value: arguments.next().unwrap_or_default(),
         };
         self.counts.commands += 1;
         self.attempts
             .begin(now, ticket, id_number(&command.id), balancer);
         self.model.command(now, ticket, command, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
-    fn closed(&mut self, now: Micros, connection: ConnId) {
+    fn connection_closed(&mut self, now: Micros, connection: ConnId) {
         self.connections = self.connections.saturating_sub(1);
         self.model.close(connection);
         self.attempts.end_connection(now, connection);
     }
 
-    fn advance(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         self.model.advance(now, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
     fn next_due(&self) -> Option<Micros> {
         self.model.next_due()
     }
 
-    fn held_up(&mut self, by: Micros) {
+    fn resumed_after(&mut self, by: Micros) {
         self.model.hold_up(by);
     }
 }
 
 pub struct OriginService {
     pub model: Origin,
-    attempts: Attempts,
+    attempts: AttemptTracker,
     actions: Vec<origin::Action>,
-    tell: Tell,
+    notifier: Notifier,
     pub counts: ServerCounts,
     scratch: BytesMut,
 }
 
 impl OriginService {
-    pub fn new(model: Origin, host: u16, tape: SharedTape, tell: Tell) -> Self {
+    pub fn new(model: Origin, host: u16, event_log: SharedEventLog, notifier: Notifier) -> Self {
         OriginService {
             model,
-            attempts: Attempts::new(host, tape),
+            attempts: AttemptTracker::new(host, event_log),
             actions: Vec::new(),
-            tell,
+            notifier,
             counts: ServerCounts::default(),
             scratch: BytesMut::new(),
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, status: u16, body: Bytes) -> Post {
+    fn answer(&mut self, ticket: Ticket, status: u16, body: Bytes) -> ServerOutput {
         let (reason, not_started) = match status {
             200 => ("OK", None),
             503 => (
@@ -348,40 +360,41 @@
         http_answer(&mut self.scratch, ticket, reply)
     }
 
-    fn carry_out(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    fn apply_actions(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 origin::Action::Value(ticket, body) => {
                     self.attempts.end(now, ticket, true);
-                    posts.push(self.answer(ticket, 200, body));
+                    outputs.push(self.answer(ticket, 200, body));
                 }
                 origin::Action::Failed(ticket) => {
                     self.attempts.end(now, ticket, true);
-                    posts.push(self.answer(ticket, 500, Bytes::new()));
+                    outputs.push(self.answer(ticket, 500, Bytes::new()));
                 }
                 origin::Action::NotStarted(ticket) => {
-                    self.counts.turned_away += 1;
+                    self.counts.rejected += 1;
                     self.attempts.end(now, ticket, false);
-                    posts.push(self.answer(ticket, 503, Bytes::new()));
+                    outputs.push(self.answer(ticket, 503, Bytes::new()));
                 }
-                origin::Action::Filled { id } => (self.tell)(Word::Filled { id }),
+                origin::Action::Filled { id } => (self.notifier)(OriginNotification::Filled { id }),
                 origin::Action::Written { id, key } => {
-                    self.attempts.note(now, Seen::Effect { id: id_number(&id) });
-                    (self.tell)(Word::Written { key });
+                    self.attempts
+                        .record(now, Seen::Effect { id: id_number(&id) });
+                    (self.notifier)(OriginNotification::Written { key });
                 }
-                origin::Action::Stopped => self.attempts.note(now, Seen::OriginStopped),
+                origin::Action::Stopped => self.attempts.record(now, Seen::OriginStopped),
             }
         }
     }
 }
 
-fn http_answer(scratch: &mut BytesMut, ticket: Ticket, reply: HttpReply) -> Post {
+fn http_answer(scratch: &mut BytesMut, ticket: Ticket, reply: HttpReply) -> ServerOutput {
     scratch.clear();
     let mut codec = HttpServerCodec::new(0, &Budget::new(0));
     match codec.encode(reply, scratch) {
-        Ok(()) => Post::Answer(ticket, scratch.to_vec()),
+        Ok(()) => ServerOutput::Answer(ticket, scratch.to_vec()),
         // Only a header with a line break, and none here has one.
-        Err(_) => Post::Reset(ticket.connection),
+        Err(_) => ServerOutput::Reset(ticket.connection),
     }
 }
 
@@ -417,10 +430,10 @@
     type Codec = HttpServerCodec;
 
     fn codec(&self) -> HttpServerCodec {
-        HttpServerCodec::new(LARGEST_BODY, &Budget::new(PLENTY))
+        HttpServerCodec::new(MAX_BODY_BYTES, &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn connection_opened(&mut self, _: Micros, _: ConnId) -> bool {
         true
     }
 
@@ -430,15 +443,15 @@
         ticket: Ticket,
         balancer: u16,
         request: Received,
-        posts: &mut Vec<Post>,
+        outputs: &mut Vec<ServerOutput>,
     ) {
         if request.target == "/-/healthy" || request.target == "/-/load" {
-            return posts.push(self.answer(ticket, 200, Bytes::new()));
+            return outputs.push(self.answer(ticket, 200, Bytes::new()));
         }
         let write = match request.method.as_str() {
             "GET" => false,
             "PUT" => true,
-            _ => return posts.push(self.answer(ticket, 404, Bytes::new())),
+            _ => return outputs.push(self.answer(ticket, 404, Bytes::new())),
         };
         let id = request.header("Request-Id").cloned().unwrap_or_default();
         if id.is_empty() {
@@ -456,23 +469,23 @@
             id,
         };
         self.model.request(now, ticket, request, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
-    fn closed(&mut self, now: Micros, connection: ConnId) {
+    fn connection_closed(&mut self, now: Micros, connection: ConnId) {
         self.attempts.end_connection(now, connection);
     }
 
-    fn advance(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         self.model.advance(now, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
     fn next_due(&self) -> Option<Micros> {
         self.model.next_due()
     }
 
-    fn held_up(&mut self, _: Micros) {}
+    fn resumed_after(&mut self, _: Micros) {}
 }
 
 pub struct AgentService {
@@ -480,7 +493,7 @@
     /// Positions of the hosts by name, and of the balancer whose agent it is.
     hosts: FxHashMap<String, u16>,
     balancer: u16,
-    tape: SharedTape,
+    event_log: SharedEventLog,
     pub actions: Vec<agent::Action>,
     scratch: BytesMut,
 }
@@ -490,19 +503,19 @@
         model: Agent,
         hosts: FxHashMap<String, u16>,
         balancer: u16,
-        tape: SharedTape,
+        event_log: SharedEventLog,
     ) -> Self {
         AgentService {
             model,
             hosts,
             balancer,
-            tape,
+            event_log,
             actions: Vec::new(),
             scratch: BytesMut::new(),
         }
     }
 
-    pub fn carry_out(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    pub fn apply_actions(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         for action in std::mem::take(&mut self.actions) {
             match action {
                 agent::Action::Answer(ticket, list) => {
@@ -513,7 +526,7 @@
                         headers,
                         body: Bytes::from(list),
                     };
-                    posts.push(http_answer(&mut self.scratch, ticket, reply));
+                    outputs.push(http_answer(&mut self.scratch, ticket, reply));
                 }
                 agent::Action::Unknown(ticket) => {
                     let reply = HttpReply {
@@ -522,7 +535,7 @@
                         headers: vec![],
                         body: Bytes::new(),
                     };
-                    posts.push(http_answer(&mut self.scratch, ticket, reply));
+                    outputs.push(http_answer(&mut self.scratch, ticket, reply));
                 }
                 agent::Action::Told { name, status } => {
                     let Some(host) = self.hosts.get(&name).copied() else {
@@ -533,7 +546,7 @@
                     } else {
                         Told::Leaving
                     };
-                    self.tape.borrow_mut().note(
+                    self.event_log.borrow_mut().record(
                         now,
                         Seen::Said {
                             balancer: self.balancer,
@@ -551,10 +564,10 @@
     type Codec = HttpServerCodec;
 
     fn codec(&self) -> HttpServerCodec {
-        HttpServerCodec::new(0, &Budget::new(PLENTY))
+        HttpServerCodec::new(0, &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn connection_opened(&mut self, _: Micros, _: ConnId) -> bool {
         true
     }
 
@@ -564,28 +577,28 @@
         ticket: Ticket,
         _: u16,
         request: Received,
-        posts: &mut Vec<Post>,
+        outputs: &mut Vec<ServerOutput>,
     ) {
         self.model
             .call(now, ticket, &request.target, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
-    fn closed(&mut self, _: Micros, connection: ConnId) {
+    fn connection_closed(&mut self, _: Micros, connection: ConnId) {
         self.model.forget(Ticket {
             connection,
             number: 0,
         });
     }
 
-    fn advance(&mut self, now: Micros, posts: &mut Vec<Post>) {
+    fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         self.model.advance(now, &mut self.actions);
-        self.carry_out(now, posts);
+        self.apply_actions(now, outputs);
     }
 
     fn next_due(&self) -> Option<Micros> {
         self.model.next_due()
     }
 
-    fn held_up(&mut self, _: Micros) {}
+    fn resumed_after(&mut self, _: Micros) {}
 }
--- a/crates/stairfront-lab/src/stand_in.rs
+++ b/crates/stairfront-lab/src/stand_in.rs
@@ -19,13 +19,15 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock::RunClock;
-use crate::services::{AgentService, CacheService, OriginService, SharedTape, Tell, Word};
-use crate::station::{Address, Service, Station};
-use crate::tape::Tape;
+use crate::event_log::EventLog;
+use crate::server_host::{Address, ServerHost, Service};
+use crate::services::{
+    AgentService, CacheService, Notifier, OriginNotification, OriginService, SharedEventLog,
+};
 
 /// Words to a cache that wait; more are dropped, which costs it a miss.
-const MOST_WORDS: usize = 10_000;
-const WORD_LIMIT: Duration = Duration::from_secs(1);
+const MAX_QUEUED_NOTIFICATIONS: usize = 10_000;
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What is to stand in.
 pub enum StandIn {
@@ -46,7 +48,7 @@
 }
 
 /// A server of a list, from `name=address`; the one called `origin` is the origin.
-pub fn line(text: &str) -> Result<Line, String> {
+pub fn parse_server(text: &str) -> Result<Line, String> {
     let (name, address) = text
         .split_once('=')
         .ok_or(format!("{text:?} is not name=address"))?;
@@ -73,9 +75,9 @@
     runtime.block_on(LocalSet::new().run_until(async {
         let clock = RunClock::starting_in(Duration::ZERO);
         // Nobody checks rules here: what is seen is dropped.
-        let (to, heard) = std::sync::mpsc::channel();
-        drop(heard);
-        let tape: SharedTape = Rc::new(RefCell::new(Tape::new(clock, to)));
+        let (to, received) = std::sync::mpsc::channel();
+        drop(received);
+        let event_log: SharedEventLog = Rc::new(RefCell::new(EventLog::new(clock, to)));
         match what {
             StandIn::Cache { settings, cold } => {
                 let mut model =
@@ -83,22 +85,22 @@
                 if cold {
                     model.start_cold(clock.now());
                 }
-                until_stopped(clock, CacheService::new(model, 0, tape), listen).await
+                serve_until_stopped(clock, CacheService::new(model, 0, event_log), listen).await
             }
             StandIn::Origin { settings, caches } => {
-                let tell = tell(&caches);
-                until_stopped(
+                let notifier = notifier(&caches);
+                serve_until_stopped(
                     clock,
-                    OriginService::new(Origin::new(settings, seed), 0, tape, tell),
+                    OriginService::new(Origin::new(settings, seed), 0, event_log, notifier),
                     listen,
                 )
                 .await
             }
             StandIn::Discovery { lines, lag_ms } => {
                 let agent = Agent::new(lines, from_ms(lag_ms));
-                until_stopped(
+                serve_until_stopped(
                     clock,
-                    AgentService::new(agent, FxHashMap::default(), 0, tape),
+                    AgentService::new(agent, FxHashMap::default(), 0, event_log),
                     listen,
                 )
                 .await
@@ -107,61 +109,64 @@
     }))
 }
 
-async fn until_stopped<S: Service>(
+async fn serve_until_stopped<S: Service>(
     clock: RunClock,
     service: S,
     listen: SocketAddr,
 ) -> io::Result<()> {
-    let station = Station::new(clock, service, vec![Address::reserve_at(listen)?], 0);
-    station.listen()?;
+    let server_host = ServerHost::new(clock, service, vec![Address::reserve_at(listen)?], 0);
+    server_host.listen()?;
     eprintln!("stands in at {listen}");
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
         _ = terminate.recv() => {}
     }
-    station.die();
+    server_host.die();
     Ok(())
 }
 
 /// Passes words on to caches in other processes, each over a connection of its own.
-fn tell(caches: &[SocketAddr]) -> Tell {
-    let to: Vec<mpsc::Sender<Word>> = caches
+fn notifier(caches: &[SocketAddr]) -> Notifier {
+    let to: Vec<mpsc::Sender<OriginNotification>> = caches
         .iter()
         .map(|cache| {
-            let (to, words) = mpsc::channel(MOST_WORDS);
-            spawn_local(pass_on(*cache, words));
+            let (to, notifications) = mpsc::channel(MAX_QUEUED_NOTIFICATIONS);
+            spawn_local(forward_notifications(*cache, notifications));
             to
         })
         .collect();
-    Rc::new(move |word| {
+    Rc::new(move |notification| {
         to.iter()
-            .for_each(|cache| drop(cache.try_send(word.clone())))
+            .for_each(|cache| drop(cache.try_send(notification.clone())))
     })
 }
 
-async fn pass_on(cache: SocketAddr, mut words: mpsc::Receiver<Word>) {
-    while let Some(first) = words.recv().await {
-        let talk = async {
+async fn forward_notifications(
+    cache: SocketAddr,
+    mut notifications: mpsc::Receiver<OriginNotification>,
+) {
+    while let Some(first) = notifications.recv().await {
+        let exchange = async {
             let mut socket = TcpStream::connect(cache).await?;
             let mut next = Some(first);
-            while let Some(word) = next {
-                let (name, argument) = match &word {
-                    Word::Filled { id } => (&b"STAND-IN.FILL"[..], id),
-                    Word::Written { key } => (&b"STAND-IN.DROP"[..], key),
+            while let Some(notification) = next {
+                let (name, argument) = match &notification {
+                    OriginNotification::Filled { id } => (&b"STAND-IN.FILL"[..], id),
+                    OriginNotification::Written { key } => (&b"STAND-IN.DROP"[..], key),
                 };
                 let mut out = BytesMut::new();
                 put_number(&mut out, b'*', 2);
                 put_bulk(&mut out, name);
                 put_bulk(&mut out, argument);
                 socket.write_all(&out).await?;
-                timeout(WORD_LIMIT, socket.read_exact(&mut [0; 5])).await??;
-                next = words.recv().await;
+                timeout(NOTIFICATION_TIMEOUT, socket.read_exact(&mut [0; 5])).await??;
+                next = notifications.recv().await;
             }
             Ok::<(), io::Error>(())
         };
-        if talk.await.is_err() {
-            sleep(WORD_LIMIT).await;
+        if exchange.await.is_err() {
+            sleep(NOTIFICATION_TIMEOUT).await;
         }
     }
 }
--- a/crates/stairfront-lab/src/tally.rs
+++ b/crates/stairfront-lab/src/summary.rs
@@ -4,14 +4,14 @@
 use stairfront_emulator::client::{Ask, End};
 use stairfront_emulator::time::Micros;
 
-use crate::tape::INTERVAL;
+use crate::event_log::INTERVAL;
 
 /// Latencies are told apart to three digits, up to ten minutes, in microseconds.
-const LONGEST: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 fn histogram(digits: u8) -> Histogram<u64> {
     // The bounds are good ones, so this cannot fail; if it did, a histogram that grows would do.
-    Histogram::new_with_bounds(1, LONGEST, digits).unwrap_or_else(|_| {
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, digits).unwrap_or_else(|_| {
         let mut growing =
             Histogram::new(digits).unwrap_or_else(|_| unreachable!("1 to 5 digits are allowed"));
         growing.auto(true);
@@ -23,12 +23,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Counts {
     /// First tries that were due.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Of them, served within the aim of the first try, whichever try it was.
     pub in_time: u64,
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub attempts: u64,
     pub served: u64,
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     pub failed: u64,
     pub lost: u64,
     pub unanswered: u64,
@@ -38,11 +41,11 @@
 
 impl Counts {
     fn add(&mut self, other: &Counts) {
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.in_time += other.in_time;
-        self.tries += other.tries;
+        self.attempts += other.attempts;
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed += other.failed;
         self.lost += other.lost;
         self.unanswered += other.unanswered;
@@ -50,11 +53,11 @@
     }
 
     /// Part of what was asked for that was served in time; 1 where nothing was asked for.
-    pub fn on_time(&self) -> f64 {
-        if self.asked == 0 {
+    pub fn in_time_ratio(&self) -> f64 {
+        if self.requests == 0 {
             1.0
         } else {
-            self.in_time as f64 / self.asked as f64
+            self.in_time as f64 / self.requests as f64
         }
     }
 }
@@ -63,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct Interval {
     pub served: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub other: u64,
     pub latency: Histogram<u64>,
 }
@@ -72,7 +75,7 @@
     fn new() -> Self {
         Interval {
             served: 0,
-            refused: 0,
+            rejected: 0,
             other: 0,
             latency: histogram(2),
         }
@@ -80,7 +83,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct Summary {
     tenants: usize,
     /// By class, then tenant.
     pub counts: Vec<Counts>,
@@ -93,10 +96,10 @@
     until: Micros,
 }
 
-impl Tally {
+impl Summary {
     /// Counts what is due from one time until another.
     pub fn new(classes: usize, tenants: usize, from: Micros, until: Micros) -> Self {
-        Tally {
+        Summary {
             tenants,
             counts: vec![Counts::default(); classes * tenants],
             latency: histogram(3),
@@ -108,44 +111,44 @@
     }
 
     /// Books the end of a try; `unsent` where it never went out, `in_time` where it was served within its aim.
-    pub fn book(&mut self, now: Micros, ask: &Ask, end: End, unsent: bool, in_time: bool) {
-        let took = (now - ask.due).clamp(1, LONGEST as Micros) as u64;
-        let i = (ask.due.max(0) / INTERVAL) as usize;
+    pub fn record(&mut self, now: Micros, request: &Ask, end: End, unsent: bool, in_time: bool) {
+        let latency_us = (now - request.due).clamp(1, MAX_LATENCY_US as Micros) as u64;
+        let i = (request.due.max(0) / INTERVAL) as usize;
         if self.over_time.len() <= i {
             self.over_time.resize_with(i + 1, Interval::new);
         }
         let interval = &mut self.over_time[i];
         match end {
             End::Served => interval.served += 1,
-            End::Refused { .. } => interval.refused += 1,
+            End::Refused { .. } => interval.rejected += 1,
             _ => interval.other += 1,
         }
-        interval.latency.saturating_record(took);
-        if !(self.from..self.until).contains(&ask.first_due) {
+        interval.latency.saturating_record(latency_us);
+        if !(self.from..self.until).contains(&request.first_due) {
             return;
         }
-        self.latency.saturating_record(took);
-        let at = usize::from(ask.class) * self.tenants + usize::from(ask.tenant);
+        self.latency.saturating_record(latency_us);
+        let at = usize::from(request.class) * self.tenants + usize::from(request.tenant);
         let Some(counts) = self.counts.get_mut(at) else {
             return;
         };
-        counts.tries += 1;
-        counts.asked += u64::from(ask.retry == 0);
+        counts.attempts += 1;
+        counts.requests += u64::from(request.retry == 0);
         counts.in_time += u64::from(in_time);
         match end {
             _ if unsent => counts.unsent += 1,
             End::Served => {
                 counts.served += 1;
-                self.served.saturating_record(took);
+                self.served.saturating_record(latency_us);
             }
-            End::Refused { .. } => counts.refused += 1,
+            End::Refused { .. } => counts.rejected += 1,
             End::Failed => counts.failed += 1,
             End::Lost => counts.lost += 1,
             End::Unanswered => counts.unanswered += 1,
         }
     }
 
-    pub fn add(&mut self, other: &Tally) {
+    pub fn add(&mut self, other: &Summary) {
         self.counts
             .iter_mut()
             .zip(&other.counts)
@@ -157,7 +160,7 @@
             match self.over_time.get_mut(i) {
                 Some(mine) => {
                     mine.served += interval.served;
-                    mine.refused += interval.refused;
+                    mine.rejected += interval.rejected;
                     mine.other += interval.other;
                     let _ = mine.latency.add(&interval.latency);
                 }
--- a/crates/stairfront-lab/tests/crossed_ends.rs
+++ b/crates/stairfront-lab/tests/crossed_ends.rs
@@ -11,8 +11,8 @@
 use stairfront_emulator::rules::Seen;
 use stairfront_emulator::time::SECOND;
 use stairfront_lab::clock::RunClock;
-use stairfront_lab::live::Live;
-use stairfront_lab::load::{run, Front, Habits, LoadPlan};
+use stairfront_lab::live_counters::LiveCounters;
+use stairfront_lab::load::{run, BalancerEndpoint, ClientBehavior, LoadPlan};
 
 /// Ends of connections that a run is to see.
 const ENOUGH: u64 = 30;
@@ -71,32 +71,32 @@
         },
         classes: vec![class],
         retries: RetrySettings::default(),
-        habits: Habits {
+        behavior: ClientBehavior {
             connections: 4,
-            ..Habits::default()
+            ..ClientBehavior::default()
         },
-        balancers: vec![Front { address, closed }],
+        balancers: vec![BalancerEndpoint { address, closed }],
         threads: 1,
         seed: 7,
         end,
         count_from: 0,
-        live: Arc::new(Live::new(0)),
+        live_counters: Arc::new(LiveCounters::new(0)),
     };
     let (mut lost, mut plays) = (0, 0);
     while !reached() {
         plays += 1;
         assert!(plays <= 20, "too few connections ended as they were to");
-        let (tapes, seen) = mpsc::channel();
+        let (event_sender, seen) = mpsc::channel();
         run(
             &LoadPlan {
                 seed: plays,
                 ..plan.clone()
             },
             RunClock::starting_in(Duration::ZERO),
-            &tapes,
+            &event_sender,
         )
         .unwrap();
-        drop(tapes);
+        drop(event_sender);
         lost += seen
             .iter()
             .flatten()
--- a/crates/stairfront/src/lab.rs
+++ b/crates/stairfront/src/lab.rs
@@ -9,7 +9,7 @@
 use stairfront_lab::experiment::Experiment;
 use stairfront_lab::process::Build;
 use stairfront_lab::report;
-use stairfront_lab::run::{Progress, Surroundings};
+use stairfront_lab::run::{Progress, RunEnvironment};
 
 use crate::command_line::LabArguments;
 use crate::FAULTY;
@@ -17,10 +17,10 @@
 const BASELINE: &str = "stairfront-baseline";
 
 /// This program as the balancer, and the baselines beside it.
-pub fn surroundings(progress: Progress) -> io::Result<Surroundings> {
+pub fn surroundings(progress: Progress) -> io::Result<RunEnvironment> {
     let program = env::current_exe()?;
     let beside = |name: &str| program.parent().unwrap_or(Path::new(".")).join(name);
-    Ok(Surroundings {
+    Ok(RunEnvironment {
         baseline: beside(BASELINE),
         balancer: Build {
             program,
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -4,7 +4,7 @@
 use stairfront_emulator::cache_host::CacheSettings;
 use stairfront_emulator::dice::ServiceTime;
 use stairfront_emulator::origin::OriginSettings;
-use stairfront_lab::stand_in::{line, serve, StandIn};
+use stairfront_lab::stand_in::{parse_server, serve, StandIn};
 
 use crate::{command_line, FAULTY};
 
@@ -76,7 +76,7 @@
         command_line::StandIn::Discovery { listen, servers } => {
             let lines = servers
                 .iter()
-                .map(|server| line(server))
+                .map(|server| parse_server(server))
                 .collect::<Result<Vec<_>, _>>();
             (
                 lines.map(|lines| StandIn::Discovery { lines, lag_ms: 0.0 }),
--- a/crates/stairfront/tests/group_scripts.rs
+++ b/crates/stairfront/tests/group_scripts.rs
@@ -5,10 +5,10 @@
 use stairfront_lab::compare;
 use stairfront_lab::experiment::Experiment;
 use stairfront_lab::process::Build;
-use stairfront_lab::run::{Outcome, Progress, Surroundings};
+use stairfront_lab::run::{Outcome, Progress, RunEnvironment};
 
 fn lab(text: &str, seed: u64) -> Outcome {
-    let around = Surroundings {
+    let around = RunEnvironment {
         balancer: Build {
             program: PathBuf::from(env!("CARGO_BIN_EXE_stairfront")),
             arguments: vec!["serve".to_string()],
--- a/crates/stairfront/tests/lab.rs
+++ b/crates/stairfront/tests/lab.rs
@@ -12,14 +12,14 @@
 use stairfront_lab::compare;
 use stairfront_lab::experiment::Experiment;
 use stairfront_lab::process::Build;
-use stairfront_lab::run::{Outcome, Progress, Surroundings};
+use stairfront_lab::run::{Outcome, Progress, RunEnvironment};
 use tokio::time::sleep;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_stairfront");
 
 /// Runs an experiment; its first run.
 fn lab(text: &str) -> Outcome {
-    let around = Surroundings {
+    let around = RunEnvironment {
         balancer: Build {
             program: PathBuf::from(PROGRAM),
             arguments: vec!["serve".to_string()],
@@ -89,7 +89,10 @@
         (0, 0, 0),
         "{counts:?}"
     );
-    assert!(counts.asked > 800 && outcome.on_time > 0.8, "{counts:?}");
+    assert!(
+        counts.requests > 800 && outcome.in_time_ratio > 0.8,
+        "{counts:?}"
+    );
     assert!(outcome.rules.figures.notices > 0 && outcome.hit_ratio > 0.3 && outcome.fetches > 0);
     assert_eq!(outcome.servers.len(), 5);
 }
