--- a/crates/stairfront-lab/src/clock.rs
+++ b/crates/stairfront-lab/src/clock.rs
@@ -1,37 +1,38 @@
-//! The clock of a run: microseconds since its requests begin to come, the same on all threads.
+//! The clock of a run: microseconds since its requests begin, the same on all threads.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use stairfront_emulator::time::Micros;
 
+/// A clock that shows 0 when the requests of a run begin.
 #[derive(Clone, Copy, Debug)]
 pub struct RunClock {
-    made: Instant,
-    /// What is to be ready is, by then.
+    created_at: Instant,
+    /// Time from the creation to 0, for everything to start.
     lead: Micros,
     unix_ms: u64,
 }
 
 impl RunClock {
-    /// A clock that shows 0 so much later.
+    /// A clock that shows 0 after `lead`.
     pub fn starting_in(lead: Duration) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         RunClock {
-            made: Instant::now(),
+            created_at: Instant::now(),
             lead: lead.as_micros() as Micros,
             unix_ms: (unix + lead).as_millis() as u64,
         }
     }
 
-    /// Below 0 until the start.
+    /// The time of the run, below 0 until the requests begin.
     pub fn now(&self) -> Micros {
-        self.made.elapsed().as_micros() as Micros - self.lead
+        self.created_at.elapsed().as_micros() as Micros - self.lead
     }
 
-    /// For waits on tokio's clock. Its timers fire up to a millisecond late.
+    /// A time on tokio's clock, whose timers fire up to a millisecond late.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        (self.made + Duration::from_micros((at + self.lead).max(0) as u64)).into()
+        (self.created_at + Duration::from_micros((at + self.lead).max(0) as u64)).into()
     }
 
     /// Unix time in milliseconds, for start times in discovery's lists.
--- a/crates/stairfront-lab/src/event_log.rs
+++ b/crates/stairfront-lab/src/event_log.rs
@@ -1,50 +1,64 @@
-//! What everybody saw, on its way to the thread that checks the rules and counts loads over time.
+//! The observations of clients, servers and the run, on their way to the thread that checks the rules and counts loads over time.
 use std::sync::mpsc::{Receiver, Sender};
 
-use serde::Serialize;
 use stairfront_emulator::rules::{Checker, Limits, Report, Seen};
 use stairfront_emulator::time::{Micros, SECOND};
 
 use crate::clock::RunClock;
 use crate::live_counters::LiveCounters;
 
-/// Sightings handed over at once, and the longest that some wait.
+/// Events that are handed over together.
 const MAX_BATCH_EVENTS: usize = 512;
+/// Longest time that an event waits for its batch.
 const MAX_BATCH_DELAY: Micros = 20_000;
-/// Sightings between two looks for requests that can be judged.
+/// Events between two searches for requests that can be judged.
 const CHECK_INTERVAL_EVENTS: usize = 100_000;
+/// Length of an interval of all series.
+pub const INTERVAL: Micros = SECOND / 4;
+
+/// Something that somebody saw.
+#[derive(Clone, Copy, Debug)]
+pub struct Event {
+    /// When it was seen.
+    pub at: Micros,
+    /// The observation.
+    pub seen: Seen,
+}
 
-type Batch = Vec<(Micros, Seen)>;
+/// A thread's way to the checker.
+pub type EventSender = Sender<Vec<Event>>;
 
-/// One thread's end: sightings are gathered and handed over in batches.
+/// One thread's end: events are gathered and handed over in batches.
 pub struct EventLog {
     clock: RunClock,
-    to: Sender<Batch>,
-    batch: Batch,
+    sender: EventSender,
+    batch: Vec<Event>,
     first_at: Micros,
 }
 
 impl EventLog {
-    pub fn new(clock: RunClock, to: Sender<Batch>) -> Self {
+    /// A log that hands over to this sender.
+    pub fn new(clock: RunClock, sender: EventSender) -> Self {
         EventLog {
             clock,
-            to,
+            sender,
             batch: Vec::with_capacity(MAX_BATCH_EVENTS),
             first_at: 0,
         }
     }
 
+    /// Adds an event, and hands the batch over if it is full.
     pub fn record(&mut self, at: Micros, seen: Seen) {
         if self.batch.is_empty() {
             self.first_at = at;
         }
-        self.batch.push((at, seen));
+        self.batch.push(Event { at, seen });
         if self.batch.len() >= MAX_BATCH_EVENTS {
             self.flush();
         }
     }
 
-    /// Hands over what has waited long enough; to be called now and then.
+    /// Hands over what has waited long enough; has to be called now and then.
     pub fn flush_if_due(&mut self) {
         if !self.batch.is_empty() && self.clock.now() - self.first_at > MAX_BATCH_DELAY {
             self.flush();
@@ -52,11 +66,10 @@
     }
 
     fn flush(&mut self) {
-        // The recorder ends only when all tapes have: then nobody is left to tell.
-        let _ = self.to.send(std::mem::replace(
-            &mut self.batch,
-            Vec::with_capacity(MAX_BATCH_EVENTS),
-        ));
+        let empty = Vec::with_capacity(MAX_BATCH_EVENTS);
+        let batch = std::mem::replace(&mut self.batch, empty);
+        // The recorder ends only when all logs have, so a failure leaves nobody to notify.
+        let _ = self.sender.send(batch);
     }
 }
 
@@ -67,19 +80,17 @@
 }
 
 /// Attempts by host and interval, and what the checker decided.
-#[derive(Clone, Debug, Default, Serialize)]
+#[derive(Clone, Debug, Default)]
 pub struct RecordedRun {
+    /// The checker's report.
     pub rules: Report,
-    /// Attempts begun at each host in each interval; the origin last.
+    /// Attempts that began at each host in each interval; the origin last.
     pub attempts: Vec<Vec<u32>>,
 }
 
-/// Length of an interval of all series.
-pub const INTERVAL: Micros = SECOND / 4;
-
-/// Hears all tapes until the last one ends.
+/// Handles the events of all logs until the last log ends.
 pub fn record(
-    from: Receiver<Batch>,
+    events: Receiver<Vec<Event>>,
     limits: Limits,
     hosts: usize,
     live_counters: &LiveCounters,
@@ -87,9 +98,9 @@
     let mut checker = Checker::new(limits);
     let mut attempts = vec![Vec::new(); hosts];
     let mut handled = 0;
-    for batch in from {
+    for batch in events {
         handled += batch.len();
-        for (at, seen) in batch {
+        for Event { at, seen } in batch {
             if let Seen::Began { host, .. } = seen {
                 live_counters.record_attempt(usize::from(host));
                 if let Some(series) = attempts.get_mut(usize::from(host)) {
--- a/crates/stairfront-lab/src/process.rs
+++ b/crates/stairfront-lab/src/process.rs
@@ -1,8 +1,9 @@
-//! Balancers as processes: started with a configuration in the platform's form, signalled, looked at from outside.
+//! Balancers as processes: started with a configuration in the platform's form, signalled, and sampled from outside.
 use std::collections::BTreeSet;
 use std::fs::{self, File};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::{Mutex, PoisonError};
@@ -10,7 +11,6 @@
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use serde::Serialize;
 use serde_json::Value;
 use stairfront_emulator::dice::Dice;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,76 +18,91 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// A balancer that is not ready after so long will not be.
+use crate::error::RunError;
+
+/// A balancer that is not ready after this time has failed to start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two looks whether it is.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// One told to stop has this long: longer than the longest deadline that experiments have, and a while.
+const PING_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for a balancer that was told to stop: longer than the longest deadline of the experiments.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
-/// Ports below the range from which kernels give out others, so that none is taken while its balancer is down.
-const PORT_RANGE: std::ops::Range<u16> = 15_000..32_000;
+/// Ports below the range from which kernels assign others, so that none is taken while its balancer is down.
+const PORT_RANGE: Range<u16> = 15_000..32_000;
+const MAX_PORT_ATTEMPTS: usize = 1000;
 
-/// A program that serves as a balancer, told all it needs by the environment that the platform gives.
+/// A program that serves as a balancer, configured by the environment variables that the platform gives.
 #[derive(Clone, Debug)]
 pub struct Build {
+    /// Path of the program.
     pub program: PathBuf,
+    /// Its arguments.
     pub arguments: Vec<String>,
 }
 
-/// What the kernel says of a process.
-#[derive(Clone, Copy, Debug, Default, Serialize)]
+/// A sample of a process, from the kernel's figures.
+#[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessSample {
-    /// Time on a processor since its start, in microseconds.
+    /// Processor time since its start, in microseconds.
     pub cpu_us: u64,
+    /// Resident memory, in KiB.
     pub memory_kb: u64,
+    /// Number of open descriptors.
     pub descriptors: u64,
 }
 
+/// A balancer that runs as a process, again and again with one configuration file and one log.
 pub struct BalancerProcess {
     build: Build,
     name: String,
     config: PathBuf,
     log: PathBuf,
-    /// For what is to outlive a process of it.
-    folder: Option<PathBuf>,
+    data_folder: Option<PathBuf>,
+    /// Address for clients.
     pub address: SocketAddr,
     child: Option<Child>,
     started: Instant,
-    /// It is to run: an end by itself is a crash.
+    /// The process is to run: if it ends by itself, that is a crash.
     pub should_run: bool,
-    /// From the start of the process to its first `+PONG`, each time.
+    /// Time from each start of the process to its first `+PONG`, in milliseconds.
     pub ready_ms: Vec<f64>,
     /// Processor time of processes that have ended.
     ended_cpu_us: u64,
+    /// Largest resident memory, in KiB.
     pub max_memory_kb: u64,
+    /// Largest number of open descriptors.
     pub max_descriptors: u64,
     last: ProcessSample,
 }
 
-/// An address on loopback that was free just now, and that this process has not given out before. Danger: of two runs
-/// with one address the clients of both would speak to whichever balancer came first.
+/// A loopback address that is free now, and that this process has not assigned before: of two runs with one address, the
+/// clients of both would connect to whichever balancer came first.
+///
+/// # Errors
+///
+/// No free port was found.
 pub fn free_address(rng: &mut Dice) -> io::Result<SocketAddr> {
     static ASSIGNED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let mut assigned = ASSIGNED.lock().unwrap_or_else(PoisonError::into_inner);
-    for _ in 0..1000 {
-        let port =
-            PORT_RANGE.start + rng.below(u64::from(PORT_RANGE.end - PORT_RANGE.start)) as u16;
-        let at = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-        if assigned.insert(port) && TcpListener::bind(at).is_ok() {
-            return Ok(at);
+    let ports = u64::from(PORT_RANGE.end - PORT_RANGE.start);
+    for _ in 0..MAX_PORT_ATTEMPTS {
+        let port = PORT_RANGE.start + rng.below(ports) as u16;
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+        if assigned.insert(port) && TcpListener::bind(address).is_ok() {
+            return Ok(address);
         }
     }
     Err(io::Error::other("no free port on loopback"))
 }
 
 impl BalancerProcess {
+    /// A process that is not started yet; its configuration and log are in `folder`.
     pub fn new(build: Build, name: &str, folder: &Path, address: SocketAddr) -> Self {
         BalancerProcess {
             build,
             name: name.to_string(),
             config: folder.join(format!("{name}.json")),
             log: folder.join(format!("{name}.log")),
-            folder: None,
+            data_folder: None,
             address,
             child: None,
             started: Instant::now(),
@@ -100,76 +115,83 @@
         }
     }
 
-    /// Its own folder for what is to outlive a process.
+    /// Sets the folder for what is kept beyond the end of a process.
     pub fn set_data_folder(&mut self, folder: &Path) {
-        self.folder = Some(folder.to_path_buf());
+        self.data_folder = Some(folder.to_path_buf());
     }
 
+    /// Path of the configuration.
     pub fn config(&self) -> &Path {
         &self.config
     }
 
+    /// Name of the balancer.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Writes its configuration; a running one reads it again on `hang_up`.
+    /// Writes the configuration; a running process reads it again on SIGHUP.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written.
     pub fn configure(&self, config: &Value) -> io::Result<()> {
         fs::write(&self.config, config.to_string())
     }
 
-    /// Starts it and waits until it is ready.
-    pub async fn start(&mut self) -> io::Result<()> {
+    /// Starts the process and waits until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// The program cannot be started, or is not ready in time.
+    pub async fn start(&mut self) -> Result<(), RunError> {
         self.launch()?;
         self.wait_until_ready().await
     }
 
-    /// Starts it.
-    pub fn launch(&mut self) -> io::Result<()> {
+    /// Starts the process.
+    ///
+    /// # Errors
+    ///
+    /// The log cannot be opened, or the program cannot be started.
+    pub fn launch(&mut self) -> Result<(), RunError> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new(&self.build.program);
         command
             .args(&self.build.arguments)
             .env("ROUTER_CONFIG", &self.config)
-            .env("ROUTER_NAME", &self.name);
-        command
+            .env("ROUTER_NAME", &self.name)
             .env("ROUTER_LISTEN", self.address.to_string())
-            .kill_on_drop(true);
-        command
+            .kill_on_drop(true)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        if let Some(folder) = &self.folder {
+        if let Some(folder) = &self.data_folder {
             command.env("TMPDIR", folder);
         }
-        let with_program = |error: io::Error| {
-            io::Error::other(format!("{}: {error}", self.build.program.display()))
-        };
-        self.child = Some(command.spawn().map_err(with_program)?);
+        let child = command.spawn().map_err(|source| RunError::Spawn {
+            program: self.build.program.display().to_string(),
+            source,
+        })?;
+        self.child = Some(child);
         self.should_run = true;
         self.started = Instant::now();
         Ok(())
     }
 
-    /// Waits until one that was started is ready.
-    pub async fn wait_until_ready(&mut self) -> io::Result<()> {
+    /// Returns when a process that was started is ready.
+    ///
+    /// # Errors
+    ///
+    /// It has ended, or is not ready in time.
+    pub async fn wait_until_ready(&mut self) -> Result<(), RunError> {
         let started = self.started;
         while !self.answers_ping().await {
-            let ended = self
-                .child
-                .as_mut()
-                .and_then(|child| child.try_wait().ok().flatten());
-            if ended.is_some() || started.elapsed() > READY_TIMEOUT {
-                let log = fs::read_to_string(&self.log).unwrap_or_default();
-                let last = log
-                    .lines()
-                    .last()
-                    .unwrap_or("no word in its log")
-                    .to_string();
-                return Err(io::Error::other(format!(
-                    "balancer {} does not start: {last}",
-                    self.name
-                )));
+            if self.has_ended() || started.elapsed() > READY_TIMEOUT {
+                return Err(RunError::BalancerNotStarted {
+                    name: self.name.clone(),
+                    last_line: self.last_log_line(),
+                });
             }
             sleep(READY_POLL_INTERVAL).await;
         }
@@ -177,6 +199,19 @@
         Ok(())
     }
 
+    fn has_ended(&mut self) -> bool {
+        let child = self.child.as_mut();
+        child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
+    }
+
+    fn last_log_line(&self) -> String {
+        let log = fs::read_to_string(&self.log).unwrap_or_default();
+        log.lines()
+            .last()
+            .unwrap_or("no word in its log")
+            .to_string()
+    }
+
     async fn answers_ping(&self) -> bool {
         let ping = async {
             let mut socket = TcpStream::connect(self.address).await?;
@@ -185,58 +220,57 @@
             socket.read_exact(&mut answer).await?;
             Ok::<bool, io::Error>(&answer == b"+PONG\r\n")
         };
-        matches!(timeout(Duration::from_secs(1), ping).await, Ok(Ok(true)))
+        matches!(timeout(PING_TIMEOUT, ping).await, Ok(Ok(true)))
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        let pid = self
-            .child
-            .as_ref()
-            .and_then(Child::id)
-            .and_then(|id| i32::try_from(id).ok());
-        if let Some(pid) = pid {
-            // One that has ended hears nothing, which its next start or look tells.
+        let id = self.child.as_ref().and_then(Child::id);
+        if let Some(pid) = id.and_then(|id| i32::try_from(id).ok()) {
+            // A process that has ended gets no signal, which its next start or sample shows.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
+    /// Whether the process runs.
     pub fn is_running(&mut self) -> bool {
-        self.child
-            .as_mut()
-            .is_some_and(|child| matches!(child.try_wait(), Ok(None)))
+        let child = self.child.as_mut();
+        child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Ends it at once.
+    /// Ends the process at once.
     pub async fn kill(&mut self) {
         self.inspect();
         if let Some(mut child) = self.child.take() {
-            // Already over if it fails.
+            // It fails only if the process has ended already.
             let _ = child.kill().await;
         }
         self.add_ended_cpu();
     }
 
-    /// Waits for the end of one that was told to stop; killed if it does not. True for a good end.
+    /// Awaits the end of a process that was told to stop, and kills it if it does not end in time. True if it ended
+    /// by itself with exit code 0.
     pub async fn wait_for_end(&mut self) -> bool {
         let Some(mut child) = self.child.take() else {
             return false;
         };
-        let good = match timeout(STOP_TIMEOUT, child.wait()).await {
+        let success = match timeout(STOP_TIMEOUT, child.wait()).await {
             Ok(Ok(status)) => status.success(),
             _ => {
+                // It fails only if the process has ended already.
                 let _ = child.kill().await;
                 false
             }
         };
         self.add_ended_cpu();
-        good
+        success
     }
 
     fn add_ended_cpu(&mut self) {
         self.ended_cpu_us += std::mem::take(&mut self.last).cpu_us;
     }
 
-    /// Asks the kernel about it.
+    /// Samples the process; the last sample if it has ended.
     pub fn inspect(&mut self) -> ProcessSample {
         let Some(pid) = self.child.as_ref().and_then(Child::id) else {
             return self.last;
@@ -255,7 +289,7 @@
     }
 }
 
-/// None once the process has ended.
+/// Samples a process; none once it has ended.
 fn sample(pid: u32) -> Option<ProcessSample> {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).ok()?;
     let on_cpu = |task: fs::DirEntry| -> Option<u64> {
--- a/crates/stairfront-lab/src/relay.rs
+++ b/crates/stairfront-lab/src/relay.rs
@@ -1,6 +1,8 @@
-//! What stands between the processes of a group: each advertises an address of the relay, which passes on what comes to
-//! it. It knows nothing of what it carries. Whose a packet is it tells by its source, since each process has a loopback
-//! address of its own; what happens to it the links' model says (`stairfront_emulator::links`).
+//! The network between the processes of a group: each advertises an address of the relay, which passes on what comes to
+//! it, with the faults of a model (`stairfront_emulator::links`).
+//!
+//! The relay does not read what it carries. It knows the sender by the source address, since each process has a loopback
+//! address of its own.
 use std::cell::RefCell;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,20 +19,25 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
-use tokio::task::{spawn_local, LocalSet};
+use tokio::task::spawn_local;
 use tokio::time::sleep;
 
 use crate::clock::RunClock;
+use crate::local_runtime::run_local;
 
-/// Where processes listen, and where the relay stands for each of them, on the process's own address.
+/// Port at which processes listen for their group.
 const PROCESS_PORT: u16 = 7946;
+/// Port of the relay, on each process's own address.
 const RELAY_PORT: u16 = 7947;
-const CLIENT_AND_ADMIN_PORTS: [u16; 2] = [6379, 19000];
-/// What a silent link's bytes wait before they are looked at again, and until the stream is given up.
+const CLIENT_PORT: u16 = 6379;
+const ADMIN_PORT: u16 = 19000;
+/// Time between two looks whether a silent link carries bytes again.
 const SILENT_LINK_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Polls of a silent link until its stream is given up.
 const MAX_SILENT_POLLS: u32 = 200;
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Rows of addresses tried until one is free.
+const STREAM_BUFFER_BYTES: usize = 16 * 1024;
+/// Rows of addresses that are tried until one is free.
 const MAX_ADDRESS_ATTEMPTS: usize = 50;
 
 #[derive(Clone, Debug)]
@@ -46,11 +53,14 @@
     End,
 }
 
-/// What has gone over the relay.
+/// Traffic over the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTraffic {
+    /// Number of datagrams.
     pub datagrams: u64,
+    /// Bytes of datagrams and streams.
     pub bytes: u64,
+    /// Number of streams.
     pub streams: u64,
 }
 
@@ -61,36 +71,37 @@
     thread: Option<JoinHandle<RelayTraffic>>,
 }
 
-/// A row of loopback addresses by chance. Another run on this machine may have it, which the relay's own sockets tell:
-/// all addresses of a run are taken by them first.
-fn addresses(count: usize, rng: &mut Dice) -> Vec<Ipv4Addr> {
-    let (second, third) = (64 + rng.below(180) as u8, rng.below(250) as u8);
-    let one = |i: usize| {
-        Ipv4Addr::new(
-            127,
-            second,
-            third.wrapping_add((i / 200) as u8),
-            1 + (i % 200) as u8,
-        )
+/// A row of loopback addresses, drawn. Another run on this machine may have it, which shows when the relay binds its
+/// sockets: they take all addresses of a run first.
+fn draw_addresses(count: usize, rng: &mut Dice) -> Vec<Ipv4Addr> {
+    let second = 64 + rng.below(180) as u8;
+    let third = rng.below(250) as u8;
+    let address = |i: usize| {
+        let third = third.wrapping_add((i / 200) as u8);
+        Ipv4Addr::new(127, second, third, 1 + (i % 200) as u8)
     };
-    (0..count).map(one).collect()
+    (0..count).map(address).collect()
 }
 
 impl Relay {
-    /// For so many processes, each with a second address for a second process of its name, or one that moves; the seed is
-    /// that of the links' chance. What befalls a link befalls it from either address.
+    /// Starts a relay between `members` processes. Each has a second address, for a duplicate or for a process that
+    /// moves; a link's faults hold for both. The seed is that of the faults' chance.
+    ///
+    /// # Errors
+    ///
+    /// No row of addresses was free, or a socket cannot be opened.
     pub fn start(members: usize, seed: u64, clock: RunClock) -> io::Result<Relay> {
-        let count = members * 2;
         static RUNS: AtomicU64 = AtomicU64::new(0);
+        let count = members * 2;
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let mut rng = Dice::new(u64::from(std::process::id()) << 20 ^ run, "loopback");
-        let mut started = Self::start_at(addresses(count, &mut rng), seed, clock);
+        let mut started = Self::start_at(draw_addresses(count, &mut rng), seed, clock);
         for _ in 0..MAX_ADDRESS_ATTEMPTS {
             match started {
                 Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
-                    started = Self::start_at(addresses(count, &mut rng), seed, clock);
+                    started = Self::start_at(draw_addresses(count, &mut rng), seed, clock);
                 }
-                done => return done,
+                result => return result,
             }
         }
         started
@@ -101,19 +112,12 @@
         let (ready, ready_result) = std_mpsc::channel();
         let relay_ips = ips.clone();
         let thread = std::thread::spawn(move || {
-            let runtime = match tokio::runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()
-            {
-                Ok(runtime) => runtime,
-                Err(error) => {
-                    let _ = ready.send(Err(error));
-                    return RelayTraffic::default();
-                }
-            };
-            runtime.block_on(
-                LocalSet::new().run_until(run_relay(relay_ips, seed, clock, received, ready)),
-            )
+            let to_caller = ready.clone();
+            let relayed = run_local(run_relay(relay_ips, seed, clock, received, ready));
+            relayed.unwrap_or_else(|error| {
+                let _ = to_caller.send(Err(error));
+                RelayTraffic::default()
+            })
         });
         let relay = Relay {
             ips,
@@ -126,45 +130,58 @@
         Ok(relay)
     }
 
-    /// Where a process listens.
-    pub fn process_address(&self, who: usize) -> SocketAddr {
-        SocketAddr::from((self.ips[who], PROCESS_PORT))
+    /// Address at which a process listens for its group.
+    pub fn process_address(&self, place: usize) -> SocketAddr {
+        SocketAddr::from((self.ips[place], PROCESS_PORT))
+    }
+
+    /// Address at which a process listens for clients; no other run has it, also while the process is down.
+    pub fn client_address(&self, place: usize) -> SocketAddr {
+        SocketAddr::from((self.ips[place], CLIENT_PORT))
     }
 
-    /// Where clients come to it, and operators: addresses that no other run has, also while the process is down.
-    pub fn client_and_admin_addresses(&self, who: usize) -> [SocketAddr; 2] {
-        CLIENT_AND_ADMIN_PORTS.map(|port| SocketAddr::from((self.ips[who], port)))
+    /// Address at which a process listens for operators.
+    pub fn admin_address(&self, place: usize) -> SocketAddr {
+        SocketAddr::from((self.ips[place], ADMIN_PORT))
     }
 
-    /// Where others reach it.
-    pub fn advertised(&self, who: usize) -> SocketAddr {
-        SocketAddr::from((self.ips[who], RELAY_PORT))
+    /// Address at which the others reach a process.
+    pub fn advertised(&self, place: usize) -> SocketAddr {
+        SocketAddr::from((self.ips[place], RELAY_PORT))
     }
 
+    /// Adds a fault to the links from the first to the second member of each pair.
     pub fn add_fault(&self, number: u64, pairs: Vec<(usize, usize)>, fault: LinkFault) {
-        let _ = self.commands.send(RelayCommand::AddFault {
+        self.send(RelayCommand::AddFault {
             number,
             pairs,
             fault,
         });
     }
 
+    /// Removes a fault by its number.
     pub fn remove_fault(&self, number: u64) {
-        let _ = self.commands.send(RelayCommand::RemoveFault { number });
+        self.send(RelayCommand::RemoveFault { number });
     }
 
+    /// Ends the relay and gives what it has carried.
     pub fn finish(mut self) -> RelayTraffic {
-        let _ = self.commands.send(RelayCommand::End);
-        self.thread
-            .take()
+        self.send(RelayCommand::End);
+        let thread = self.thread.take();
+        thread
             .and_then(|thread| thread.join().ok())
             .unwrap_or_default()
     }
+
+    fn send(&self, command: RelayCommand) {
+        // A relay that has ended carries nothing, so no command matters to it.
+        let _ = self.commands.send(command);
+    }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        let _ = self.commands.send(RelayCommand::End);
+        self.send(RelayCommand::End);
     }
 }
 
@@ -178,6 +195,29 @@
     traffic: RefCell<RelayTraffic>,
 }
 
+/// Sockets of the relay, by place.
+struct RelaySockets {
+    datagrams: Vec<UdpSocket>,
+    streams: Vec<TcpListener>,
+}
+
+async fn open_sockets(ips: &[Ipv4Addr]) -> io::Result<RelaySockets> {
+    let mut sockets = RelaySockets {
+        datagrams: Vec::new(),
+        streams: Vec::new(),
+    };
+    for ip in ips {
+        sockets
+            .datagrams
+            .push(UdpSocket::bind((*ip, RELAY_PORT)).await?);
+        sockets
+            .streams
+            .push(TcpListener::bind((*ip, RELAY_PORT)).await?);
+    }
+    Ok(sockets)
+}
+
+/// Carries datagrams and streams until it is told to end.
 async fn run_relay(
     ips: Vec<Ipv4Addr>,
     seed: u64,
@@ -185,51 +225,40 @@
     mut commands: mpsc::UnboundedReceiver<RelayCommand>,
     ready: std_mpsc::Sender<io::Result<()>>,
 ) -> RelayTraffic {
-    let opened = async {
-        let (mut sockets, mut listeners) = (Vec::new(), Vec::new());
-        for ip in &ips {
-            sockets.push(UdpSocket::bind((*ip, RELAY_PORT)).await?);
-            listeners.push(TcpListener::bind((*ip, RELAY_PORT)).await?);
-        }
-        Ok::<_, io::Error>((sockets, listeners))
-    };
-    let (sockets, listeners) = match opened.await {
-        Ok(opened) => opened,
+    let sockets = match open_sockets(&ips).await {
+        Ok(sockets) => sockets,
         Err(error) => {
             let _ = ready.send(Err(error));
             return RelayTraffic::default();
         }
     };
-    let by_ip = ips
-        .iter()
-        .enumerate()
-        .map(|(i, ip)| (IpAddr::V4(*ip), i))
-        .collect();
+    let places = ips.iter().enumerate();
+    let by_ip = places.map(|(i, ip)| (IpAddr::V4(*ip), i)).collect();
     let members = ips.len() / 2;
-    let links = RefCell::new(Links::new(members, seed));
     let hub = Rc::new(RelayHub {
         members,
-        links,
+        links: RefCell::new(Links::new(members, seed)),
         clock,
         ips,
         by_ip,
-        sockets,
+        sockets: sockets.datagrams,
         traffic: RefCell::default(),
     });
-    for (to, listener) in listeners.into_iter().enumerate() {
+    for (to, listener) in sockets.streams.into_iter().enumerate() {
         spawn_local(Rc::clone(&hub).relay_datagrams(to));
         spawn_local(Rc::clone(&hub).accept_streams(to, listener));
     }
     let _ = ready.send(Ok(()));
     while let Some(command) = commands.recv().await {
         let now = hub.clock.now();
+        let mut links = hub.links.borrow_mut();
         match command {
             RelayCommand::AddFault {
                 number,
                 pairs,
                 fault,
-            } => hub.links.borrow_mut().lay(now, number, &pairs, fault),
-            RelayCommand::RemoveFault { number } => hub.links.borrow_mut().lift(number),
+            } => links.lay(now, number, &pairs, fault),
+            RelayCommand::RemoveFault { number } => links.lift(number),
             RelayCommand::End => break,
         }
     }
@@ -241,37 +270,42 @@
     async fn relay_datagrams(self: Rc<Self>, to: usize) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error is an earlier datagram's, whose process was not there.
+            // An error is that of an earlier datagram, whose process was not present.
             let Ok((length, from)) = self.sockets[to].recv_from(&mut buffer).await else {
                 continue;
             };
             let Some(from) = self.by_ip.get(&from.ip()).copied() else {
                 continue;
             };
-            {
-                let mut traffic = self.traffic.borrow_mut();
-                traffic.datagrams += 1;
-                traffic.bytes += length as u64;
-            }
-            let (link_from, link_to) = (from % self.members, to % self.members);
+            self.count_datagram(length);
+            let (from_member, to_member) = (from % self.members, to % self.members);
             let now = self.clock.now();
-            let arrivals =
-                self.links
-                    .borrow_mut()
-                    .datagram(now, link_from, link_to, &buffer[..length]);
+            let bytes = &buffer[..length];
+            let arrivals = self
+                .links
+                .borrow_mut()
+                .datagram(now, from_member, to_member, bytes);
             for (after, bytes) in arrivals {
-                let hub = Rc::clone(&self);
-                spawn_local(async move {
-                    sleep(Duration::from_micros(after.max(0) as u64)).await;
-                    // It comes from where its sender is reached, as behind address translation.
-                    let _ = hub.sockets[from]
-                        .send_to(&bytes, (hub.ips[to], PROCESS_PORT))
-                        .await;
-                });
+                spawn_local(Rc::clone(&self).deliver(from, to, after.max(0) as u64, bytes));
             }
         }
     }
 
+    fn count_datagram(&self, length: usize) {
+        let mut traffic = self.traffic.borrow_mut();
+        traffic.datagrams += 1;
+        traffic.bytes += length as u64;
+    }
+
+    /// Sends a datagram from the address at which its sender is reached, as behind address translation.
+    async fn deliver(self: Rc<Self>, from: usize, to: usize, after_us: u64, bytes: Vec<u8>) {
+        sleep(Duration::from_micros(after_us)).await;
+        // A datagram that cannot be sent is lost, as on a network.
+        let _ = self.sockets[from]
+            .send_to(&bytes, (self.ips[to], PROCESS_PORT))
+            .await;
+    }
+
     async fn accept_streams(self: Rc<Self>, to: usize, listener: TcpListener) {
         loop {
             let Ok((socket, from)) = listener.accept().await else {
@@ -287,17 +321,18 @@
     }
 
     async fn relay_stream(self: Rc<Self>, from: usize, to: usize, near: TcpStream) {
-        // A link that is silent lets no connection come up; this one is open at one end.
+        // On a silent link a real connection does not come up; this one is open at the near end only.
         if !self.wait_for_link(from, to, 0).await {
             return;
         }
         let Ok(far) = self.connect(from, to).await else {
             return;
         };
-        let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+        let (near_read, near_write) = near.into_split();
+        let (far_read, far_write) = far.into_split();
         tokio::join!(
-            self.copy_stream(from, to, near_in, far_out),
-            self.copy_stream(to, from, far_in, near_out)
+            self.copy_stream(from, to, near_read, far_write),
+            self.copy_stream(to, from, far_read, near_write)
         );
     }
 
@@ -309,14 +344,15 @@
             .await
     }
 
-    /// Waits for as long as bytes take; false if they never come.
+    /// Sleeps for as long as bytes take on the link; false if they never arrive.
     async fn wait_for_link(&self, from: usize, to: usize, bytes: usize) -> bool {
         for _ in 0..MAX_SILENT_POLLS {
-            let (link_from, link_to) = (from % self.members, to % self.members);
-            let passage =
-                self.links
-                    .borrow_mut()
-                    .stream(self.clock.now(), link_from, link_to, bytes);
+            let (from_member, to_member) = (from % self.members, to % self.members);
+            let now = self.clock.now();
+            let passage = self
+                .links
+                .borrow_mut()
+                .stream(now, from_member, to_member, bytes);
             match passage {
                 Passage::After(after) => {
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
@@ -335,20 +371,20 @@
         mut source: OwnedReadHalf,
         mut sink: OwnedWriteHalf,
     ) {
-        let mut buffer = vec![0; 16 * 1024];
+        let mut buffer = vec![0; STREAM_BUFFER_BYTES];
         loop {
             let length = match source.read(&mut buffer).await {
                 Ok(0) | Err(_) => break,
                 Ok(length) => length,
             };
             self.traffic.borrow_mut().bytes += length as u64;
-            if !self.wait_for_link(from, to, length).await
-                || sink.write_all(&buffer[..length]).await.is_err()
-            {
+            let arrives = self.wait_for_link(from, to, length).await;
+            if !arrives || sink.write_all(&buffer[..length]).await.is_err() {
                 break;
             }
         }
         if self.wait_for_link(from, to, 0).await {
+            // A peer that has closed already needs no end of the stream.
             let _ = sink.shutdown().await;
         }
     }
--- a/crates/stairfront-lab/tests/crossed_ends.rs
+++ b/crates/stairfront-lab/tests/crossed_closes.rs
@@ -1,4 +1,4 @@
-//! Whether clients tell a request that crossed the end of its connection from one that was read and dropped.
+//! Clients must tell a request that crossed the close of its connection from one that was read and dropped.
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,44 +14,47 @@
 use stairfront_lab::live_counters::LiveCounters;
 use stairfront_lab::load::{run, BalancerEndpoint, ClientBehavior, LoadPlan};
 
-/// Ends of connections that a run is to see.
-const ENOUGH: u64 = 30;
+/// Closes of connections that a run has to see.
+const MIN_CLOSES: u64 = 30;
 /// Longer than any write of a command.
-const LATER: Duration = Duration::from_millis(50);
+const CLOSE_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
-struct Ends {
-    /// Requests that came behind the end.
+struct CloseCounts {
+    /// Requests that came behind the close.
     crossed: AtomicU64,
     /// Requests that were read and dropped.
     dropped: AtomicU64,
 }
 
-/// A balancer that refuses the first command of each connection, and ends it so.
-fn stand_in(
-    end: impl Fn(&mut TcpStream, &Ends, u64) + Send + Clone + 'static,
-) -> (SocketAddr, Arc<Ends>) {
+/// A balancer that rejects the first command of each connection, and then ends the connection by `end`.
+fn rejecting_balancer(
+    end: impl Fn(&mut TcpStream, &CloseCounts, u64) + Send + Clone + 'static,
+) -> (SocketAddr, Arc<CloseCounts>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, ends) = (listener.local_addr().unwrap(), Arc::new(Ends::default()));
-    let counted = Arc::clone(&ends);
+    let address = listener.local_addr().unwrap();
+    let counts = Arc::new(CloseCounts::default());
+    let counted = Arc::clone(&counts);
     thread::spawn(move || {
         for (number, socket) in listener.incoming().enumerate() {
-            let (mut socket, ends, end) = (socket.unwrap(), Arc::clone(&counted), end.clone());
+            let mut socket = socket.unwrap();
+            let counts = Arc::clone(&counted);
+            let end = end.clone();
             thread::spawn(move || {
                 // The clients write a command in one go.
                 if matches!(socket.read(&mut [0; 4096]), Ok(1..))
                     && socket.write_all(b"-BUSY\r\n").is_ok()
                 {
-                    end(&mut socket, &ends, number as u64);
+                    end(&mut socket, &counts, number as u64);
                 }
             });
         }
     });
-    (address, ends)
+    (address, counts)
 }
 
-/// Plays clients until a count is reached. How many of their requests were lost.
-fn lost(address: SocketAddr, rate: f64, reached: impl Fn() -> bool + Send + 'static) -> u64 {
+/// Runs clients until a count is reached; gives the number of their requests that were lost.
+fn count_lost(address: SocketAddr, rate: f64, reached: impl Fn() -> bool + Send + 'static) -> u64 {
     let closed = Arc::new(AtomicBool::new(false));
     let class = ClassSettings {
         name: "read".to_string(),
@@ -82,14 +85,15 @@
         count_from: 0,
         live_counters: Arc::new(LiveCounters::new(0)),
     };
-    let (mut lost, mut plays) = (0, 0);
+    let mut lost = 0;
+    let mut runs = 0;
     while !reached() {
-        plays += 1;
-        assert!(plays <= 20, "too few connections ended as they were to");
-        let (event_sender, seen) = mpsc::channel();
+        runs += 1;
+        assert!(runs <= 20, "too few connections were closed as intended");
+        let (event_sender, events) = mpsc::channel();
         run(
             &LoadPlan {
-                seed: plays,
+                seed: runs,
                 ..plan.clone()
             },
             RunClock::starting_in(Duration::ZERO),
@@ -97,22 +101,23 @@
         )
         .unwrap();
         drop(event_sender);
-        lost += seen
+        lost += events
             .iter()
             .flatten()
-            .filter(|(_, seen)| matches!(seen, Seen::Lost { .. }))
+            .filter(|event| matches!(event.seen, Seen::Lost { .. }))
             .count() as u64;
     }
     lost
 }
 
-/// Danger: a balancer that stops ends its side and reads what crosses that without a reset. Its client has to come again;
-/// counted as lost, each restart under load would break the first rule by chance.
+/// A balancer that stops closes its side, and reads what crosses that close without a reset. Its client has to send the
+/// request again: counted as lost, each restart under load would break the first rule by chance.
 #[test]
-fn a_request_that_crosses_a_proper_end_is_sent_again_and_not_lost() {
-    let (address, ends) = stand_in(|socket, ends, number| {
-        // Around the time that the next request takes to come.
-        let (since, pause) = (Instant::now(), Duration::from_micros(number * 7 % 300));
+fn a_request_that_crosses_a_clean_close_is_sent_again_and_not_lost() {
+    let (address, counts) = rejecting_balancer(|socket, counts, number| {
+        // Close to the time that the next request takes to come.
+        let since = Instant::now();
+        let pause = Duration::from_micros(number * 7 % 300);
         while since.elapsed() < pause {
             std::hint::spin_loop();
         }
@@ -125,35 +130,35 @@
         socket.shutdown(Shutdown::Write).unwrap();
         socket.set_nonblocking(false).unwrap();
         if matches!(socket.read(&mut [0; 4096]), Ok(1..)) {
-            ends.crossed.fetch_add(1, Ordering::SeqCst);
+            counts.crossed.fetch_add(1, Ordering::SeqCst);
         }
     });
-    let seen = Arc::clone(&ends);
-    // There is always a next one.
-    let lost = lost(address, 2_000.0, move || {
-        seen.crossed.load(Ordering::SeqCst) >= ENOUGH
+    let seen = Arc::clone(&counts);
+    // The rate is high enough that there is always a next request.
+    let lost = count_lost(address, 2_000.0, move || {
+        seen.crossed.load(Ordering::SeqCst) >= MIN_CLOSES
     });
-    let crossed = ends.crossed.load(Ordering::SeqCst);
-    // A kernel that is late itself may have had either under way; 1 in 50 were seen on a busy machine.
+    let crossed = counts.crossed.load(Ordering::SeqCst);
+    // Where the kernel itself is late, either may have been under way; 1 in 50 were seen on a busy machine.
     assert!(4 * lost <= crossed, "{lost} of {crossed} were lost");
 }
 
-/// Danger: with crossings excused a balancer that reads a request and drops it as it stops would pass.
+/// With all crossings excused, a balancer that reads a request and drops it as it stops would pass.
 #[test]
-fn a_request_that_was_read_before_a_proper_end_is_lost() {
-    let (address, ends) = stand_in(|socket, ends, _| {
+fn a_request_that_was_read_before_a_clean_close_is_lost() {
+    let (address, counts) = rejecting_balancer(|socket, counts, _| {
         if matches!(socket.read(&mut [0; 4096]), Ok(1..)) {
-            ends.dropped.fetch_add(1, Ordering::SeqCst);
-            // An end within the write itself cannot be told from one before it.
-            thread::sleep(LATER);
+            counts.dropped.fetch_add(1, Ordering::SeqCst);
+            // A close within the write itself cannot be told from one before it.
+            thread::sleep(CLOSE_DELAY);
             let _ = socket.shutdown(Shutdown::Write);
-            // Up to the client's own end, so that no reset tells it anything.
+            // It reads until the client closes too, so that the client gets no reset.
             while matches!(socket.read(&mut [0; 4096]), Ok(1..)) {}
         }
     });
-    let seen = Arc::clone(&ends);
-    let lost = lost(address, 20.0, move || {
-        seen.dropped.load(Ordering::SeqCst) >= ENOUGH
+    let seen = Arc::clone(&counts);
+    let lost = count_lost(address, 20.0, move || {
+        seen.dropped.load(Ordering::SeqCst) >= MIN_CLOSES
     });
-    assert_eq!(lost, ends.dropped.load(Ordering::SeqCst));
+    assert_eq!(lost, counts.dropped.load(Ordering::SeqCst));
 }
--- a/crates/stairfront/src/demo.rs
+++ b/crates/stairfront/src/demo.rs
@@ -19,7 +19,10 @@
     );
     let ran = Experiment::from_text("demo.toml", EXPERIMENT)
         .map_err(io::Error::other)
-        .and_then(|experiment| compare::experiment(&experiment, &surroundings(Progress::Table)?));
+        .and_then(|experiment| {
+            compare::experiment(&experiment, &surroundings(Progress::Table)?)
+                .map_err(io::Error::other)
+        });
     match ran {
         Ok(results) => {
             println!("\n{}", compare::table(&results));
--- a/crates/stairfront/src/lab.rs
+++ b/crates/stairfront/src/lab.rs
@@ -47,7 +47,8 @@
     } else {
         Progress::Line
     };
-    let ran = surroundings(progress).and_then(|around| compare::experiment(&experiment, &around));
+    let ran = surroundings(progress)
+        .and_then(|around| compare::experiment(&experiment, &around).map_err(io::Error::other));
     let told = ran.and_then(|results| tell(&results, arguments).map(|()| results.rules_hold()));
     match told {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -76,7 +76,7 @@
         command_line::StandIn::Discovery { listen, servers } => {
             let lines = servers
                 .iter()
-                .map(|server| parse_server(server))
+                .map(|server| parse_server(server).map_err(|error| error.to_string()))
                 .collect::<Result<Vec<_>, _>>();
             (
                 lines.map(|lines| StandIn::Discovery { lines, lag_ms: 0.0 }),
