--- a/crates/stairfront-balancer/src/clock.rs
+++ b/crates/stairfront-balancer/src/clock.rs
@@ -6,7 +6,7 @@
 use stairfront_common::time::{from_duration, to_duration, Micros};
 pub use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// Timers and deadlines beyond this are not told apart; far longer ones would overflow a timer.
+/// Timers and deadlines beyond this are not distinguished; far longer ones would overflow a timer.
 const MAX_TIMER: Duration = Duration::from_secs(24 * 3600);
 
 /// A clock that shows Unix time, in microseconds.
--- a/crates/stairfront-balancer/src/configuration/difference.rs
+++ b/crates/stairfront-balancer/src/configuration/difference.rs
@@ -7,16 +7,19 @@
 /// The first key, as a path, that `old` has and `new` lacks. Of lists, the keys that all entries had.
 pub(super) fn missing_key(path: &str, old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
-        (Value::Object(olds), Value::Object(news)) => olds.iter().find_map(|(key, old)| {
-            let path = join(path, key);
-            match news.get(key) {
-                Some(new) => missing_key(&path, old, new),
-                None => Some(path).filter(|_| !OPTIONAL.contains(&key.as_str())),
-            }
-        }),
-        (Value::Array(olds), Value::Array(news)) => {
-            let common = keys_of_all(olds)?;
-            news.iter()
+        (Value::Object(old_keys), Value::Object(new_keys)) => {
+            old_keys.iter().find_map(|(key, old)| {
+                let path = join(path, key);
+                match new_keys.get(key) {
+                    Some(new) => missing_key(&path, old, new),
+                    None => Some(path).filter(|_| !OPTIONAL.contains(&key.as_str())),
+                }
+            })
+        }
+        (Value::Array(old_entries), Value::Array(new_entries)) => {
+            let common = keys_of_all(old_entries)?;
+            new_entries
+                .iter()
                 .enumerate()
                 .find_map(|(i, new)| missing_key(&format!("{path}[{i}]"), &common, new))
         }
@@ -35,7 +38,7 @@
 
 /// Adds the paths of the keys in which two values differ, down to those that hold no further keys.
 pub(super) fn differing_keys(path: String, old: &Value, new: &Value, paths: &mut Vec<String>) {
-    let (Value::Object(olds), Value::Object(news)) = (old, new) else {
+    let (Value::Object(old_keys), Value::Object(new_keys)) = (old, new) else {
         if old != new {
             paths.push(path);
         }
@@ -43,9 +46,9 @@
     };
     let value_of =
         |keys: &Map<String, Value>, key: &str| keys.get(key).cloned().unwrap_or_default();
-    let added = news.keys().filter(|key| !olds.contains_key(*key));
-    for key in olds.keys().chain(added) {
-        let (old, new) = (value_of(olds, key), value_of(news, key));
+    let added = new_keys.keys().filter(|key| !old_keys.contains_key(*key));
+    for key in old_keys.keys().chain(added) {
+        let (old, new) = (value_of(old_keys, key), value_of(new_keys, key));
         differing_keys(join(&path, key), &old, &new, paths);
     }
 }
--- a/crates/stairfront-balancer/src/configuration/toml_config.rs
+++ b/crates/stairfront-balancer/src/configuration/toml_config.rs
@@ -404,7 +404,7 @@
     let mut own = key.to_string();
     for (platform, toml) in OWN_KEYS {
         if platform.starts_with('.') {
-            // Such an entry replaces the last word of a path, all others its beginning.
+            // Such an entry replaces the last part of a path, all others its beginning.
             if own.ends_with(platform) {
                 own.truncate(own.len() - platform.len());
                 own.push_str(toml);
@@ -424,21 +424,21 @@
 /// The line, from 1, of a key such as `classes[0].aim_ms`, or of what holds the key where the key itself is missing.
 pub fn line_of(text: &str, key: &str) -> Option<usize> {
     let table = DeTable::parse(text).ok()?;
-    let words = key
+    let parts = key
         .split(['.', '['])
-        .map(|word| word.trim_end_matches(']'))
-        .filter(|word| !word.is_empty());
+        .map(|part| part.trim_end_matches(']'))
+        .filter(|part| !part.is_empty());
     let root = DeValue::Table(table.into_inner());
     let mut value = &root;
     let mut line = None;
-    for word in words {
+    for part in parts {
         let next = match value {
             DeValue::Table(table) => {
-                let entry = table.iter().find(|(key, _)| key.get_ref().as_ref() == word);
+                let entry = table.iter().find(|(key, _)| key.get_ref().as_ref() == part);
                 entry.map(|(key, value)| (key.span().start, value))
             }
             DeValue::Array(items) => {
-                let item = word.parse::<usize>().ok().and_then(|i| items.get(i));
+                let item = part.parse::<usize>().ok().and_then(|i| items.get(i));
                 item.map(|item| (item.span().start, item))
             }
             _ => None,
--- a/crates/stairfront-balancer/src/control/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -38,7 +38,7 @@
     max: Duration,
 }
 
-/// After a poll that nobody answered. The agent is on this machine, and polls cost nobody else anything.
+/// After a poll without an answer. The agent is on this machine, so that polls load no other one.
 const UNREACHABLE_BACKOFF: Backoff = Backoff {
     first: Duration::from_millis(100),
     max: Duration::from_millis(400),
--- a/crates/stairfront-balancer/src/control/gossip_transport.rs
+++ b/crates/stairfront-balancer/src/control/gossip_transport.rs
@@ -64,7 +64,7 @@
                 applied &= answer == Ok(OrderOutcome::Done);
             }
         }
-        // Otherwise it stays unconfirmed, and the operator who ordered it is told so.
+        // Otherwise it stays unconfirmed, and the operator who ordered it is notified of that.
         if applied {
             self.membership.cordon_applied(host, cordoned);
         }
--- a/crates/stairfront-balancer/src/control/maintenance/leader.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/leader.rs
@@ -224,10 +224,10 @@
 
     /// Asks the members to confirm the cordons of machines that are about to be taken out, and notes who has.
     fn observe_cordons(&self, observation: &mut LeaderObservation) {
-        let told = self.hosts_at(Stage::Notified);
+        let notified = self.hosts_at(Stage::Notified);
         let mut leader = self.leader.borrow_mut();
-        leader.retain_only(&told, &self.hosts_at(Stage::Draining));
-        for key in told {
+        leader.retain_only(&notified, &self.hosts_at(Stage::Draining));
+        for key in notified {
             let order = leader.confirmations.get(&key);
             let progress = order.and_then(|order| self.handles.membership.progress(*order));
             if let Some(progress) = progress {
@@ -288,8 +288,8 @@
     }
 
     /// Drops what is known of hosts that are no longer being taken out.
-    fn retain_only(&mut self, told: &[MachineKey], held: &[MachineKey]) {
-        let wanted: BTreeSet<&MachineKey> = told.iter().chain(held).collect();
+    fn retain_only(&mut self, notified: &[MachineKey], draining: &[MachineKey]) {
+        let wanted: BTreeSet<&MachineKey> = notified.iter().chain(draining).collect();
         self.confirmations.retain(|key, _| wanted.contains(key));
         self.quiet.retain(|key, _| wanted.contains(key));
     }
--- a/crates/stairfront-balancer/src/control/maintenance/service_health.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/service_health.rs
@@ -37,13 +37,13 @@
     pub fn describe(self, balancer: &str) -> String {
         match self {
             ServiceFault::RequestsUnserved => {
-                let least = MIN_SERVED_RATIO * 100.0;
-                format!("under {least:.0}% of requests are served at {balancer}")
+                let percent = MIN_SERVED_RATIO * 100.0;
+                format!("under {percent:.0}% of requests are served at {balancer}")
             }
             ServiceFault::OriginOverloaded => {
-                let least = MIN_ORIGIN_SERVED_RATIO * 100.0;
+                let percent = MIN_ORIGIN_SERVED_RATIO * 100.0;
                 format!(
-                    "the origin is pressed: under {least:.0}% of attempts at it are served at {balancer}"
+                    "the origin is pressed: under {percent:.0}% of attempts at it are served at {balancer}"
                 )
             }
         }
--- a/crates/stairfront-balancer/src/control/pending_order.rs
+++ b/crates/stairfront-balancer/src/control/pending_order.rs
@@ -16,7 +16,7 @@
     pub order: OperatorOrder,
     /// Who vouches for the name in it.
     pub source: OrderSource,
-    /// Gets the outcome; whoever waits may have given up.
+    /// Gets the outcome; the receiver may have given up.
     pub done: oneshot::Sender<OrderOutcome>,
 }
 
--- a/crates/stairfront-balancer/src/engine/effects.rs
+++ b/crates/stairfront-balancer/src/engine/effects.rs
@@ -50,7 +50,7 @@
             }
             Action::Disconnect { cache } => self.pool.close_idle(cache),
             Action::Log(record) => info!("{record}"),
-            // This balancer makes no health checks; they are reported as not made, which says nothing of the server.
+            // This balancer makes no health checks; they are reported as not made, which is no information on the server.
             Action::HealthCheck { cache } => self.notify_policy(Event::HealthChecked {
                 cache,
                 outcome: Outcome::NeverSent,
--- a/crates/stairfront-balancer/src/engine/endpoint_list.rs
+++ b/crates/stairfront-balancer/src/engine/endpoint_list.rs
@@ -32,7 +32,7 @@
                 endpoint.state = EndpointState::Draining;
             }
         }
-        // It serves with any list, also an old one: a restart that waited for discovery would serve nobody.
+        // It serves with any list, also an old one: a restart that waited for discovery would serve no client.
         if !self.servers.is_empty() {
             self.ready.send_replace(true);
         }
--- a/crates/stairfront-balancer/src/engine/mod.rs
+++ b/crates/stairfront-balancer/src/engine/mod.rs
@@ -90,7 +90,7 @@
     removal_is_advisory: bool,
     /// Hosts that no list names any more and that may still get requests, the oldest first.
     removed_hosts: VecDeque<CacheId>,
-    /// How long this process may live once it has been told to end.
+    /// How long this process may live once its shutdown has begun.
     min_remaining_lifetime: Micros,
     /// The servers of the list in use, as last listed.
     servers: FxHashMap<CacheId, Endpoint>,
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -332,7 +332,7 @@
     Retune(Box<SettingsUpdate>),
     /// There is no other process of this balancer any more.
     PeerEnded,
-    /// This process has been told to end.
+    /// The shutdown of this process has begun.
     ShuttingDown,
     /// Another member of the group has a newer endpoint list than this balancer, or a hint of that kind has ended.
     DrainHint {
--- a/crates/stairfront-balancer/src/upstream/upstream_pool.rs
+++ b/crates/stairfront-balancer/src/upstream/upstream_pool.rs
@@ -88,7 +88,7 @@
     max_connections: usize,
     /// The same without another process of this balancer.
     max_connections_alone: usize,
-    /// Connections told to close that still hold their socket.
+    /// Number of closing connections that still hold their socket.
     closing: usize,
     waiting: VecDeque<Job>,
     /// Attempts that began to wait since the engine last asked, and until when each may.
--- a/crates/stairfront-balancer/tests/client_disconnects.rs
+++ b/crates/stairfront-balancer/tests/client_disconnects.rs
@@ -40,14 +40,14 @@
 /// A client context whose event queue, of this length, the test reads in place of an engine.
 fn context(
     config: &Config,
-    room: usize,
+    queue_length: usize,
 ) -> (
     Rc<ClientContext>,
     mpsc::Receiver<EngineEvent>,
     watch::Sender<Phase>,
 ) {
-    let (inbox, inputs) = mpsc::channel(room);
-    let (phase, phases) = watch::channel(Phase::Running);
+    let (event_sender, events) = mpsc::channel(queue_length);
+    let (phase, phase_receiver) = watch::channel(Phase::Running);
     let (clock, start, memory) = (Clock::start(), &config.start, config.memory);
     let parser = RequestParser {
         catalog: Rc::new(RefCell::new(RequestCatalog::of(start))),
@@ -59,10 +59,10 @@
         maintenance: Rc::default(),
     };
     let context = ClientContext {
-        events: inbox,
+        events: event_sender,
         parser,
         counters: Rc::default(),
-        phase: phases,
+        phase: phase_receiver,
         pressure: ConnectionPressure::default(),
         permits: Arc::new(Semaphore::new(8)),
         held_by_predecessor: Cell::new(0),
@@ -71,14 +71,14 @@
         large_budget: Budget::new(memory.large_commands),
         next_id: Cell::new(0),
     };
-    (Rc::new(context), inputs, phase)
+    (Rc::new(context), events, phase)
 }
 
 /// With many disconnects or arrivals at once, the engine handles a disconnect long after it would have sent the requests.
 #[test]
 fn a_disconnect_marks_open_requests_while_the_event_queue_is_full() {
     run(async {
-        let (context, mut inputs, _phase) = context(&read(&[]), 3);
+        let (context, mut events, _phase) = context(&read(&[]), 3);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let (_handing, handed) = mpsc::channel(1);
@@ -90,18 +90,18 @@
         // All three are accepted, and fill the queue.
         until(|| context.events.capacity() == 0).await;
         drop(client);
-        let over: Vec<Rc<Cell<bool>>> = {
+        let finished: Vec<Rc<Cell<bool>>> = {
             // The disconnect is noticed at a read; the engine has handled nothing.
             sleep(ms(50)).await;
             (0..3)
-                .map(|_| match inputs.try_recv() {
+                .map(|_| match events.try_recv() {
                     Ok(EngineEvent::Arrived(arrival)) => arrival.finished,
                     _ => panic!("three arrivals are first"),
                 })
                 .collect()
         };
         assert!(
-            over.iter().all(|over| over.get()),
+            finished.iter().all(|flag| flag.get()),
             "whoever holds one of them sees it"
         );
     });
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -374,7 +374,7 @@
         let address = listener.local_addr().unwrap();
         let admin_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let admin = admin_listener.local_addr().unwrap();
-        let (phase, phases) = watch::channel(Phase::Running);
+        let (phase, phase_receiver) = watch::channel(Phase::Running);
         let (hangups, hangup_receiver) = mpsc::channel(1);
         let clock = Clock::start();
         let dependencies = ServerDependencies {
@@ -386,7 +386,7 @@
             successor: Rc::default(),
             membership: None,
             clock,
-            phase: phases,
+            phase: phase_receiver,
             hangups: hangup_receiver,
         };
         let served = server::serve(config, Policy::new, dependencies);
--- a/crates/stairfront-balancer/tests/discovery.rs
+++ b/crates/stairfront-balancer/tests/discovery.rs
@@ -38,10 +38,10 @@
             cache("old", &log, |_, _| hit("old")).await,
             cache("new", &log, |_, _| hit("new")).await,
         );
-        let mut gone = line("c1", old, "box");
-        gone["status"] = "DELETED".into();
+        let mut removed = line("c1", old, "box");
+        removed["status"] = "DELETED".into();
         let agent = origin("agent", &log, move |n, _| match n {
-            0 => list(5, false, &[gone.clone(), line("c2", new, "box")]),
+            0 => list(5, false, &[removed.clone(), line("c2", new, "box")]),
             _ => Step::Silence,
         });
         let agent = agent.await;
@@ -259,9 +259,9 @@
             }
         });
         let (_agents, at) = watch::channel(Some(agent.await));
-        let (inbox, mut inputs) = mpsc::channel(1);
+        let (event_sender, mut events) = mpsc::channel(1);
         // The queue is full: the engine is behind.
-        inbox
+        event_sender
             .send(EngineEvent::PeerEnded)
             .await
             .unwrap_or_else(|_| panic!("closed"));
@@ -273,7 +273,7 @@
             seed: 0,
             poll_now: Rc::clone(&poll_now),
         };
-        let watch = DiscoveryWatch::new(Tcp, settings, inbox, Rc::default());
+        let watch = DiscoveryWatch::new(Tcp, settings, event_sender, Rc::default());
         let watching = spawn_local(watch.run());
         until(|| !targets(&log).is_empty()).await;
         // The answer has been read, and its list waits for the queue.
@@ -285,8 +285,8 @@
             "{:?}",
             targets(&log)
         );
-        assert!(matches!(inputs.recv().await, Some(EngineEvent::PeerEnded)));
-        match inputs.recv().await {
+        assert!(matches!(events.recv().await, Some(EngineEvent::PeerEnded)));
+        match events.recv().await {
             Some(EngineEvent::EndpointList(list)) => {
                 assert_eq!((list.index, list.entries.len()), (5, 1))
             }
@@ -306,11 +306,11 @@
             cache("old", &log, |_, _| hit("old")).await,
             cache("new", &log, |_, _| hit("new")).await,
         );
-        let mut gone = line("c1", old, "box");
-        gone["status"] = "DELETED".into();
+        let mut removed = line("c1", old, "box");
+        removed["status"] = "DELETED".into();
         let agent = origin("agent", &log, move |n, words| match n {
             0 => list(41, true, &[line("c1", old, "box")]),
-            1 => list(3, false, &[gone.clone()]),
+            1 => list(3, false, &[removed.clone()]),
             _ if words[0].contains("from=") => Step::Silence,
             _ => list(4, true, &[line("c2", new, "box")]),
         });
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 
 const CACHE: CacheId = CacheId(1);
-const MOST: u8 = 3;
+const MAX_ATTEMPTS: u8 = 3;
 
 fn arrive(id: u32, value: usize) -> (Arrival, oneshot::Receiver<FinalAnswer>) {
     let (answer, receiver) = oneshot::channel();
@@ -79,7 +79,7 @@
 
 fn admitted(table: &mut RequestTable, id: u32) -> oneshot::Receiver<FinalAnswer> {
     let (arrival, receiver) = arrive(id, 1);
-    assert!(table.admit(arrival, MOST).is_ok());
+    assert!(table.admit(arrival, MAX_ATTEMPTS).is_ok());
     receiver
 }
 
@@ -95,7 +95,7 @@
     let mut table = RequestTable::new(1, Memory::of(64));
     let _first = admitted(&mut table, 1);
     let (arrival, mut receiver) = arrive(2, 1);
-    assert!(table.admit(arrival, MOST).is_err());
+    assert!(table.admit(arrival, MAX_ATTEMPTS).is_err());
     assert_eq!(
         receiver.try_recv().unwrap().answer,
         Answer::Busy { after_ms: None }
@@ -106,7 +106,10 @@
 fn open_requests_are_bounded_by_memory_and_return_it() {
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let mut admitted = 0;
-    while table.admit(arrive(admitted, 64 * 1024).0, MOST).is_ok() {
+    while table
+        .admit(arrive(admitted, 64 * 1024).0, MAX_ATTEMPTS)
+        .is_ok()
+    {
         admitted += 1;
     }
     assert!(
@@ -161,8 +164,8 @@
     let _job = sent(&mut table, 1);
     assert!(!table.relay(&mut end(1, 0, Outcome::Miss)).request_finished);
     let _job = sent(&mut table, 1);
-    let settled = table.relay(&mut end(1, 1, Outcome::Served));
-    assert_eq!((settled.request_finished, settled.attempt), (true, 1));
+    let result = table.relay(&mut end(1, 1, Outcome::Served));
+    assert_eq!((result.request_finished, result.attempt), (true, 1));
     assert_eq!(
         receiver.try_recv().unwrap().answer,
         Answer::Value(Bytes::from_static(b"v"))
@@ -205,14 +208,14 @@
 fn attempts_beyond_the_maximum_and_for_unknown_requests_are_never_sent() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
-    for number in 0..MOST {
+    for number in 0..MAX_ATTEMPTS {
         let _job = sent(&mut table, 1);
         table.relay(&mut end(1, number, Outcome::Full));
     }
     for id in [1, 7] {
-        let sending = table.send(RequestId(id), CACHE, 500 * MS, None);
+        let decision = table.send(RequestId(id), CACHE, 500 * MS, None);
         assert!(
-            matches!(sending, SendDecision::Ended(end) if end.result.outcome == Outcome::NeverSent)
+            matches!(decision, SendDecision::Ended(end) if end.result.outcome == Outcome::NeverSent)
         );
     }
 }
@@ -304,7 +307,10 @@
     let _job = sent(&mut table, 1);
     let (mut again, mut receiver) = arrive(1, 1);
     again.request.id = RequestId(2);
-    assert_eq!(table.admit(again, MOST), Err(AdmissionError::DuplicateId));
+    assert_eq!(
+        table.admit(again, MAX_ATTEMPTS),
+        Err(AdmissionError::DuplicateId)
+    );
     assert!(matches!(
         receiver.try_recv().unwrap().answer,
         Answer::Error(_)
@@ -313,12 +319,12 @@
     assert!(table.answer(RequestId(1), Answer::Failed));
     table.complete(RequestId(1));
     assert_eq!(
-        table.admit(arrive(1, 1).0, MOST),
+        table.admit(arrive(1, 1).0, MAX_ATTEMPTS),
         Err(AdmissionError::DuplicateId)
     );
     table.relay(&mut end(1, 0, Outcome::TimedOut));
     table.complete(RequestId(1));
-    assert!(table.admit(arrive(1, 1).0, MOST).is_ok());
+    assert!(table.admit(arrive(1, 1).0, MAX_ATTEMPTS).is_ok());
 }
 
 /// A parser with one class, `read`, whose clock does not matter.
@@ -413,24 +419,24 @@
 fn nothing_is_sent_for_a_client_that_has_disconnected_before_the_engine_knows() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let (arrival, _receiver) = arrive(1, 1);
-    let over = Rc::clone(&arrival.finished);
-    assert!(table.admit(arrival, MOST).is_ok());
+    let finished = Rc::clone(&arrival.finished);
+    assert!(table.admit(arrival, MAX_ATTEMPTS).is_ok());
     let _first = sent(&mut table, 1);
     table.cancel(RequestId(1), 0);
     assert!(matches!(
         table.send(RequestId(1), CACHE, 500 * MS, None),
         SendDecision::Deferred
     ));
-    over.set(true);
+    finished.set(true);
     table.relay(&mut end(1, 0, Outcome::Cancelled));
-    let moot = |sending: SendDecision| match sending {
+    let assert_never_sent = |sending: SendDecision| match sending {
         SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
         _ => panic!("sent"),
     };
-    moot(
+    assert_never_sent(
         table
             .send_deferred(RequestId(1))
             .expect("the cancelled attempt has ended"),
     );
-    moot(table.send(RequestId(1), CACHE, 500 * MS, None));
+    assert_never_sent(table.send(RequestId(1), CACHE, 500 * MS, None));
 }
--- a/crates/stairfront-balancer/tests/upstream_pool.rs
+++ b/crates/stairfront-balancer/tests/upstream_pool.rs
@@ -38,7 +38,7 @@
         Instant::now(),
     );
     let give_up_at = now + ms(1000);
-    let over = Rc::default();
+    let finished = Rc::default();
     (
         Job {
             attempt,
@@ -49,7 +49,7 @@
             give_up_at,
             window_end: None,
             cancel: cancelled,
-            finished: over,
+            finished,
         },
         cancel,
     )
@@ -57,19 +57,19 @@
 
 async fn end<N: Network>(
     pool: &mut UpstreamPool<N>,
-    inputs: &mut mpsc::Receiver<EngineEvent>,
+    events: &mut mpsc::Receiver<EngineEvent>,
 ) -> AttemptEnd {
-    ends(pool, inputs).await.remove(0)
+    ends(pool, events).await.remove(0)
 }
 
 /// The next ends of attempts that the pool reports.
 async fn ends<N: Network>(
     pool: &mut UpstreamPool<N>,
-    inputs: &mut mpsc::Receiver<EngineEvent>,
+    events: &mut mpsc::Receiver<EngineEvent>,
 ) -> Vec<AttemptEnd> {
     let mut ends: Vec<AttemptEnd> = Vec::new();
     while ends.is_empty() {
-        match inputs.recv().await {
+        match events.recv().await {
             Some(EngineEvent::Pool(event)) => {
                 let idle = matches!(event, PoolEvent::Idle { .. });
                 pool.handle(event, &mut ends);
@@ -84,27 +84,27 @@
 /// A pool of `max` connections to one cache host, and the events of its connections.
 fn pool(
     address: std::net::SocketAddr,
-    most: usize,
+    max: usize,
 ) -> (UpstreamPool<Tcp>, mpsc::Receiver<EngineEvent>) {
-    pool_on(Tcp, address, most, ms(10_000))
+    pool_on(Tcp, address, max, ms(10_000))
 }
 
 fn pool_on<N: Network>(
     network: N,
     address: std::net::SocketAddr,
-    most: usize,
+    max: usize,
     servers_idle_timeout: std::time::Duration,
 ) -> (UpstreamPool<N>, mpsc::Receiver<EngineEvent>) {
-    let (inbox, inputs) = mpsc::channel(16);
+    let (event_sender, events) = mpsc::channel(16);
     let limits = PoolSettings {
-        max_connections: most,
+        max_connections: max,
         held_by_predecessor: 0,
         connect_timeout: ms(250),
         servers_idle_timeout,
         stall_timeout: ms(10_000),
         memory: Memory::of(64),
     };
-    let mut pool = UpstreamPool::new(network, limits, Vec::new(), inbox, Rc::default());
+    let mut pool = UpstreamPool::new(network, limits, Vec::new(), event_sender, Rc::default());
     pool.set_target(
         CACHE,
         UpstreamTarget {
@@ -112,7 +112,7 @@
             protocol: Protocol::Resp,
         },
     );
-    (pool, inputs)
+    (pool, events)
 }
 
 /// A connection that is made, or becomes idle, just as its request is answered or its attempt cancelled would carry the
@@ -122,25 +122,25 @@
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool(address, 1);
+        let (mut pool, mut events) = pool(address, 1);
         // The connection is still being made as the request is answered; the connection stays.
         let (first, _kept) = job(1);
-        let over = Rc::clone(&first.finished);
+        let finished = Rc::clone(&first.finished);
         assert!(pool.dispatch(first).is_none());
-        over.set(true);
+        finished.set(true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
         // The second is queued at the idle connection's task and cancelled; the others wait for the socket meanwhile.
         let ((second, cancel), (third, _kept), (fourth, _kept_too)) = (job(2), job(3), job(4));
-        let over = Rc::clone(&third.finished);
+        let finished = Rc::clone(&third.finished);
         for job in [second, third, fourth] {
             assert!(pool.dispatch(job).is_none());
         }
         cancel.send(()).unwrap();
-        over.set(true);
-        let ended = ends(&mut pool, &mut inputs).await;
+        finished.set(true);
+        let ended = ends(&mut pool, &mut events).await;
         assert_eq!(
             ended
                 .iter()
@@ -150,7 +150,7 @@
         );
         assert_eq!(commands(&log, "cache").len(), 0, "nothing was asked for");
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(
@@ -166,13 +166,13 @@
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool(address, 4);
+        let (mut pool, mut events) = pool(address, 4);
         // The connection is still being made.
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
         // No longer barred, it is served, and its connection becomes idle.
@@ -180,7 +180,7 @@
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         // The job is queued at the idle connection's task, which has not read it yet.
@@ -188,7 +188,7 @@
         assert!(pool.dispatch(third).is_none());
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
         assert_eq!(
@@ -210,7 +210,7 @@
         }
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
     });
@@ -238,12 +238,12 @@
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
         let (open, gate) = watch::channel(false);
-        let (mut pool, mut inputs) = pool_on(Late(gate), address, 1, ms(10_000));
+        let (mut pool, mut events) = pool_on(Late(gate), address, 1, ms(10_000));
         // The connection is not made in time at all.
         let (mut never, _kept) = job(0);
         never.window_end = Some(Instant::now() + ms(50));
         assert!(pool.dispatch(never).is_none());
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(
             ended.result.outcome,
             Outcome::NeverSent,
@@ -256,7 +256,7 @@
         // The connection is made in the same turn of the loop in which the window has closed.
         std::thread::sleep(ms(120));
         open.send_replace(true);
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(ended.result.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 0);
         // The same for a job queued at an idle connection, and for one that waits for a socket.
@@ -268,7 +268,7 @@
         let mut outcomes = Vec::new();
         while outcomes.len() < 2 {
             outcomes.extend(
-                ends(&mut pool, &mut inputs)
+                ends(&mut pool, &mut events)
                     .await
                     .iter()
                     .map(|end| end.result.outcome),
@@ -288,7 +288,7 @@
 fn a_retry_not_written_as_a_whole_within_its_window_is_aborted() {
     run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (mut pool, mut inputs) = pool(listener.local_addr().unwrap(), 1);
+        let (mut pool, mut events) = pool(listener.local_addr().unwrap(), 1);
         let (mut long, _kept) = job(1);
         long.command.verb = Verb::Set;
         long.command.value = Some(Bytes::from(vec![b'x'; 64 * 1024 * 1024]));
@@ -297,7 +297,7 @@
         long.give_up_at = Instant::now() + ms(10_000);
         assert!(pool.dispatch(long).is_none());
         let (unread, _) = listener.accept().await.unwrap();
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(
             ended.result.outcome,
             Outcome::ConnectFailed,
@@ -319,11 +319,11 @@
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool_on(Tcp, address, 4, ms(100));
+        let (mut pool, mut events) = pool_on(Tcp, address, 4, ms(100));
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         // The task has begun to wait; then nothing runs for longer than the timeout.
@@ -332,7 +332,7 @@
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
@@ -350,20 +350,20 @@
             step => step,
         };
         let address = cache("cache", &log, twice).await;
-        let (mut pool, mut inputs) = pool(address, 4);
+        let (mut pool, mut events) = pool(address, 4);
         let opened = |log: &Log| count(log, &Seen::Opened("cache"));
         let serve =
-            async |pool: &mut UpstreamPool<Tcp>, inputs: &mut mpsc::Receiver<EngineEvent>, id| {
+            async |pool: &mut UpstreamPool<Tcp>, events: &mut mpsc::Receiver<EngineEvent>, id| {
                 let (job, _kept) = job(id);
                 assert!(pool.dispatch(job).is_none());
-                assert_eq!(end(pool, inputs).await.result.outcome, Outcome::Served);
+                assert_eq!(end(pool, events).await.result.outcome, Outcome::Served);
             };
         // No surplus was seen yet.
-        serve(&mut pool, &mut inputs, 1).await;
-        serve(&mut pool, &mut inputs, 2).await;
+        serve(&mut pool, &mut events, 1).await;
+        serve(&mut pool, &mut events, 2).await;
         assert_eq!(opened(&log), 1);
         // The second reply ends its connection, and is reported.
-        match inputs.recv().await {
+        match events.recv().await {
             Some(EngineEvent::Pool(event @ PoolEvent::Closed { surplus: true, .. })) => {
                 pool.handle(event, &mut Vec::new())
             }
@@ -372,7 +372,7 @@
         let mut at_once = false;
         for id in 3.. {
             let (before, began) = (opened(&log), Instant::now());
-            serve(&mut pool, &mut inputs, id).await;
+            serve(&mut pool, &mut events, id).await;
             if at_once && began.elapsed() < ms(20) {
                 assert_eq!(opened(&log), before + 1, "the other one rests");
                 break;
@@ -382,7 +382,7 @@
         // After the rest they are reused.
         tokio::time::sleep(ms(60)).await;
         let before = opened(&log);
-        serve(&mut pool, &mut inputs, 100).await;
+        serve(&mut pool, &mut events, 100).await;
         assert_eq!(opened(&log), before);
     });
 }
@@ -398,13 +398,13 @@
             step => step,
         };
         let address = cache("cache", &log, closing).await;
-        let (mut pool, mut inputs) = pool(address, 4);
+        let (mut pool, mut events) = pool(address, 4);
         for id in 1..=6 {
             let (job, _kept) = job(id);
             assert!(pool.dispatch(job).is_none());
             let mut ended: Vec<AttemptEnd> = Vec::new();
             while ended.is_empty() {
-                match inputs.recv().await {
+                match events.recv().await {
                     Some(EngineEvent::Pool(event)) => pool.handle(event, &mut ended),
                     _ => panic!("nothing else is told"),
                 }
--- a/crates/stairfront-balancer/tests/virtual_network.rs
+++ b/crates/stairfront-balancer/tests/virtual_network.rs
@@ -206,7 +206,7 @@
         let lines = [line("good", at(2), "box"), line("silent", at(3), "box")];
         let config =
             Config::from_text("test", &config(at(1), at(9), &lines, 1024).to_string()).unwrap();
-        let (phase, phases) = watch::channel(Phase::Running);
+        let (phase, phase_receiver) = watch::channel(Phase::Running);
         let (_hangups, hangup_receiver) = mpsc::channel(1);
         let dependencies = ServerDependencies {
             network: network.clone(),
@@ -217,7 +217,7 @@
             successor: Rc::default(),
             membership: None,
             clock: Clock::starting_at(0),
-            phase: phases,
+            phase: phase_receiver,
             hangups: hangup_receiver,
         };
         let balancer = spawn_local(serve(config, Policy::new, dependencies));
