--- a/crates/stairfront-balancer/src/client/connection.rs
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -188,11 +188,11 @@
             if self.write_ready(None).await.is_err() {
                 return ConnectionEnd::Disconnected;
             }
-            let turn = match self.wait_conditions() {
-                Ok(turn) => turn,
+            let conditions = match self.wait_conditions() {
+                Ok(conditions) => conditions,
                 Err(end) => return end,
             };
-            if let Err(end) = self.wait(&turn, &context, &mut phases).await {
+            if let Err(end) = self.wait(&conditions, &context, &mut phases).await {
                 return end;
             }
         }
@@ -245,55 +245,57 @@
     /// Handles the next event that happens; an error if the connection ends by it.
     async fn wait(
         &mut self,
-        turn: &WaitConditions,
+        conditions: &WaitConditions,
         context: &ClientContext,
         phases: &mut PhaseReceivers,
     ) -> Result<(), ConnectionEnd> {
         let idle_deadline = self.idle_deadline();
         let is_silent = matches!(self.state, ConnectionState::Silent { .. });
-        let finishing_command =
-            turn.idle && self.must_stay && !turn.no_partial_command && !turn.closing;
+        let finishing_command = conditions.idle
+            && self.must_stay
+            && !conditions.no_partial_command
+            && !conditions.closing;
         tokio::select! {
             biased;
-            command = self.framed.next(), if turn.reading => self.handle_input(command).await?,
-            answer = next_answer(&mut self.pending), if !turn.idle => {
+            command = self.framed.next(), if conditions.reading => self.handle_input(command).await?,
+            answer = next_answer(&mut self.pending), if !conditions.idle => {
                 self.pending.pop_front();
                 let written = self.write_ready(Some(answer)).await;
                 written.map_err(|_| ConnectionEnd::Disconnected)?;
             }
             // A connection that is read from reports its end by itself.
-            () = sleep(DEPARTURE_CHECK_INTERVAL), if !turn.idle && !turn.reading => {
+            () = sleep(DEPARTURE_CHECK_INTERVAL), if !conditions.idle && !conditions.reading => {
                 if self.framed.get_ref().has_ended() {
                     return Err(ConnectionEnd::Disconnected);
                 }
             }
             // Bytes that the client has not sent yet stay with the client.
-            () = sleep(MEMORY_CHECK_INTERVAL), if turn.waiting_for_memory => {}
+            () = sleep(MEMORY_CHECK_INTERVAL), if conditions.waiting_for_memory => {}
             // A request may be in the kernel unseen, and closing would lose it. By the time this is polled again the
             // sockets have been polled, and the read above comes first.
-            () = yield_now(), if turn.closing => {
+            () = yield_now(), if conditions.closing => {
                 if !self.has_unread_input() {
                     return Err(self.close());
                 }
             }
             // A spare connection has no permit to give.
-            () = context.pressure.idle.notified(), if turn.staying && turn.used && !turn.spare => {
+            () = context.pressure.idle.notified(), if conditions.staying && conditions.used && !conditions.spare => {
                 self.closing = Some(CloseReason::AfterPartialCommand);
             }
             // A connection that has begun a command is about to be used.
             () = context.pressure.silent.notified(),
-                if turn.staying && !turn.spare && turn.no_partial_command && is_silent =>
+                if conditions.staying && !conditions.spare && conditions.no_partial_command && is_silent =>
             {
                 self.closing = Some(CloseReason::Immediately);
             }
-            () = sleep_until(idle_deadline), if turn.staying || finishing_command => {
+            () = sleep_until(idle_deadline), if conditions.staying || finishing_command => {
                 self.handle_idle_timeout();
             }
             _ = phases.handing_over.wait_for(|phase| phase.hands_over()),
-                if !turn.handing_over && !self.must_stay => {}
+                if !conditions.handing_over && !self.must_stay => {}
             // When the balancer stops, a connection is closed between requests, after what has come is read. A new one,
             // whose request is on its way, is left open for a while.
-            _ = phases.closing_idle.wait_for(|phase| phase.closes_idle(turn.used)), if turn.staying => {
+            _ = phases.closing_idle.wait_for(|phase| phase.closes_idle(conditions.used)), if conditions.staying => {
                 self.closing = Some(CloseReason::AfterPartialCommand);
             }
             // A client that always has one more command open, or half of one, must not keep the balancer from ending.
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -1,4 +1,5 @@
 //! In-process stand-ins on loopback for cache hosts, the origin, discovery and clients.
+// Each test file uses a part of these helpers.
 #![allow(dead_code)]
 use std::cell::RefCell;
 use std::future::Future;
@@ -28,7 +29,6 @@
 }
 
 /// For a test with many long steps.
-#[allow(dead_code)]
 pub fn run_within<F: Future>(limit: Duration, test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
