--- a/crates/stairfront-maintenance/tests/network/world.rs
+++ b/crates/stairfront-maintenance/tests/network/world.rs
@@ -209,7 +209,7 @@
             member.incarnation = member.process_id * 100 + index as u64;
             member.disk = Default::default();
         }
-        // Where no majority answers it serves by the cordons that it has, as docs/maintenance.md says.
+        // Where no majority answers it serves by the cordons that it has rather than not at all.
         member.started_isolated = reachable.len() < MEMBERS / 2;
         member.cordons.extend(cordons);
         member.maintenance = Maintenance::default();
