--- a/crates/stairfront-balancer/src/client/server.rs
+++ b/crates/stairfront-balancer/src/client/server.rs
@@ -12,8 +12,9 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::{FutureExt, Sink, SinkExt, StreamExt};
-use stairfront_codec::budget::{Budget, Claim};
-use stairfront_codec::resp::{put_bulk, put_line, put_number, shrink, CommandReader, RespError};
+use stairfront_codec::budget::{Budget, Reservation};
+use stairfront_codec::buffer::shrink;
+use stairfront_codec::resp::{put_bulk, put_line, put_number, CommandDecoder, RespError};
 use stairfront_policy::interface::RequestId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, watch, AcquireError, Notify, OwnedSemaphorePermit, Semaphore};
@@ -344,12 +345,12 @@
 
 /// Commands in, answers out.
 #[derive(Debug)]
-pub struct ClientCodec(CommandReader);
+pub struct ClientCodec(CommandDecoder);
 
 impl ClientCodec {
     /// `budget` is for usual commands that are not whole yet, `large` for those with a large value.
     pub fn new(budget: &Rc<Budget>, large: &Rc<Budget>) -> Self {
-        ClientCodec(CommandReader::new(budget, large))
+        ClientCodec(CommandDecoder::new(budget, large))
     }
 }
 
@@ -726,7 +727,7 @@
     /// A large command at the front has no room yet.
     fn waits_for_room(&self) -> bool {
         self.no_room
-            .is_some_and(|bytes| self.context.large.left() < bytes)
+            .is_some_and(|bytes| self.context.large.available() < bytes)
     }
 
     /// Asks the kernel itself, as the last thing before a close. Danger: on a small part of a core much time can pass
@@ -742,7 +743,7 @@
     ) -> Result<(), ConnectionEnd> {
         match command {
             Some(Ok(words)) => {
-                let room = self.wire.codec_mut().0.take_room();
+                let room = self.wire.codec_mut().0.take_reservation();
                 self.take(words, room)
                     .await
                     .map_err(|_| ConnectionEnd::Gone)
@@ -755,7 +756,7 @@
                 self.last = Some(ConnectionEnd::Said);
                 Ok(())
             }
-            Some(Err(RespError::NoRoom(bytes))) => {
+            Some(Err(RespError::AwaitingMemory(bytes))) => {
                 self.no_room = Some(bytes);
                 // A reader that has told a fault ends once before it goes on.
                 let _ = self.wire.next().now_or_never();
@@ -913,7 +914,7 @@
     async fn take(
         &mut self,
         words: Vec<Bytes>,
-        room: Option<Claim>,
+        room: Option<Reservation>,
     ) -> Result<(), mpsc::error::SendError<EngineEvent>> {
         let spare = self.is_spare();
         let context = &self.context;
--- a/crates/stairfront-balancer/src/configuration/limits.rs
+++ b/crates/stairfront-balancer/src/configuration/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stairfront_codec::resp::LARGEST_VALUE;
+use stairfront_codec::resp::MAX_VALUE_BYTES;
 use stairfront_policy::interface::Settings;
 
 use crate::clock::duration;
@@ -88,7 +88,7 @@
     /// Where no limit is told.
     pub const DEFAULT_MB: usize = 192;
     /// A command with the largest value, and what stands round it.
-    const LARGE: usize = LARGEST_VALUE + 16 * 1024;
+    const LARGE: usize = MAX_VALUE_BYTES + 16 * 1024;
 
     pub fn of(limit_mb: usize) -> Self {
         let part = limit_mb.max(Self::MIN_MB) * MIB / 8;
@@ -99,7 +99,7 @@
             commands: part / 4,
             large_commands: part.max(large),
             replies: part,
-            largest_value: LARGEST_VALUE,
+            largest_value: MAX_VALUE_BYTES,
         }
     }
 }
--- a/crates/stairfront-balancer/src/control/admin_server.rs
+++ b/crates/stairfront-balancer/src/control/admin_server.rs
@@ -14,7 +14,7 @@
 };
 use stairfront_codec::budget::Budget;
 use stairfront_codec::http::HttpError;
-use stairfront_codec::http_server::{HttpServerCodec, Received, Reply};
+use stairfront_codec::http_server::{HttpServerCodec, Request as Received, Response as Reply};
 use stairfront_maintenance::{CommandKind, Plan};
 use stairfront_membership_agent::{CordonOrder as GroupOrder, MembershipAgent};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/stairfront-balancer/src/control/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, HttpError, Request};
+use stairfront_codec::http::HttpError;
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody};
 use stairfront_settings::Names;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio_util::codec::Framed;
@@ -71,7 +72,7 @@
     agents: watch::Receiver<Option<SocketAddr>>,
     names: Names,
     inbox: mpsc::Sender<EngineEvent>,
-    wire: Option<Framed<N::Stream, HttpCodec>>,
+    wire: Option<Framed<N::Stream, HttpClientCodec>>,
     /// The version in hand; none asks for the whole list.
     index: Option<u64>,
     /// How long the next call may be held: not at all until one was answered, so that a start or a return of the
@@ -200,7 +201,7 @@
                 let socket = connected.await.map_err(|_| CallError::Late)??;
                 none.insert(Framed::new(
                     socket,
-                    HttpCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES)),
+                    HttpClientCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES)),
                 ))
             }
         };
@@ -219,14 +220,14 @@
             method: "GET",
             target,
             headers: vec![("Host", host)],
-            body: Body::None,
+            body: RequestBody::Empty,
         })
         .await?;
         let answer = timeout(limit, wire.next())
             .await
             .map_err(|_| CallError::Late)?;
         let response = answer.ok_or(CallError::Ended)??;
-        if response.last {
+        if response.closes_connection {
             self.wire = None;
         }
         if response.status != 200 {
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stairfront_codec::budget::Claim;
-use stairfront_codec::part::LARGEST_WHOLE;
+use stairfront_codec::budget::Reservation;
+use stairfront_codec::message_part::MAX_BUFFERED_BYTES;
 use stairfront_policy::interface::{
     CacheId, CacheStatus, Endpoint, LoadReport, Micros, Outcome, Request, RequestId,
 };
@@ -92,7 +92,7 @@
         self.command
             .value
             .as_ref()
-            .filter(|value| value.len() > LARGEST_WHOLE)
+            .filter(|value| value.len() > MAX_BUFFERED_BYTES)
     }
 
     /// The list of names and values with `d` telling how long this balancer will wait; all else as it came.
@@ -121,7 +121,7 @@
     pub came: Micros,
     pub command: Command,
     /// What a large value takes, until the request is over.
-    pub room: Option<Claim>,
+    pub room: Option<Reservation>,
     pub answer: oneshot::Sender<FinalAnswer>,
     /// Raised by the client's connection as its client leaves, whatever waits before the engine then.
     pub over: Rc<Cell<bool>>,
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
-use stairfront_codec::budget::Claim;
+use stairfront_codec::budget::Reservation;
 use stairfront_policy::interface::{CacheId, Micros, Request, RequestId};
 use tokio::sync::{oneshot, Semaphore};
 
@@ -34,7 +34,7 @@
     pub command: Command,
     /// What it takes of the room for requests; a large value has room of its own.
     pub bytes: usize,
-    pub room: Option<Claim>,
+    pub room: Option<Reservation>,
     /// None once answered, or when the engine has heard that the client left.
     pub answer: Option<oneshot::Sender<FinalAnswer>>,
     pub sent: u8,
--- a/crates/stairfront-balancer/src/upstream/cache_host.rs
+++ b/crates/stairfront-balancer/src/upstream/cache_host.rs
@@ -5,8 +5,8 @@
 
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::{put_bulk, put_number, PartReader, RespError, Value};
+use stairfront_codec::message_part::MessagePart;
+use stairfront_codec::resp::{put_bulk, put_number, RespError, StreamingDecoder, Value};
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -19,19 +19,19 @@
 
 /// Commands out, replies in.
 #[derive(Debug)]
-pub struct CacheCodec(PartReader);
+pub struct CacheCodec(StreamingDecoder);
 
 impl CacheCodec {
     pub fn new(largest_value: usize, budget: &Rc<Budget>) -> Self {
-        CacheCodec(PartReader::new(largest_value, budget))
+        CacheCodec(StreamingDecoder::new(largest_value, budget))
     }
 }
 
 impl Decoder for CacheCodec {
-    type Item = Part<Value>;
+    type Item = MessagePart<Value>;
     type Error = RespError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part<Value>>, RespError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart<Value>>, RespError> {
         self.0.decode(src)
     }
 }
--- a/crates/stairfront-balancer/src/upstream/connection.rs
+++ b/crates/stairfront-balancer/src/upstream/connection.rs
@@ -9,8 +9,8 @@
 use bytes::Buf;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::shrink;
+use stairfront_codec::buffer::shrink;
+use stairfront_codec::message_part::MessagePart;
 use stairfront_policy::interface::Outcome;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::{mpsc, oneshot};
@@ -34,7 +34,9 @@
 
 /// How one kind of server is spoken to.
 pub trait UpstreamProtocol:
-    Decoder<Item = Part<Self::Reply>> + Encoder<Outgoing, Error = <Self as Decoder>::Error> + Sized
+    Decoder<Item = MessagePart<Self::Reply>>
+    + Encoder<Outgoing, Error = <Self as Decoder>::Error>
+    + Sized
 {
     type Reply: Debug;
     /// What stands behind a value that was written apart from its command.
@@ -264,8 +266,8 @@
             Ok(None) | Err(_) => break,
         };
         let (piece, reusable) = match part {
-            Part::Piece(bytes) => (BodyChunk::Bytes(bytes), None),
-            Part::Done(reply) => match S::verdict(reply, &common.report) {
+            MessagePart::Chunk(bytes) => (BodyChunk::Bytes(bytes), None),
+            MessagePart::End(reply) => match S::verdict(reply, &common.report) {
                 (
                     Verdict {
                         outcome: Outcome::Served,
@@ -276,7 +278,7 @@
                 // What stands behind the value belongs to no answer: the value may be wrong as well.
                 _ => break,
             },
-            Part::Whole(_) | Part::Begun(..) => break,
+            MessagePart::Complete(_) | MessagePart::Head { .. } => break,
         };
         // The client has left, or reads nothing.
         if pieces.send(piece).await.is_err() {
@@ -331,11 +333,11 @@
         written = true;
         shrink(wire.write_buffer_mut());
         match wire.next().await {
-            Some(Ok(Part::Whole(reply))) => {
+            Some(Ok(MessagePart::Complete(reply))) => {
                 let (verdict, reusable) = S::verdict(reply, report);
                 ExchangeOutcome::Over(verdict, reusable)
             }
-            Some(Ok(Part::Begun(length, reply))) => {
+            Some(Ok(MessagePart::Head { length, reply })) => {
                 let (verdict, _) = S::verdict(reply, report);
                 ExchangeOutcome::Begun(
                     Verdict {
@@ -346,7 +348,7 @@
                 )
             }
             // No reader yields these first.
-            Some(Ok(Part::Piece(_) | Part::Done(_))) => {
+            Some(Ok(MessagePart::Chunk(_) | MessagePart::End(_))) => {
                 ExchangeOutcome::Over(Verdict::bare(Outcome::Malformed), false)
             }
             Some(Err(problem)) => {
--- a/crates/stairfront-balancer/src/upstream/origin.rs
+++ b/crates/stairfront-balancer/src/upstream/origin.rs
@@ -5,8 +5,9 @@
 
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, HttpError, Request, Response};
-use stairfront_codec::part::Part;
+use stairfront_codec::http::HttpError;
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody, Response};
+use stairfront_codec::message_part::MessagePart;
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -16,21 +17,24 @@
 
 #[derive(Debug)]
 pub struct OriginCodec {
-    http: HttpCodec,
+    http: HttpClientCodec,
     host: Bytes,
 }
 
 impl Decoder for OriginCodec {
-    type Item = Part<Response>;
+    type Item = MessagePart<Response>;
     type Error = HttpError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part<Response>>, HttpError> {
-        self.http.next_part(src)
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart<Response>>, HttpError> {
+        self.http.decode_part(src)
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Part<Response>>, HttpError> {
-        match self.http.next_part(src)? {
-            None => Ok(self.http.end(src)?.map(Part::Whole)),
+    fn decode_eof(
+        &mut self,
+        src: &mut BytesMut,
+    ) -> Result<Option<MessagePart<Response>>, HttpError> {
+        match self.http.decode_part(src)? {
+            None => Ok(self.http.finish(src)?.map(MessagePart::Complete)),
             part => Ok(part),
         }
     }
@@ -44,9 +48,12 @@
         let apart = outgoing.apart().map(Bytes::len);
         let command = outgoing.command;
         let (method, body) = match (command.verb, apart) {
-            (Verb::Get, _) => ("GET", Body::None),
-            (Verb::Set, Some(length)) => ("PUT", Body::Behind(length)),
-            (Verb::Set, None) => ("PUT", Body::Here(command.value.unwrap_or_default())),
+            (Verb::Get, _) => ("GET", RequestBody::Empty),
+            (Verb::Set, Some(length)) => ("PUT", RequestBody::Separate(length)),
+            (Verb::Set, None) => (
+                "PUT",
+                RequestBody::Inline(command.value.unwrap_or_default()),
+            ),
         };
         let headers = vec![
             ("Host", self.host.clone()),
@@ -89,7 +96,7 @@
 
     fn new(address: SocketAddr, largest_value: usize, budget: &Rc<Budget>) -> Self {
         OriginCodec {
-            http: HttpCodec::new(largest_value, budget),
+            http: HttpClientCodec::new(largest_value, budget),
             host: Bytes::from(address.to_string()),
         }
     }
@@ -103,7 +110,7 @@
             _ => return (Verdict::bare(Outcome::Malformed), false),
         };
         let load = reply
-            .load
+            .server_load
             .map_or(LoadReport::default(), |text| load_report(&text, report));
         let value = (outcome == Outcome::Served).then_some(reply.body);
         (
@@ -113,7 +120,7 @@
                 load,
                 value,
             },
-            !reply.last,
+            !reply.closes_connection,
         )
     }
 
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -5,8 +5,8 @@
 use stairfront_balancer::messages::{Answer, Command, Outgoing, Verb};
 use stairfront_balancer::upstream::cache_host::CacheCodec;
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::{Value, LARGEST_BULK};
+use stairfront_codec::message_part::MessagePart;
+use stairfront_codec::resp::{Value, MAX_BULK_BYTES};
 use tokio_util::codec::{Decoder, Encoder};
 
 const PLENTY: usize = 1 << 24;
@@ -16,7 +16,7 @@
 }
 
 fn cache_codec() -> CacheCodec {
-    CacheCodec::new(LARGEST_BULK, &Budget::new(PLENTY))
+    CacheCodec::new(MAX_BULK_BYTES, &Budget::new(PLENTY))
 }
 
 #[test]
@@ -85,6 +85,6 @@
         let early = codec.decode(&mut buffer).unwrap();
         buffer.extend_from_slice(&out[at..]);
         let whole = early.or_else(|| codec.decode(&mut buffer).unwrap());
-        prop_assert_eq!(whole, Some(Part::Whole(Value::Bulk(Bytes::from(value)))));
+        prop_assert_eq!(whole, Some(MessagePart::Complete(Value::Bulk(Bytes::from(value)))));
     }
 }
--- a/crates/stairfront-codec/src/budget.rs
+++ b/crates/stairfront-codec/src/budget.rs
@@ -1,73 +1,89 @@
-//! What readers of one kind may hold together, and what each has claimed of it.
+//! The memory that the decoders of one kind may reserve together, and the reservation of each.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that readers of one kind may hold together.
+/// Bytes that the decoders of one kind may reserve together.
 #[derive(Debug)]
 pub struct Budget {
-    left: Cell<usize>,
-    all: usize,
+    available: Cell<usize>,
+    total: usize,
 }
 
 impl Budget {
+    /// A budget of so many bytes, none of them reserved.
+    #[must_use]
     pub fn new(bytes: usize) -> Rc<Self> {
         Rc::new(Budget {
-            left: Cell::new(bytes),
-            all: bytes,
+            available: Cell::new(bytes),
+            total: bytes,
         })
     }
-    pub fn left(&self) -> usize {
-        self.left.get()
+
+    /// Bytes that are not reserved.
+    #[must_use]
+    pub fn available(&self) -> usize {
+        self.available.get()
     }
 }
 
-/// What one reader holds; given back when it is dropped. Small buffers are not claimed: each connection has one.
+/// Bytes that one decoder has reserved. They return to the budget when it is dropped.
 #[derive(Debug)]
-pub struct Claim {
+pub struct Reservation {
     budget: Rc<Budget>,
-    held: usize,
+    bytes: usize,
 }
 
-impl Claim {
-    const SMALL: usize = 16 * 1024;
+impl Reservation {
+    /// Bytes that are not counted, since each connection has a buffer of this size.
+    const UNCOUNTED: usize = 16 * 1024;
 
+    /// A reservation of no bytes yet.
+    #[must_use]
     pub fn new(budget: &Rc<Budget>) -> Self {
-        Claim {
+        Reservation {
             budget: Rc::clone(budget),
-            held: 0,
+            bytes: 0,
         }
     }
 
-    /// What is held, to be kept by somebody else from now on.
-    pub fn take(&mut self) -> Option<Claim> {
-        let held = std::mem::take(&mut self.held);
-        (held > 0).then(|| Claim {
+    /// Moves the reserved bytes to a reservation of their own, for another owner; `None` if there are none.
+    pub fn take(&mut self) -> Option<Reservation> {
+        let bytes = std::mem::take(&mut self.bytes);
+        (bytes > 0).then(|| Reservation {
             budget: Rc::clone(&self.budget),
-            held,
+            bytes,
         })
     }
 
-    /// Whether so many bytes could be held once others have given theirs back.
-    pub fn could_hold(&self, bytes: usize) -> bool {
-        bytes <= self.budget.all
+    /// Whether so many bytes could be reserved once others have released theirs.
+    #[must_use]
+    pub fn fits_budget(&self, bytes: usize) -> bool {
+        bytes <= self.budget.total
     }
 
-    /// Holds so many bytes from now on; false, and nothing changed, where there are no more.
+    /// Changes the reservation to so many bytes. Returns false, and changes nothing, if fewer are available.
     #[must_use]
-    pub fn hold(&mut self, bytes: usize) -> bool {
-        let bytes = if bytes > Self::SMALL { bytes } else { 0 };
-        let left = self.budget.left.get() + self.held;
-        let enough = bytes <= left;
-        if enough {
-            self.budget.left.set(left - bytes);
-            self.held = bytes;
+    pub fn try_resize(&mut self, bytes: usize) -> bool {
+        let bytes = if bytes > Self::UNCOUNTED { bytes } else { 0 };
+        let available = self.budget.available.get() + self.bytes;
+        let is_enough = bytes <= available;
+        if is_enough {
+            self.budget.available.set(available - bytes);
+            self.bytes = bytes;
         }
-        enough
+        is_enough
+    }
+
+    /// Returns the reserved bytes to the budget.
+    pub fn release(&mut self) {
+        let available = self.budget.available.get() + self.bytes;
+        self.budget.available.set(available);
+        self.bytes = 0;
     }
 }
 
-impl Drop for Claim {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.budget.left.set(self.budget.left.get() + self.held);
+        self.release();
     }
 }
--- a/crates/stairfront-codec/src/http_server.rs
+++ b/crates/stairfront-codec/src/http_server.rs
@@ -1,29 +1,34 @@
-//! The server's side of HTTP/1.1: requests in, responses out. Bodies have a length; what else there is, a stand-in or
-//! a front has no use for and turns away.
+//! The server's side of HTTP/1.1: requests are decoded, responses encoded.
+//!
+//! The body of a request has a `Content-Length`. Transfer codings are rejected, since no client of this project uses one.
 use std::io;
 use std::rc::Rc;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-use crate::budget::{Budget, Claim};
-use crate::http::{HttpError, LARGEST_HEAD, MOST_HEADERS};
-use crate::resp::cut_frame;
+use crate::budget::{Budget, Reservation};
+use crate::buffer::cut_frame;
+use crate::http::{content_length, has_line_break, head_length, HttpError, MAX_HEADER_FIELDS};
 
-/// One whole request.
+/// A request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Received {
+pub struct Request {
+    /// The method, such as `GET`.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as they were received.
     pub target: String,
+    /// Header fields in the order in which they were received.
     pub headers: Vec<(String, Bytes)>,
+    /// The body.
     pub body: Bytes,
-    /// The client wants the connection closed after the answer.
-    pub last: bool,
+    /// The connection is to be closed after the response (RFC 9112, section 9.6).
+    pub closes_connection: bool,
 }
 
-impl Received {
-    /// The first header of that name, whatever its case.
+impl Request {
+    /// The value of the first header field of this name, in any case.
+    #[must_use]
     pub fn header(&self, name: &str) -> Option<&Bytes> {
         self.headers
             .iter()
@@ -32,117 +37,115 @@
     }
 }
 
-/// One response; names and values must hold no line breaks.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The reason phrase.
     pub reason: &'static str,
+    /// Header fields. A value with a line break is an error when the response is encoded.
     pub headers: Vec<(&'static str, String)>,
+    /// The body.
     pub body: Bytes,
 }
 
-/// Reads one request after the other; `largest_body` bounds each in bytes.
+/// A request whose head is decoded, and whose body is not.
+#[derive(Debug)]
+struct PendingRequest {
+    request: Request,
+    content_length: usize,
+}
+
+/// Decodes one request after the other, and encodes responses.
 #[derive(Debug)]
 pub struct HttpServerCodec {
-    largest_body: usize,
-    claim: Claim,
-    head: Option<(Received, usize)>,
+    max_body: usize,
+    reservation: Reservation,
+    pending: Option<PendingRequest>,
 }
 
 impl HttpServerCodec {
-    pub fn new(largest_body: usize, budget: &Rc<Budget>) -> Self {
+    /// A codec for bodies of at most `max_body` bytes, which reserves their memory from a budget.
+    #[must_use]
+    pub fn new(max_body: usize, budget: &Rc<Budget>) -> Self {
         HttpServerCodec {
-            largest_body,
-            claim: Claim::new(budget),
-            head: None,
+            max_body,
+            reservation: Reservation::new(budget),
+            pending: None,
         }
     }
 
-    fn read_head(&self, src: &mut BytesMut) -> Result<Option<(Received, usize)>, HttpError> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-        let mut parsed = httparse::Request::new(&mut headers);
-        let end = match parsed.parse(src) {
-            Ok(httparse::Status::Complete(end)) => end,
-            Ok(httparse::Status::Partial) if src.len() > LARGEST_HEAD => {
-                return Err(HttpError::Malformed("head too large"))
-            }
-            Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(HttpError::Malformed("head")),
+    /// Removes one complete head from the buffer.
+    fn parse_head(&self, src: &mut BytesMut) -> Result<Option<PendingRequest>, HttpError> {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+        let mut parsed = httparse::Request::new(&mut fields);
+        let Some(length) = head_length(parsed.parse(src), src.len())? else {
+            return Ok(None);
         };
-        let word = |text: Option<&str>| text.unwrap_or_default().to_string();
-        let mut request = Received {
-            method: word(parsed.method),
-            target: word(parsed.path),
-            // HTTP/1.0 keeps no connection unasked.
-            last: parsed.version != Some(1),
-            ..Received::default()
+        let mut request = Request {
+            method: parsed.method.unwrap_or_default().to_string(),
+            target: parsed.path.unwrap_or_default().to_string(),
+            // HTTP/1.0 does not keep connections open by default.
+            closes_connection: parsed.version != Some(1),
+            ..Request::default()
         };
-        let mut length = None;
-        for header in parsed.headers.iter() {
-            let value = header.value.trim_ascii();
-            if header.name.eq_ignore_ascii_case("content-length") {
-                // Danger: of two lengths one is wrong, and the body would run into the next request.
-                if length.replace(self.length(value)?).is_some() {
+        let mut body_length = None;
+        for field in parsed.headers.iter() {
+            let value = field.value.trim_ascii();
+            if field.name.eq_ignore_ascii_case("content-length") {
+                let found = content_length(value, self.max_body)?;
+                // One of two lengths is wrong: the body would run into the next request.
+                if body_length.replace(found).is_some() {
                     return Err(HttpError::Malformed("two lengths"));
                 }
-            } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            } else if field.name.eq_ignore_ascii_case("transfer-encoding") {
                 return Err(HttpError::Malformed("transfer encoding"));
-            } else if header.name.eq_ignore_ascii_case("connection") {
-                request.last |= value.eq_ignore_ascii_case(b"close");
+            } else if field.name.eq_ignore_ascii_case("connection") {
+                request.closes_connection |= value.eq_ignore_ascii_case(b"close");
             }
-            request
-                .headers
-                .push((header.name.to_string(), Bytes::copy_from_slice(value)));
-        }
-        src.advance(end);
-        Ok(Some((request, length.unwrap_or(0))))
-    }
-
-    fn length(&self, text: &[u8]) -> Result<usize, HttpError> {
-        let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
-        let length = std::str::from_utf8(text)
-            .ok()
-            .filter(|_| digits)
-            .and_then(|t| t.parse::<usize>().ok());
-        match length {
-            Some(length) if length <= self.largest_body => Ok(length),
-            Some(_) => Err(HttpError::Malformed("body too large")),
-            None => Err(HttpError::Malformed("content length")),
+            let name = field.name.to_string();
+            request.headers.push((name, Bytes::copy_from_slice(value)));
         }
+        src.advance(length);
+        Ok(Some(PendingRequest {
+            request,
+            content_length: body_length.unwrap_or(0),
+        }))
     }
 }
 
 impl Decoder for HttpServerCodec {
-    type Item = Received;
+    type Item = Request;
     type Error = HttpError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Received>, HttpError> {
-        if self.head.is_none() && !src.is_empty() {
-            self.head = self.read_head(src)?;
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Request>, HttpError> {
+        if self.pending.is_none() && !src.is_empty() {
+            self.pending = self.parse_head(src)?;
         }
-        let Some((mut request, length)) = self.head.take() else {
+        let Some(pending) = self.pending.take() else {
             return Ok(None);
         };
-        if !self.claim.hold(length) {
+        let length = pending.content_length;
+        if !self.reservation.try_resize(length) {
             return Err(HttpError::Malformed("no memory for so large a body"));
         }
         if src.len() < length {
             src.reserve(length - src.len());
-            self.head = Some((request, length));
+            self.pending = Some(pending);
             return Ok(None);
         }
-        request.body = if length == 0 {
-            Bytes::new()
-        } else {
-            cut_frame(src, length)
-        };
-        let _ = self.claim.hold(0);
+        let mut request = pending.request;
+        if length > 0 {
+            request.body = cut_frame(src, length);
+        }
+        self.reservation.release();
         Ok(Some(request))
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Received>, HttpError> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Request>, HttpError> {
         match self.decode(src)? {
-            None if self.head.is_some() || !src.is_empty() => {
+            None if self.pending.is_some() || !src.is_empty() => {
                 Err(io::Error::from(io::ErrorKind::UnexpectedEof).into())
             }
             request => Ok(request),
@@ -150,20 +153,21 @@
     }
 }
 
-impl Encoder<Reply> for HttpServerCodec {
+impl Encoder<Response> for HttpServerCodec {
     type Error = HttpError;
 
-    fn encode(&mut self, reply: Reply, dst: &mut BytesMut) -> Result<(), HttpError> {
-        dst.reserve(128 + reply.body.len());
-        dst.put_slice(format!("HTTP/1.1 {} {}\r\n", reply.status, reply.reason).as_bytes());
-        for (name, value) in &reply.headers {
-            if value.bytes().any(|b| matches!(b, b'\r' | b'\n' | 0)) {
+    fn encode(&mut self, response: Response, dst: &mut BytesMut) -> Result<(), HttpError> {
+        let Response { status, reason, .. } = response;
+        dst.reserve(128 + response.body.len());
+        dst.put_slice(format!("HTTP/1.1 {status} {reason}\r\n").as_bytes());
+        for (name, value) in &response.headers {
+            if has_line_break(value.as_bytes()) {
                 return Err(HttpError::Malformed("line break in a header"));
             }
             dst.put_slice(format!("{name}: {value}\r\n").as_bytes());
         }
-        dst.put_slice(format!("Content-Length: {}\r\n\r\n", reply.body.len()).as_bytes());
-        dst.put_slice(&reply.body);
+        dst.put_slice(format!("Content-Length: {}\r\n\r\n", response.body.len()).as_bytes());
+        dst.put_slice(&response.body);
         Ok(())
     }
 }
--- a/crates/stairfront-lab/src/load.rs
+++ b/crates/stairfront-lab/src/load.rs
@@ -14,7 +14,7 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use serde::{Deserialize, Serialize};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::resp::{put_bulk, put_number, ReplyReader, Value};
+use stairfront_codec::resp::{put_bulk, put_number, ReplyDecoder, Value};
 use stairfront_emulator::arrivals::{Arrivals, Popularity, Traffic};
 use stairfront_emulator::cache_host::is_made_for;
 use stairfront_emulator::client::{Ask, ClassSettings, Clients, End, Repeats, RetrySettings};
@@ -518,7 +518,7 @@
     }
 
     async fn exchange(&self, mut socket: TcpStream, line: &Line) -> Ended {
-        let mut codec = ReplyReader::new(LARGEST_VALUE, &Budget::new(usize::MAX / 2));
+        let mut codec = ReplyDecoder::new(LARGEST_VALUE, &Budget::new(usize::MAX / 2));
         let mut input = BytesMut::with_capacity(READ_BUFFER);
         loop {
             if line.left.get() {
--- a/crates/stairfront-lab/src/services.rs
+++ b/crates/stairfront-lab/src/services.rs
@@ -6,8 +6,8 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use rustc_hash::FxHashMap;
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http_server::{HttpServerCodec, Received, Reply as HttpReply};
-use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandReader};
+use stairfront_codec::http_server::{HttpServerCodec, Request as Received, Response as HttpReply};
+use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandDecoder};
 use stairfront_emulator::agent::{self, Agent, Status};
 use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnId, Reply, Ticket};
 use stairfront_emulator::origin::{self, Origin};
@@ -227,10 +227,10 @@
 }
 
 impl Service for CacheService {
-    type Codec = CommandReader;
+    type Codec = CommandDecoder;
 
-    fn codec(&self) -> CommandReader {
-        CommandReader::new(&Budget::new(PLENTY), &Budget::new(PLENTY))
+    fn codec(&self) -> CommandDecoder {
+        CommandDecoder::new(&Budget::new(PLENTY), &Budget::new(PLENTY))
     }
 
     fn opened(&mut self, now: Micros, connection: ConnId) -> bool {
--- a/crates/stairfront/src/door.rs
+++ b/crates/stairfront/src/door.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, Request};
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -25,9 +25,9 @@
 ) -> io::Result<(u16, Bytes)> {
     let whole = async {
         let socket = TcpStream::connect(ops).await?;
-        let mut wire = Framed::new(socket, HttpCodec::new(LARGEST, &Budget::new(LARGEST)));
+        let mut wire = Framed::new(socket, HttpClientCodec::new(LARGEST, &Budget::new(LARGEST)));
         let headers = vec![("Host", Bytes::from(ops.to_string()))];
-        let body = body.map_or(Body::None, |body| Body::Here(body.into()));
+        let body = body.map_or(RequestBody::Empty, |body| RequestBody::Inline(body.into()));
         let request = Request {
             method,
             target: target.to_string(),
