--- a/crates/stairfront-balancer/tests/operators.rs
+++ b/crates/stairfront-balancer/tests/admin_server.rs
@@ -1,9 +1,12 @@
-//! The operators' door under load, and cordons that neither discovery nor a new process lifts.
+//! The admin API under load, and cordons that neither discovery nor a new process lifts.
 mod common;
 
 use std::time::Instant;
 
-use common::*;
+use common::{
+    bulk, cache, commands, config, dead_address, hit, http, line, ms, origin, quiet_agent, run,
+    say, Balancer, Client, Log, Step,
+};
 use serde_json::json;
 use stairfront_balancer::configuration::config::Config;
 use tokio::io::AsyncWriteExt;
@@ -11,7 +14,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn calls_are_answered_with_yes_or_a_no_that_says_why() {
+fn calls_are_answered_with_a_status_that_says_why() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
@@ -46,13 +49,13 @@
             "rubbish\r\n\r\n",
             &format!("GET /{} HTTP/1.1\r\n", "x".repeat(40_000)),
         ] {
-            assert_eq!(say(balancer.operators, broken).await.0, 400, "{broken:.20}");
+            assert_eq!(say(balancer.admin, broken).await.0, 400, "{broken:.20}");
         }
     });
 }
 
 #[test]
-fn a_process_without_servers_is_not_healthy() {
+fn health_fails_without_an_endpoint_list() {
     run(async {
         let dead = dead_address().await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -64,14 +67,14 @@
 }
 
 #[test]
-fn callers_that_say_nothing_keep_nobody_out() {
+fn silent_callers_do_not_keep_others_out() {
     run(async {
         let log = Log::default();
         let host = cache("c", &log, |_, _| hit("v")).await;
         let balancer = Balancer::start(quiet_agent(&log).await, &[line("s-1", host, "box")]).await;
         let mut mute = Vec::new();
         for i in 0..60 {
-            let mut caller = TcpStream::connect(balancer.operators).await.unwrap();
+            let mut caller = TcpStream::connect(balancer.admin).await.unwrap();
             if i % 2 == 0 {
                 caller
                     .write_all(b"POST /admin/cordon/s-1 HT")
@@ -110,7 +113,7 @@
             [line("s-1", one, "box"), line("s-2", two, "box")],
         );
         again["since_ms"] = 5_000.0.into();
-        // It is listed as gone, and then again as just started, while it is cordoned.
+        // While it is cordoned it is listed as removed, and then as just started.
         let news = [
             json!({"name": "s-1", "address": one.to_string(), "status": "DELETED"}),
             again,
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn a_cordon_outlives_its_process_and_a_torn_record_costs_no_start() {
+fn a_cordon_outlives_its_process_and_a_torn_record_does_not_prevent_a_start() {
     run(async {
         let log = Log::default();
         let one = cache("one", &log, |_, _| hit("v")).await;
--- a/crates/stairfront-balancer/tests/config.rs
+++ b/crates/stairfront-balancer/tests/config.rs
@@ -1,10 +1,10 @@
-//! The configuration: what a good one gives, and errors that name the key at fault.
+//! The configuration: the values that a valid one gives, and errors that name the key.
 mod common;
 
 use common::{config, line};
 use serde_json::{json, Value};
-use stairfront_balancer::configuration::config::{Config, ConfigError};
 use stairfront_balancer::configuration::limits::Memory;
+use stairfront_balancer::configuration::{config::Config, error::ConfigError};
 
 fn good() -> Value {
     let address = "127.0.0.1:6379".parse().unwrap();
@@ -20,7 +20,7 @@
     let config = read(&good()).unwrap();
     assert_eq!((config.sockets.clients, config.sockets.servers), (31, 35));
     assert_eq!(config.seed, 0x2a);
-    assert_eq!(config.known.lines.len(), 1);
+    assert_eq!(config.known.entries.len(), 1);
     let mut text = good();
     text["limits"]["sockets"] = 100_000.into();
     let config = read(&text).unwrap();
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn what_is_optional_may_be_missing_and_what_is_unknown_is_ignored() {
+fn optional_keys_may_be_missing_and_unknown_keys_are_ignored() {
     let mut text = good();
     for key in ["name", "seed", "limits", "known"] {
         text.as_object_mut().unwrap().remove(key);
     }
     text["more"] = json!({"x": 1});
     let config = read(&text).unwrap();
-    assert!(config.known.lines.is_empty());
+    assert!(config.known.entries.is_empty());
 }
 
-#[test]
-fn an_error_names_the_file_and_the_key() {
-    let cases: [(&[&str], Value, &str); 10] = [
+/// Paths of keys, values that are errors there, and the beginning or a part of the message.
+fn invalid_keys() -> [(&'static [&'static str], Value, &'static str); 10] {
+    [
         (&["listen"], "nowhere".into(), "config.json: listen: "),
         (
             &["limits", "sockets"],
@@ -87,8 +87,12 @@
             json!([]),
             "settings.profiles: at least one class is needed",
         ),
-    ];
-    for (path, value, wanted) in cases {
+    ]
+}
+
+#[test]
+fn an_error_names_the_file_and_the_key() {
+    for (path, value, wanted) in invalid_keys() {
         let mut text = good();
         let place = path.iter().fold(&mut text, |at, key| &mut at[*key]);
         *place = value;
@@ -105,7 +109,7 @@
 }
 
 #[test]
-fn what_is_held_follows_the_memory_limit() {
+fn reserved_memory_follows_the_memory_limit() {
     let memory = |mb: usize| {
         let mut text = good();
         text["limits"]["memory_mb"] = mb.into();
@@ -118,7 +122,7 @@
             commands,
             large_commands,
             replies,
-            largest_value,
+            max_value_bytes,
         } = memory(mb);
         let held = requests + answers + commands + large_commands + replies;
         assert!(held <= mb * 1024 * 1024 * 6 / 10, "{mb} MB: {held}");
@@ -126,9 +130,9 @@
             mb < 32 || large_commands > 4 << 20,
             "one large write at the least: {mb} MB"
         );
-        // Those above 64 KiB are passed on and not held.
+        // Larger values than 64 KiB are forwarded without being held.
         assert!(
-            largest_value == 4 << 20 && replies >= 16 * 64 * 1024,
+            max_value_bytes == 4 << 20 && replies >= 16 * 64 * 1024,
             "{mb} MB"
         );
     }
--- a/crates/stairfront-balancer/tests/stages.rs
+++ b/crates/stairfront-balancer/tests/stages.rs
@@ -1,4 +1,4 @@
-//! The stages on the table of open requests, without sockets.
+//! The stages of a request on the table of open requests, without sockets.
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -8,17 +8,17 @@
 use stairfront_balancer::configuration::request_catalog::RequestCatalog;
 use stairfront_balancer::lifecycle::loop_monitor;
 use stairfront_balancer::messages::{
-    Answer, Arrival, AttemptEnd, AttemptId, Command, FinalAnswer, Verb, Verdict,
+    Answer, Arrival, AttemptEnd, AttemptId, AttemptOutcome, Command, FinalAnswer, Verb,
 };
 use stairfront_balancer::stages::admit::{AdmissionError, RequestTable};
-use stairfront_balancer::stages::parse::{parse, Accepted, RequestParser};
+use stairfront_balancer::stages::parse::{Accepted, RequestParser};
 use stairfront_balancer::stages::send::SendDecision;
 use stairfront_balancer::upstream::load_report::load_report;
 use stairfront_policy::interface::{
     CacheId, Class, ClassId, Idempotency, Limits, Outcome, Request, RequestId, Settings, TenantId,
     MS,
 };
-use stairfront_settings::{HostLimits, Names, Start};
+use stairfront_settings::{HostLimits, LoadedSettings, Names};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -48,11 +48,11 @@
     (
         Arrival {
             request,
-            came: 0,
+            arrived_at: 0,
             command,
-            room: None,
+            memory: None,
             answer,
-            over: Rc::default(),
+            finished: Rc::default(),
         },
         receiver,
     )
@@ -64,16 +64,16 @@
         request: RequestId(request),
         number,
     };
-    let verdict = Verdict {
+    let result = AttemptOutcome {
         value,
-        ..Verdict::bare(outcome)
+        ..AttemptOutcome::without_report(outcome)
     };
     AttemptEnd {
         attempt,
         cache: CACHE,
-        begun: Instant::now(),
-        verdict,
-        rest: None,
+        started_at: Instant::now(),
+        result,
+        body: None,
     }
 }
 
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_request_too_many_is_answered_at_once() {
+fn a_request_beyond_the_capacity_is_refused_at_once() {
     let mut table = RequestTable::new(1, Memory::of(64));
     let _first = admitted(&mut table, 1);
     let (arrival, mut receiver) = arrive(2, 1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn open_requests_hold_no_more_bytes_than_memory_allows_and_give_them_back() {
+fn open_requests_are_bounded_by_memory_and_return_it() {
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let mut admitted = 0;
     while table.admit(arrive(admitted, 64 * 1024).0, MOST).is_ok() {
@@ -121,11 +121,11 @@
 }
 
 #[test]
-fn values_on_their_way_to_clients_are_bounded_and_their_room_comes_back() {
+fn values_on_their_way_to_clients_are_bounded_by_memory_and_return_it() {
     let mut table = RequestTable::new(usize::MAX, Memory::of(64));
     let large = |id| {
         let mut end = end(id, 0, Outcome::Served);
-        end.verdict.value = Some(Bytes::from(vec![0; 64 * 1024]));
+        end.result.value = Some(Bytes::from(vec![0; 64 * 1024]));
         end
     };
     let (mut unread, mut id) = (Vec::new(), 0);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn the_first_value_is_the_final_answer_and_later_ends_are_closed() {
+fn the_first_value_is_the_final_answer() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let mut receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
@@ -189,7 +189,7 @@
     table.complete(RequestId(1));
     assert_eq!(table.open.len(), 1);
     match table.send(RequestId(1), CACHE, 500 * MS, None) {
-        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
+        SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
         _ => panic!("sent after the answer"),
     }
     assert!(
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn attempts_beyond_the_most_allowed_and_for_unknown_requests_are_moot() {
+fn attempts_beyond_the_maximum_and_for_unknown_requests_are_never_sent() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     for number in 0..MOST {
@@ -212,7 +212,7 @@
     for id in [1, 7] {
         let sending = table.send(RequestId(id), CACHE, 500 * MS, None);
         assert!(
-            matches!(sending, SendDecision::Ended(end) if end.verdict.outcome == Outcome::NeverSent)
+            matches!(sending, SendDecision::Ended(end) if end.result.outcome == Outcome::NeverSent)
         );
     }
 }
@@ -234,7 +234,7 @@
     ));
     assert!(
         table.send_deferred(RequestId(1)).is_none(),
-        "it is still out"
+        "it is still in flight"
     );
     assert!(
         !table
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_send_that_waited_does_not_go_out_after_the_answer() {
+fn a_deferred_send_is_not_sent_after_the_answer() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
@@ -262,7 +262,7 @@
     match table.send_deferred(RequestId(1)) {
         Some(SendDecision::Ended(end)) => {
             assert_eq!(
-                (end.attempt.number, end.verdict.outcome),
+                (end.attempt.number, end.result.outcome),
                 (1, Outcome::NeverSent)
             )
         }
@@ -286,7 +286,7 @@
         b"throughput=high",
         b"failed",
         b"\xff=1",
-        // A part of one, figures that cannot be, and two words for one.
+        // A missing field, impossible values, and a field named twice.
         b"throughput=40,utilization=0.5",
         b"throughput=40,utilization=NaN,x1=3",
         b"throughput=40,utilization=0.5,x1=inf",
@@ -298,31 +298,31 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_turned_away_until_its_request_is_booked() {
+fn a_duplicate_id_is_rejected_until_its_request_is_completed() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let _receiver = admitted(&mut table, 1);
     let _job = sent(&mut table, 1);
     let (mut again, mut receiver) = arrive(1, 1);
     again.request.id = RequestId(2);
-    assert_eq!(table.admit(again, MOST), Err(AdmissionError::IdOpen));
+    assert_eq!(table.admit(again, MOST), Err(AdmissionError::DuplicateId));
     assert!(matches!(
         receiver.try_recv().unwrap().answer,
         Answer::Error(_)
     ));
-    // Answered, it is still out at a server.
+    // Answered, it is still in flight at a server.
     assert!(table.answer(RequestId(1), Answer::Failed));
     table.complete(RequestId(1));
     assert_eq!(
         table.admit(arrive(1, 1).0, MOST),
-        Err(AdmissionError::IdOpen)
+        Err(AdmissionError::DuplicateId)
     );
     table.relay(&mut end(1, 0, Outcome::TimedOut));
     table.complete(RequestId(1));
     assert!(table.admit(arrive(1, 1).0, MOST).is_ok());
 }
 
-#[test]
-fn a_balancer_that_is_behind_turns_requests_away_before_they_are_entered_and_nothing_else() {
+/// A parser with one class, `read`, whose clock does not matter.
+fn parser() -> RequestParser {
     let clock = Clock::starting_at(0);
     let settings = Settings {
         classes: vec![Class {
@@ -344,70 +344,76 @@
         ..Names::default()
     };
     let host = HostLimits {
-        open_requests: 10,
-        idle: MS,
+        max_open_requests: 10,
+        idle_timeout: MS,
     };
-    let start = Start {
+    let start = LoadedSettings {
         settings: settings.clone(),
         names,
         host,
     };
-    let (_ready, is_ready) = watch::channel(true);
-    let door = loop_monitor::door(&settings, clock, 1);
-    let intake = RequestParser {
-        keeper: Default::default(),
-        terms: Rc::new(RefCell::new(RequestCatalog::of(&start))),
+    let admission = loop_monitor::admission_controller(&settings, clock, 1);
+    RequestParser {
+        maintenance: Default::default(),
+        catalog: Rc::new(RefCell::new(RequestCatalog::of(&start))),
         clock,
         counters: Rc::default(),
-        door: Rc::clone(&door),
-        ready: is_ready,
-        members: None,
-    };
+        admission,
+        ready: watch::channel(true).1,
+        membership: None,
+    }
+}
+
+#[test]
+fn a_balancer_that_is_behind_sheds_requests_before_admission_and_nothing_else() {
+    let parser = parser();
+    let admission = Rc::clone(&parser.admission);
     let words = |text: &str| {
         text.split(' ')
             .map(|word| Bytes::copy_from_slice(word.as_bytes()))
             .collect()
     };
-    let get = || parse(words("C.GET k 1 c=read,d=900"), &intake);
+    let get = || parser.parse(words("C.GET k 1 c=read,d=900"));
     assert!(matches!(get(), Accepted::Request { .. }));
-    // A second in which every beat is later than the one before: it gets behind by half as fast as time passes.
-    for beat in 1..100 {
-        door.borrow_mut()
-            .record_timer_delay(beat * 10 * MS, beat * 5 * MS);
+    // For a second every measurement is later than the one before: the delay grows by half of the time that passes.
+    for tick in 1..100 {
+        admission
+            .borrow_mut()
+            .record_timer_delay(tick * 10 * MS, tick * 5 * MS);
     }
-    let turned_away = |taken: &Accepted| {
+    let is_shed = |accepted: &Accepted| {
         matches!(
-            taken,
+            accepted,
             Accepted::Answered(Answer::Busy {
                 after_ms: Some(50..=1500)
             })
         )
     };
-    let refused = (0..1000).filter(|_| turned_away(&get())).count() as u64;
+    let refused = (0..1000).filter(|_| is_shed(&get())).count() as u64;
     assert!(refused > 800, "{refused}");
-    assert_eq!(intake.counters.shed.get(), refused);
+    assert_eq!(parser.counters.shed.get(), refused);
     for (command, answer) in [
         ("PING", Answer::Pong),
         ("C.GET k 1 c=other", Answer::Error("ERR unknown class")),
     ] {
         assert!(
-            matches!(parse(words(command), &intake), Accepted::Answered(told) if told == answer),
+            matches!(parser.parse(words(command)), Accepted::Answered(given) if given == answer),
             "{command}"
         );
     }
-    // In time again for a second: all are taken.
-    for beat in 100..200 {
-        door.borrow_mut().record_timer_delay(beat * 10 * MS, 0);
+    // In time again for a second: all are admitted.
+    for tick in 100..200 {
+        admission.borrow_mut().record_timer_delay(tick * 10 * MS, 0);
     }
-    assert_eq!((0..1000).filter(|_| turned_away(&get())).count(), 0);
+    assert_eq!((0..1000).filter(|_| is_shed(&get())).count(), 0);
 }
 
-/// Danger: a client leaves, and the engine has not heard of it yet.
+/// The client has disconnected, and the engine has not handled the event yet.
 #[test]
-fn nothing_is_sent_for_a_client_that_has_left_whoever_knows_of_it() {
+fn nothing_is_sent_for_a_client_that_has_disconnected_before_the_engine_knows() {
     let mut table = RequestTable::new(10, Memory::of(64));
     let (arrival, _receiver) = arrive(1, 1);
-    let over = Rc::clone(&arrival.over);
+    let over = Rc::clone(&arrival.finished);
     assert!(table.admit(arrival, MOST).is_ok());
     let _first = sent(&mut table, 1);
     table.cancel(RequestId(1), 0);
@@ -418,13 +424,13 @@
     over.set(true);
     table.relay(&mut end(1, 0, Outcome::Cancelled));
     let moot = |sending: SendDecision| match sending {
-        SendDecision::Ended(end) => assert_eq!(end.verdict.outcome, Outcome::NeverSent),
-        _ => panic!("sent on"),
+        SendDecision::Ended(end) => assert_eq!(end.result.outcome, Outcome::NeverSent),
+        _ => panic!("sent"),
     };
     moot(
         table
             .send_deferred(RequestId(1))
-            .expect("its turn has come"),
+            .expect("the cancelled attempt has ended"),
     );
     moot(table.send(RequestId(1), CACHE, 500 * MS, None));
 }
