--- a/crates/stairfront-balancer/src/client/connection.rs
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{FutureExt, StreamExt};
-use stairfront_codec::budget::Claim;
+use stairfront_codec::budget::Reservation;
 use stairfront_codec::resp::RespError;
 use stairfront_policy::interface::RequestId;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -309,7 +309,7 @@
     /// Whether a large command at the front waits for memory.
     fn waits_for_memory(&self) -> bool {
         self.missing_memory
-            .is_some_and(|bytes| self.context.large_budget.left() < bytes)
+            .is_some_and(|bytes| self.context.large_budget.available() < bytes)
     }
 
     /// Handles what was read: a command, an error or the end of the connection.
@@ -332,7 +332,7 @@
                 self.final_end = Some(ConnectionEnd::AfterAnswer);
                 Ok(())
             }
-            Some(Err(RespError::NoRoom(bytes))) => {
+            Some(Err(RespError::AwaitingMemory(bytes))) => {
                 self.missing_memory = Some(bytes);
                 // After an error the framed reader reports its end once before it goes on.
                 let _ = self.framed.next().now_or_never();
@@ -365,7 +365,7 @@
     async fn handle_command(
         &mut self,
         words: Vec<Bytes>,
-        memory: Option<Claim>,
+        memory: Option<Reservation>,
     ) -> Result<(), mpsc::error::SendError<EngineEvent>> {
         let spare = self.is_spare();
         self.state = ConnectionState::Used;
--- a/crates/stairfront-balancer/src/control/discovery.rs
+++ b/crates/stairfront-balancer/src/control/discovery.rs
@@ -8,7 +8,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, HttpError, Request, Response};
+use stairfront_codec::http::HttpError;
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody, Response};
 use stairfront_settings::Names;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio_util::codec::Framed;
@@ -95,7 +96,7 @@
     agent: watch::Receiver<Option<SocketAddr>>,
     names: Names,
     events: mpsc::Sender<EngineEvent>,
-    connection: Option<Framed<N::Stream, HttpCodec>>,
+    connection: Option<Framed<N::Stream, HttpClientCodec>>,
     /// The version in hand; `None` asks for the whole list.
     index: Option<u64>,
     /// How long the next poll may be held: not at all until one was answered, so that a start or a return of the agent
@@ -223,7 +224,7 @@
 
     async fn poll(&mut self, address: SocketAddr) -> Result<ServerList, PollError> {
         let response = self.exchange(address).await?;
-        if response.last {
+        if response.closes_connection {
             self.connection = None;
         }
         if response.status != 200 {
@@ -255,14 +256,14 @@
             method: "GET",
             target,
             headers: vec![("Host", Bytes::from(address.to_string()))],
-            body: Body::None,
+            body: RequestBody::Empty,
         };
         let connection = match &mut self.connection {
             Some(connection) => connection,
             none => {
                 let connected = timeout(ANSWER_TIMEOUT, self.network.connect(address));
                 let socket = connected.await.map_err(|_| PollError::Late)??;
-                let codec = HttpCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES));
+                let codec = HttpClientCodec::new(MAX_LIST_BYTES, &Budget::new(MAX_LIST_BYTES));
                 none.insert(Framed::new(socket, codec))
             }
         };
--- a/crates/stairfront-balancer/src/stages/admit.rs
+++ b/crates/stairfront-balancer/src/stages/admit.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
-use stairfront_codec::budget::Claim;
+use stairfront_codec::budget::Reservation;
 use stairfront_common::time::Micros;
 use stairfront_policy::interface::{CacheId, Request, RequestId};
 use tokio::sync::{oneshot, Semaphore};
@@ -42,7 +42,7 @@
     /// Its part of the memory for requests, in bytes; a large value has memory of its own.
     pub bytes: usize,
     /// Memory of a large value.
-    pub memory: Option<Claim>,
+    pub memory: Option<Reservation>,
     /// Gets the final answer; `None` once it is answered, or once the engine knows that the client has left.
     pub answer: Option<oneshot::Sender<FinalAnswer>>,
     /// Attempts sent so far.
--- a/crates/stairfront-balancer/src/upstream/connection.rs
+++ b/crates/stairfront-balancer/src/upstream/connection.rs
@@ -7,7 +7,7 @@
 
 use futures_util::StreamExt;
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
+use stairfront_codec::message_part::MessagePart;
 use stairfront_policy::interface::Outcome;
 use tokio::sync::mpsc;
 use tokio_util::codec::{Decoder, Encoder, Framed};
@@ -32,7 +32,7 @@
 
 /// The protocol of one kind of server.
 pub trait UpstreamProtocol:
-    Decoder<Item = Part<Self::Reply>, Error: Display + 'static>
+    Decoder<Item = MessagePart<Self::Reply>, Error: Display + 'static>
     + Encoder<Outgoing, Error = <Self as Decoder>::Error>
     + Sized
 {
@@ -305,8 +305,8 @@
             break;
         };
         let (chunk, reusable) = match part {
-            Part::Piece(bytes) => (BodyChunk::Bytes(bytes), None),
-            Part::Done(reply) => {
+            MessagePart::Chunk(bytes) => (BodyChunk::Bytes(bytes), None),
+            MessagePart::End(reply) => {
                 let reply = P::interpret(reply, &context.report_fields);
                 // Bytes behind the value belong to no answer, so the value may be wrong as well.
                 if reply.result.outcome != Outcome::Served {
@@ -314,7 +314,7 @@
                 }
                 (BodyChunk::End, Some(reply.reusable))
             }
-            Part::Whole(_) | Part::Begun(..) => break,
+            MessagePart::Complete(_) | MessagePart::Head { .. } => break,
         };
         // The client has left, or reads nothing.
         if chunks.send(chunk).await.is_err() {
@@ -332,7 +332,7 @@
 async fn read_body_part<T: Stream, P: UpstreamProtocol>(
     framed: &mut Framed<T, P>,
     limit: Duration,
-) -> Option<Part<P::Reply>> {
+) -> Option<MessagePart<P::Reply>> {
     // The rest of the last buffer is filled first, so that many small chunks share one.
     let buffer = framed.read_buffer_mut();
     if buffer.capacity() - buffer.len() < MIN_BUFFER_SPACE {
