--- a/crates/stairfront-balancer/src/client/connection.rs
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -112,6 +112,8 @@
     /// No request is open.
     idle: bool,
     used: bool,
+    /// It has sent no command for a while.
+    silent: bool,
     spare: bool,
     /// The process that takes over gets this connection between two requests.
     handing_over: bool,
@@ -121,6 +123,8 @@
     no_partial_command: bool,
     /// It ends unless a command has come.
     closing: bool,
+    /// It stays open only until a command that has begun to come is complete.
+    finishing_command: bool,
     /// It is idle and is not to close.
     staying: bool,
 }
@@ -232,12 +236,14 @@
         Ok(WaitConditions {
             idle,
             used: matches!(self.state, ConnectionState::Used),
+            silent: matches!(self.state, ConnectionState::Silent { .. }),
             spare: self.spare_until.is_some(),
             handing_over,
             reading,
             waiting_for_memory,
             no_partial_command,
             closing,
+            finishing_command: idle && self.must_stay && !no_partial_command && !closing,
             staying: idle && self.closing.is_none(),
         })
     }
@@ -250,11 +256,6 @@
         phases: &mut PhaseReceivers,
     ) -> Result<(), ConnectionEnd> {
         let idle_deadline = self.idle_deadline();
-        let is_silent = matches!(self.state, ConnectionState::Silent { .. });
-        let finishing_command = conditions.idle
-            && self.must_stay
-            && !conditions.no_partial_command
-            && !conditions.closing;
         tokio::select! {
             biased;
             command = self.framed.next(), if conditions.reading => self.handle_input(command).await?,
@@ -284,11 +285,11 @@
             }
             // A connection that has begun a command is about to be used.
             () = context.pressure.silent.notified(),
-                if conditions.staying && !conditions.spare && conditions.no_partial_command && is_silent =>
+                if conditions.staying && !conditions.spare && conditions.no_partial_command && conditions.silent =>
             {
                 self.closing = Some(CloseReason::Immediately);
             }
-            () = sleep_until(idle_deadline), if conditions.staying || finishing_command => {
+            () = sleep_until(idle_deadline), if conditions.staying || conditions.finishing_command => {
                 self.handle_idle_timeout();
             }
             _ = phases.handing_over.wait_for(|phase| phase.hands_over()),
