--- a/crates/stairfront-emulator/src/arrivals.rs
+++ b/crates/stairfront-emulator/src/arrivals.rs
@@ -3,27 +3,35 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dice::Dice;
-use crate::time::{Micros, SECOND};
+use crate::distributions::exponential;
+use crate::settings_error::SettingsError;
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{Micros, SECOND};
 
 /// A stretch of time with other traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
     pub at_s: f64,
-    pub lasts_s: f64,
-    pub times: f64,
+    #[serde(rename = "lasts_s")]
+    pub duration_s: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
     /// Rises evenly to `times` over the whole stretch, where a burst is there at once.
     #[serde(default)]
     pub ramp: bool,
 }
 
 impl Burst {
+    fn is_valid(&self) -> bool {
+        self.at_s >= 0.0 && self.duration_s > 0.0 && (0.0..=1000.0).contains(&self.factor)
+    }
+
     fn factor(&self, at_s: f64) -> f64 {
-        let part = (at_s - self.at_s) / self.lasts_s.max(1e-9);
+        let part = (at_s - self.at_s) / self.duration_s.max(1e-9);
         match (0.0..1.0).contains(&part) {
-            true if self.ramp => 1.0 + (self.times - 1.0) * part,
-            true => self.times,
+            true if self.ramp => 1.0 + (self.factor - 1.0) * part,
+            true => self.factor,
             false => 1.0,
         }
     }
@@ -34,8 +42,10 @@
 #[serde(deny_unknown_fields)]
 pub struct HotKey {
     pub at_s: f64,
-    pub lasts_s: f64,
-    pub part: f64,
+    #[serde(rename = "lasts_s")]
+    pub duration_s: f64,
+    #[serde(rename = "part")]
+    pub fraction: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -46,11 +56,14 @@
     pub share: f64,
     /// Times its part that it asks for, from `over_at_s` on for `over_s`.
     #[serde(default = "one")]
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
     #[serde(default)]
-    pub over_at_s: f64,
+    #[serde(rename = "over_at_s")]
+    pub overload_at_s: f64,
     #[serde(default = "for_ever")]
-    pub over_s: f64,
+    #[serde(rename = "over_s")]
+    pub overload_duration_s: f64,
 }
 
 fn one() -> f64 {
@@ -63,8 +76,9 @@
 
 impl TenantTraffic {
     fn weight(&self, at_s: f64) -> f64 {
-        let over = (self.over_at_s..self.over_at_s + self.over_s).contains(&at_s);
-        self.share * if over { self.times } else { 1.0 }
+        let over =
+            (self.overload_at_s..self.overload_at_s + self.overload_duration_s).contains(&at_s);
+        self.share * if over { self.factor } else { 1.0 }
     }
 }
 
@@ -97,9 +111,9 @@
             tenants: vec![TenantTraffic {
                 name: "all".into(),
                 share: 1.0,
-                times: 1.0,
-                over_at_s: 0.0,
-                over_s: for_ever(),
+                factor: 1.0,
+                overload_at_s: 0.0,
+                overload_duration_s: for_ever(),
             }],
             classes: vec![1.0],
         }
@@ -107,46 +121,44 @@
 }
 
 impl Traffic {
-    /// The first key with a fault, and what is wrong.
-    pub fn fault(&self) -> Option<(String, String)> {
-        let fault = |key: &str, problem: &str| Some((key.to_string(), problem.to_string()));
+    /// Checks that each value is in its range.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is out of its range.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        let error = |key: &str, reason: &str| Err(SettingsError::new(key, reason));
         if !(0.0..=10_000_000.0).contains(&self.rate) {
-            return fault("rate", "must be between 0 and 10,000,000 a second");
+            return error("rate", "must be between 0 and 10,000,000 a second");
         }
         if !(1..=100_000_000).contains(&self.keys) {
-            return fault("keys", "must be between 1 and 100,000,000");
+            return error("keys", "must be between 1 and 100,000,000");
         }
         if !(0.0..=5.0).contains(&self.zipf) || !(0.0..=1e9).contains(&self.drift) {
-            return fault("zipf", "must be between 0 and 5, and drift 0 or more");
+            return error("zipf", "must be between 0 and 5, and drift 0 or more");
         }
-        for (i, burst) in self.bursts.iter().enumerate() {
-            if !(burst.at_s >= 0.0 && burst.lasts_s > 0.0 && (0.0..=1000.0).contains(&burst.times))
-            {
-                return Some((
-                    format!("bursts[{i}]"),
-                    "needs at_s of 0 or more, lasts_s above 0 and times of 1000 at most"
-                        .to_string(),
-                ));
-            }
+        if let Some(position) = self.bursts.iter().position(|burst| !burst.is_valid()) {
+            return error(
+                &format!("bursts[{position}]"),
+                "needs at_s of 0 or more, lasts_s above 0 and times of 1000 at most",
+            );
         }
-        if self.tenants.is_empty()
-            || self
-                .tenants
-                .iter()
-                .any(|t| !(0.0..=1000.0).contains(&(t.share * t.times)))
-        {
-            return fault(
+        let in_range =
+            |tenant: &TenantTraffic| (0.0..=1000.0).contains(&(tenant.share * tenant.factor));
+        if self.tenants.is_empty() || !self.tenants.iter().all(in_range) {
+            return error(
                 "tenants",
                 "at least one is needed, with share and times of 0 or more",
             );
         }
-        if self.classes.is_empty() || self.classes.iter().any(|part| !(0.0..=1.0).contains(part)) {
-            return fault(
+        let is_fraction = |fraction: &f64| (0.0..=1.0).contains(fraction);
+        if self.classes.is_empty() || !self.classes.iter().all(is_fraction) {
+            return error(
                 "classes",
                 "at least one part is needed, each between 0 and 1",
             );
         }
-        None
+        Ok(())
     }
 
     fn factor(&self, at_s: f64) -> f64 {
@@ -166,13 +178,13 @@
         let tenants: f64 = self
             .tenants
             .iter()
-            .map(|t| t.share * t.times.max(1.0))
+            .map(|t| t.share * t.factor.max(1.0))
             .sum();
         self.rate
             * self
                 .bursts
                 .iter()
-                .fold(tenants, |factor, burst| factor * burst.times.max(1.0))
+                .fold(tenants, |factor, burst| factor * burst.factor.max(1.0))
     }
 }
 
@@ -195,7 +207,7 @@
     }
 
     /// 0 for the most popular.
-    pub fn draw(&self, dice: &mut Dice) -> u64 {
+    pub fn draw(&self, dice: &mut SeededRng) -> u64 {
         let whole = self.sums.last().copied().unwrap_or(1.0);
         let at = dice.unit() * whole;
         self.sums
@@ -217,7 +229,7 @@
 pub struct Arrivals {
     traffic: Traffic,
     popularity: Arc<Popularity>,
-    dice: Dice,
+    dice: SeededRng,
     at: f64,
     /// Part of the whole traffic that this source has.
     part: f64,
@@ -234,7 +246,7 @@
         sources: usize,
     ) -> Self {
         let (part, bound) = (1.0 / sources.max(1) as f64, traffic.bound());
-        let dice = Dice::new(seed, &format!("arrivals-{source}"));
+        let dice = SeededRng::for_part(seed, &format!("arrivals-{source}"));
         Arrivals {
             traffic,
             popularity,
@@ -252,7 +264,7 @@
             return None;
         }
         loop {
-            self.at += self.dice.gap() / (self.bound * self.part);
+            self.at += exponential(&mut self.dice) / (self.bound * self.part);
             if self.at >= end_s {
                 return None;
             }
@@ -275,7 +287,7 @@
             % self.traffic.keys;
         for (i, hot) in self.traffic.hot_keys.iter().enumerate() {
             let draw = self.dice.unit();
-            if (hot.at_s..hot.at_s + hot.lasts_s).contains(&at_s) && draw < hot.part {
+            if (hot.at_s..hot.at_s + hot.duration_s).contains(&at_s) && draw < hot.fraction {
                 // Beyond the usual keys, so that it is hot and nothing else.
                 key = self.traffic.keys + i as u64;
             }
--- a/crates/stairfront-emulator/src/cache_host.rs
+++ b/crates/stairfront-emulator/src/cache_host.rs
@@ -9,9 +9,11 @@
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use serde::{Deserialize, Serialize};
 
-use crate::dice::{Dice, ServiceTime};
-use crate::time::{from_ms, Micros, MS, SECOND};
-use crate::workers::Workers;
+use crate::distributions::ServiceTime;
+use crate::settings_error::{validate_times, SettingsError};
+use crate::worker_pool::WorkerPool;
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, Micros, MS, SECOND};
 
 /// Requests whose miss is remembered, so that the origin's answer can be stored; old ones make room.
 const MISSES_REMEMBERED: usize = 65_536;
@@ -28,29 +30,39 @@
     /// Where set, the host fetches what it lacks by itself, which takes so long and no core.
     pub fetch: Option<ServiceTime>,
     /// Most requests that wait for a core; more are turned away.
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub max_queue: usize,
     /// Most keys kept; the one unused longest makes room.
-    pub store: usize,
+    #[serde(rename = "store")]
+    pub max_keys: usize,
     /// Has every key from the start, whatever `store` says: for measurements of the balancer alone.
-    pub has_all: bool,
+    #[serde(rename = "has_all")]
+    pub holds_all_keys: bool,
     /// After this a kept value is void, in milliseconds; 0 for never.
     pub ttl_ms: f64,
     /// Most open connections, and the work that a new one costs, in milliseconds.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     pub connect_ms: f64,
     /// A connection that stands idle for so long is closed, in milliseconds.
     pub idle_ms: f64,
     /// Part of its capacity that a host has at a cold start, and when it is warm, in milliseconds.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_capacity: f64,
     pub warm_up_ms: f64,
     /// Sent more than so many times what it can do for so long while cold, it falls over.
-    pub fall_multiple: f64,
-    pub fall_ms: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: f64,
     /// How long a keyed request is remembered, and a repeat of it dropped, in milliseconds.
-    pub keyed_ms: f64,
+    #[serde(rename = "keyed_ms")]
+    pub idempotency_ttl_ms: f64,
     /// Fields of the load report, of `outstanding`, `backlog`, `utilization` and `throughput`; none for no report.
-    pub report: Vec<String>,
-    pub report_every_ms: f64,
+    #[serde(rename = "report")]
+    pub report_fields: Vec<String>,
+    #[serde(rename = "report_every_ms")]
+    pub report_interval_ms: f64,
     /// Bytes of a value beside its request's id and key.
     pub value_bytes: usize,
 }
@@ -61,84 +73,88 @@
             cores: 2,
             hit: ServiceTime {
                 mean_ms: 2.0,
-                shape: crate::dice::Shape::Lognormal,
+                distribution: crate::distributions::Distribution::Lognormal,
                 spread: 0.5,
             },
             miss: ServiceTime::fixed(0.2),
             fetch: None,
-            queue: 200,
-            store: 20_000,
-            has_all: false,
+            max_queue: 200,
+            max_keys: 20_000,
+            holds_all_keys: false,
             ttl_ms: 0.0,
-            connections: 10_000,
+            max_connections: 10_000,
             connect_ms: 0.0,
             idle_ms: 60_000.0,
-            cold_from: 0.2,
+            cold_capacity: 0.2,
             warm_up_ms: 10_000.0,
-            fall_multiple: 3.0,
-            fall_ms: 3_000.0,
-            keyed_ms: 2_000.0,
-            report: Vec::new(),
-            report_every_ms: 100.0,
+            overload_multiple: 3.0,
+            overload_window_ms: 3_000.0,
+            idempotency_ttl_ms: 2_000.0,
+            report_fields: Vec::new(),
+            report_interval_ms: 100.0,
             value_bytes: 64,
         }
     }
 }
 
 impl CacheSettings {
-    /// The first key with a fault, and what is wrong.
-    pub fn fault(&self) -> Option<(&'static str, String)> {
+    /// Checks that each value is in its range.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is out of its range.
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let services = [
             ("hit", Some(self.hit)),
             ("miss", Some(self.miss)),
             ("fetch", self.fetch),
         ];
         for (key, service) in services {
-            if let Some(problem) = service.and_then(|service| service.problem()) {
-                return Some((key, problem.to_string()));
+            if let Some(service) = service {
+                service
+                    .validate()
+                    .map_err(|error| SettingsError::new(key, error.to_string()))?;
             }
         }
-        let times = [
+        validate_times(&[
             ("ttl_ms", self.ttl_ms),
             ("connect_ms", self.connect_ms),
             ("idle_ms", self.idle_ms),
             ("warm_up_ms", self.warm_up_ms),
-            ("fall_ms", self.fall_ms),
-            ("keyed_ms", self.keyed_ms),
-            ("report_every_ms", self.report_every_ms),
-        ];
-        if let Some((key, _)) = times
-            .into_iter()
-            .find(|(_, ms)| !(0.0..=86_400_000.0).contains(ms))
-        {
-            return Some((
-                key,
-                "must be a time in milliseconds, a day at most".to_string(),
+            ("fall_ms", self.overload_window_ms),
+            ("keyed_ms", self.idempotency_ttl_ms),
+            ("report_every_ms", self.report_interval_ms),
+        ])?;
+        if !(0.001..=1.0).contains(&self.cold_capacity) {
+            return Err(SettingsError::new(
+                "cold_from",
+                "must be between 0.001 and 1",
             ));
         }
-        if !(0.001..=1.0).contains(&self.cold_from) {
-            return Some(("cold_from", "must be between 0.001 and 1".to_string()));
+        if self.max_keys == 0 {
+            return Err(SettingsError::new("store", "must be 1 or more"));
         }
-        if self.store == 0 || self.cores == 0 || self.cores > 1024 {
-            return Some((
-                if self.store == 0 { "store" } else { "cores" },
-                "must be 1 or more".to_string(),
-            ));
+        if self.cores == 0 || self.cores > 1024 {
+            return Err(SettingsError::new("cores", "must be 1 or more"));
         }
+        self.validate_report_fields()
+    }
+
+    fn validate_report_fields(&self) -> Result<(), SettingsError> {
         let known = ["outstanding", "backlog", "utilization", "throughput"];
-        let unknown = self
-            .report
-            .iter()
-            .find(|field| !known.contains(&field.as_str()))?;
-        Some((
-            "report",
-            format!("unknown field {unknown:?}, one of {known:?}"),
-        ))
+        let mut fields = self.report_fields.iter();
+        match fields.find(|field| !known.contains(&field.as_str())) {
+            Some(unknown) => Err(SettingsError::new(
+                "report",
+                format!("unknown field {unknown:?}, one of {known:?}"),
+            )),
+            None => Ok(()),
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A command as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -153,7 +169,7 @@
 
 impl Command {
     /// A value of the list, by its name.
-    pub fn named(&self, name: &[u8]) -> Option<&[u8]> {
+    pub fn info_value(&self, name: &[u8]) -> Option<&[u8]> {
         let of = |pair: &'_ [u8]| -> bool {
             pair.len() > name.len() && pair[name.len()] == b'=' && pair.starts_with(name)
         };
@@ -166,9 +182,9 @@
 
 /// A command of one connection, by its place in the order there: answers go out in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket {
-    pub connection: ConnId,
-    pub number: u64,
+pub struct ReplySlot {
+    pub connection: ConnectionId,
+    pub sequence: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -185,19 +201,19 @@
     Failed,
     Busy,
     /// Bytes in none of the protocol's forms.
-    Spoilt(Bytes),
+    Malformed(Bytes),
     /// A good reply and a second copy of it.
-    Doubled {
+    Duplicated {
         value: Bytes,
     },
     /// Never comes, but its turn passes.
-    Silence,
+    Dropped,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    Reply(Ticket, Reply),
-    Close(ConnId),
+    Reply(ReplySlot, Reply),
+    Close(ConnectionId),
     /// A keyed or plain write has taken effect for the first time.
     Effect {
         id: Bytes,
@@ -208,41 +224,41 @@
         id: Bytes,
     },
     /// It was sent more than it can bear while cold, and is down for good.
-    FellOver,
+    Crashed,
 }
 
 /// What can be wrong with a host; several may be at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ailments {
+pub struct ServerFaults {
     /// Times that work takes longer.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Chance that an answer is lost, spoilt, doubled, or its connection is reset instead.
-    pub lost: f64,
-    pub spoilt: f64,
-    pub doubled: f64,
-    pub reset: f64,
+    pub drop_chance: f64,
+    pub corrupt_chance: f64,
+    pub duplicate_chance: f64,
+    pub reset_chance: f64,
 }
 
-impl Default for Ailments {
+impl Default for ServerFaults {
     fn default() -> Self {
-        Ailments {
-            slow: 1.0,
-            lost: 0.0,
-            spoilt: 0.0,
-            doubled: 0.0,
-            reset: 0.0,
+        ServerFaults {
+            slowdown: 1.0,
+            drop_chance: 0.0,
+            corrupt_chance: 0.0,
+            duplicate_chance: 0.0,
+            reset_chance: 0.0,
         }
     }
 }
 
 /// Keyed requests that a group of hosts has carried out, and their receipts: repeats are answered with those.
 #[derive(Debug, Default)]
-pub struct RepeatGroup {
+pub struct IdempotencyStore {
     done: FxHashMap<Bytes, (Micros, Bytes)>,
     order: VecDeque<(Micros, Bytes)>,
 }
 
-impl RepeatGroup {
+impl IdempotencyStore {
     pub fn shared() -> Arc<Mutex<Self>> {
         Arc::default()
     }
@@ -259,7 +275,7 @@
     }
 
     /// The receipt of the first request under this key, if it is remembered; else this one is.
-    pub fn first(
+    pub fn first_receipt(
         &mut self,
         now: Micros,
         keep: Micros,
@@ -279,10 +295,10 @@
 /// What a host is at.
 #[derive(Debug)]
 enum Task {
-    Read(Ticket, Command),
-    Write(Ticket, Command),
+    Read(ReplySlot, Command),
+    Write(ReplySlot, Command),
     /// A miss has been looked up; its reply is a miss, or the value once fetched.
-    Lookup(Ticket, Command),
+    Lookup(ReplySlot, Command),
     /// A new connection's greeting.
     Greeting,
 }
@@ -311,16 +327,16 @@
 #[derive(Debug)]
 pub struct CacheHost {
     set: CacheSettings,
-    dice: Dice,
-    workers: Workers<Task>,
+    dice: SeededRng,
+    workers: WorkerPool<Task>,
     store: LruCache<Bytes, Micros, FxBuildHasher>,
     misses: LruCache<Bytes, Bytes, FxBuildHasher>,
     /// Own fetches under way, by when they come in.
-    fetching: FxHashMap<Bytes, Vec<(Ticket, Command)>>,
+    fetching: FxHashMap<Bytes, Vec<(ReplySlot, Command)>>,
     fetches: VecDeque<(Micros, Bytes)>,
-    connections: FxHashMap<ConnId, Micros>,
-    group: Arc<Mutex<RepeatGroup>>,
-    ailments: Ailments,
+    connections: FxHashMap<ConnectionId, Micros>,
+    group: Arc<Mutex<IdempotencyStore>>,
+    ailments: ServerFaults,
     /// When it started, where it started cold.
     cold_since: Option<Micros>,
     cold_work: ColdWork,
@@ -336,18 +352,23 @@
 }
 
 impl CacheHost {
-    pub fn new(set: CacheSettings, seed: u64, name: &str, group: Arc<Mutex<RepeatGroup>>) -> Self {
+    pub fn new(
+        set: CacheSettings,
+        seed: u64,
+        name: &str,
+        group: Arc<Mutex<IdempotencyStore>>,
+    ) -> Self {
         let size = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
         CacheHost {
-            dice: Dice::new(seed, name),
-            workers: Workers::new(set.cores, set.queue),
-            store: LruCache::with_hasher(size(set.store), FxBuildHasher),
+            dice: SeededRng::for_part(seed, name),
+            workers: WorkerPool::new(set.cores, set.max_queue),
+            store: LruCache::with_hasher(size(set.max_keys), FxBuildHasher),
             misses: LruCache::with_hasher(size(MISSES_REMEMBERED), FxBuildHasher),
             fetching: FxHashMap::default(),
             fetches: VecDeque::new(),
             connections: FxHashMap::default(),
             group,
-            ailments: Ailments::default(),
+            ailments: ServerFaults::default(),
             cold_since: None,
             cold_work: ColdWork::default(),
             worst_cold: 0.0,
@@ -379,11 +400,11 @@
         self.connections.clear();
     }
 
-    pub fn set_ailments(&mut self, ailments: Ailments) {
+    pub fn set_faults(&mut self, ailments: ServerFaults) {
         self.ailments = ailments;
     }
 
-    pub fn ailments(&self) -> Ailments {
+    pub fn faults(&self) -> ServerFaults {
         self.ailments
     }
 
@@ -393,7 +414,7 @@
     }
 
     /// A part of the kept values is void.
-    pub fn void(&mut self, part: f64) {
+    pub fn invalidate_fraction(&mut self, part: f64) {
         let keys: Vec<Bytes> = self.store.iter().map(|(key, _)| key.clone()).collect();
         for key in keys {
             if self.dice.happens(part) {
@@ -403,8 +424,8 @@
     }
 
     /// Nothing was done for so long.
-    pub fn hold_up(&mut self, by: Micros) {
-        self.workers.hold_up(by);
+    pub fn stall(&mut self, by: Micros) {
+        self.workers.stall(by);
     }
 
     /// Keeps a key from before the start.
@@ -420,16 +441,16 @@
     }
 
     /// The origin has taken a write of this key.
-    pub fn drop_key(&mut self, key: &Bytes) {
+    pub fn invalidate(&mut self, key: &Bytes) {
         self.store.pop(key);
     }
 
     /// The part of its capacity that it has.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub fn capacity_fraction(&self, now: Micros) -> f64 {
         match self.cold_since {
             Some(start) if self.is_cold(now) => {
                 let part = (now - start) as f64 / from_ms(self.set.warm_up_ms).max(1) as f64;
-                self.set.cold_from + (1.0 - self.set.cold_from) * part.clamp(0.0, 1.0)
+                self.set.cold_capacity + (1.0 - self.set.cold_capacity) * part.clamp(0.0, 1.0)
             }
             _ => 1.0,
         }
@@ -441,11 +462,11 @@
     }
 
     fn speed(&self, now: Micros) -> f64 {
-        self.warmth(now) / self.ailments.slow.max(1e-3)
+        self.capacity_fraction(now) / self.ailments.slowdown.max(1e-3)
     }
 
     /// The most sent within a window of the fall-over rule while cold, over what the rule allows.
-    pub fn worst_cold(&self) -> f64 {
+    pub fn max_cold_load_ratio(&self) -> f64 {
         self.worst_cold
     }
 
@@ -453,13 +474,13 @@
         self.workers.running() + self.workers.waiting()
     }
 
-    pub fn has_fallen(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.fallen
     }
 
     /// A new connection; false where it holds as many as it may, or is down.
-    pub fn open(&mut self, now: Micros, connection: ConnId) -> bool {
-        if self.fallen || self.connections.len() >= self.set.connections {
+    pub fn open(&mut self, now: Micros, connection: ConnectionId) -> bool {
+        if self.fallen || self.connections.len() >= self.set.max_connections {
             return false;
         }
         self.connections.insert(connection, now);
@@ -475,7 +496,7 @@
         true
     }
 
-    pub fn close(&mut self, connection: ConnId) {
+    pub fn close(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
     }
 
@@ -487,17 +508,17 @@
             .iter()
             .filter(|(_, used)| **used < limit)
             .map(|(id, _)| *id);
-        let idle: Vec<ConnId> = idle.collect();
+        let idle: Vec<ConnectionId> = idle.collect();
         for connection in idle {
             self.connections.remove(&connection);
             actions.push(Action::Close(connection));
         }
     }
 
-    pub fn command(
+    pub fn handle_command(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         command: Command,
         actions: &mut Vec<Action>,
     ) {
@@ -521,7 +542,7 @@
         if self.count_cold(now, service.mean_ms * MS as f64) {
             self.fallen = true;
             self.stop();
-            return actions.push(Action::FellOver);
+            return actions.push(Action::Crashed);
         }
         let speed = self.speed(now);
         if work == 0 && self.workers.waiting() == 0 {
@@ -537,16 +558,16 @@
         let Some(start) = self.cold_since.filter(|_| self.is_cold(now)) else {
             return false;
         };
-        let span = from_ms(self.set.fall_ms).max(WINDOW_PART);
+        let span = from_ms(self.set.overload_window_ms).max(WINDOW_PART);
         self.cold_work.add(now, work, span);
-        let can = self.warmth(now) * self.set.cores as f64 * span as f64;
-        let ratio = self.cold_work.sum / (can * self.set.fall_multiple).max(1.0);
+        let can = self.capacity_fraction(now) * self.set.cores as f64 * span as f64;
+        let ratio = self.cold_work.sum / (can * self.set.overload_multiple).max(1.0);
         self.worst_cold = self.worst_cold.max(ratio);
         ratio > 1.0 && now - start >= span.min(SECOND)
     }
 
     fn holds(&mut self, now: Micros, key: &Bytes) -> bool {
-        if self.set.has_all {
+        if self.set.holds_all_keys {
             return true;
         }
         let ttl = from_ms(self.set.ttl_ms);
@@ -566,7 +587,7 @@
 
     /// Carries out what is due.
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        while let Some((at, task)) = self.workers.take_done(now, self.speed(now)) {
+        while let Some((at, task)) = self.workers.take_finished(now, self.speed(now)) {
             self.finish(at, task, actions);
         }
         while self.fetches.front().is_some_and(|(at, _)| *at <= now) {
@@ -619,12 +640,12 @@
     /// A keyed request takes effect once in its group; one without a key each time.
     fn effect(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
         let repeat = command
-            .named(b"k")
+            .info_value(b"k")
             .map(Bytes::copy_from_slice)
             .and_then(|key| {
-                let keep = from_ms(self.set.keyed_ms);
+                let keep = from_ms(self.set.idempotency_ttl_ms);
                 let mut group = self.group.lock().unwrap_or_else(PoisonError::into_inner);
-                group.first(now, keep, &key, &command.id)
+                group.first_receipt(now, keep, &key, &command.id)
             });
         if repeat.is_none() {
             actions.push(Action::Effect {
@@ -637,16 +658,16 @@
     fn answer(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         command: &Command,
         note: &'static str,
         actions: &mut Vec<Action>,
     ) {
         self.answered += 1;
-        let value = made_value(&command.id, &command.key, &self.filler);
+        let value = value_for(&command.id, &command.key, &self.filler);
         let report = self.load_report(now);
-        if self.dice.happens(self.ailments.doubled) {
-            return self.reply(ticket, Reply::Doubled { value }, actions);
+        if self.dice.happens(self.ailments.duplicate_chance) {
+            return self.reply(ticket, Reply::Duplicated { value }, actions);
         }
         self.reply(
             ticket,
@@ -659,19 +680,19 @@
         );
     }
 
-    fn reply(&mut self, ticket: Ticket, reply: Reply, actions: &mut Vec<Action>) {
-        let Ailments {
-            lost,
-            spoilt,
-            reset,
+    fn reply(&mut self, ticket: ReplySlot, reply: Reply, actions: &mut Vec<Action>) {
+        let ServerFaults {
+            drop_chance,
+            corrupt_chance,
+            reset_chance,
             ..
         } = self.ailments;
-        if self.dice.happens(reset) {
+        if self.dice.happens(reset_chance) {
             return actions.push(Action::Close(ticket.connection));
         }
-        let reply = if self.dice.happens(lost) {
-            Reply::Silence
-        } else if self.dice.happens(spoilt) {
+        let reply = if self.dice.happens(drop_chance) {
+            Reply::Dropped
+        } else if self.dice.happens(corrupt_chance) {
             self.noise()
         } else {
             reply
@@ -688,22 +709,22 @@
             b"*3\r\n$3221225472\r\nx",
             b"\x00\xff\x13no line",
         ];
-        Reply::Spoilt(Bytes::from_static(
+        Reply::Malformed(Bytes::from_static(
             forms[self.dice.below(forms.len() as u64) as usize],
         ))
     }
 
     fn load_report(&mut self, now: Micros) -> Option<String> {
-        if self.set.report.is_empty() {
+        if self.set.report_fields.is_empty() {
             return None;
         }
-        if now - self.reported_at >= from_ms(self.set.report_every_ms) || self.report.is_none() {
+        if now - self.reported_at >= from_ms(self.set.report_interval_ms) || self.report.is_none() {
             let span = (now - self.reported_at).clamp(1, 10 * SECOND) as f64 / SECOND as f64;
             let throughput = (self.answered - self.answered_at_report) as f64 / span;
-            let busy = self.workers.busy_since_last_look(now);
+            let busy = self.workers.utilization_since_last_call(now);
             (self.reported_at, self.answered_at_report) = (now, self.answered);
             let mut text = String::new();
-            for field in &self.set.report {
+            for field in &self.set.report_fields {
                 let figure = match field.as_str() {
                     "outstanding" => self.outstanding() as f64,
                     "backlog" => self.workers.waiting() as f64,
@@ -721,7 +742,7 @@
 }
 
 /// A value that says for which request and key it was made, so that whoever gets it can tell.
-pub fn made_value(id: &[u8], key: &[u8], filler: &[u8]) -> Bytes {
+pub fn value_for(id: &[u8], key: &[u8], filler: &[u8]) -> Bytes {
     let mut value = Vec::with_capacity(id.len() + key.len() + filler.len() + 2);
     for part in [id, b" ", key, b" ", filler] {
         value.extend_from_slice(part);
@@ -730,7 +751,7 @@
 }
 
 /// Whether a value was made for this request.
-pub fn is_made_for(value: &[u8], id: &[u8]) -> bool {
+pub fn is_value_for(value: &[u8], id: &[u8]) -> bool {
     value
         .strip_prefix(id)
         .is_some_and(|rest| rest.first() == Some(&b' '))
--- a/crates/stairfront-emulator/src/client.rs
+++ b/crates/stairfront-emulator/src/client.rs
@@ -5,18 +5,22 @@
 use serde::{Deserialize, Serialize};
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::dice::Dice;
-use crate::time::{from_ms, Micros};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, Micros};
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeats {
+pub enum Idempotency {
+    /// A repeat does no harm.
     #[default]
-    Safe,
-    /// Repeats under its key are dropped for a time.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// A repeat under the same idempotency key is dropped for a time.
     Keyed,
-    Unsafe,
+    /// Each execution takes effect.
+    #[serde(rename = "unsafe")]
+    NotIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -24,15 +28,18 @@
 pub struct ClassSettings {
     pub name: String,
     /// An answer after this is worth nothing, in milliseconds.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
     /// A client waits no longer, in milliseconds.
     pub deadline_ms: f64,
     #[serde(default)]
-    pub repeats: Repeats,
+    #[serde(rename = "repeats")]
+    pub idempotency: Idempotency,
     #[serde(default)]
     pub write: bool,
     #[serde(default = "full")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Bytes of a write's value.
     #[serde(default = "some_bytes")]
     pub value_bytes: usize,
@@ -51,29 +58,33 @@
 #[serde(deny_unknown_fields, default)]
 pub struct RetrySettings {
     /// Further tries after a refusal or a failure.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_retries: u32,
     /// Wait before one, in milliseconds, drawn between half and one and a half of it.
-    pub wait_ms: f64,
+    #[serde(rename = "wait_ms")]
+    pub backoff_ms: f64,
     /// Keeps to the advice of a refusal, where there is any.
-    pub advice: bool,
+    #[serde(rename = "advice")]
+    pub honor_retry_after: bool,
     /// Marks retries as such (`r=1`).
-    pub marked: bool,
+    #[serde(rename = "marked")]
+    pub mark_retries: bool,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         RetrySettings {
-            most: 0,
-            wait_ms: 200.0,
-            advice: true,
-            marked: true,
+            max_retries: 0,
+            backoff_ms: 200.0,
+            honor_retry_after: true,
+            mark_retries: true,
         }
     }
 }
 
 /// One try of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ask {
+pub struct Attempt {
     /// When it was to be sent. Danger: timed from when a busy tool got round to it, a stall would vanish.
     pub due: Micros,
     /// When the first try was to be sent.
@@ -91,17 +102,17 @@
 
 /// How a try ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     Served,
     /// Turned away, with advice in milliseconds where there was any.
-    Refused {
-        after_ms: Option<u64>,
+    Rejected {
+        retry_after_ms: Option<u64>,
     },
     Failed,
     /// The connection ended without an answer.
-    Lost,
+    ConnectionLost,
     /// No answer while the client waited.
-    Unanswered,
+    TimedOut,
 }
 
 /// All clients of one source: its arrivals and their retries, in the order in which they are due.
@@ -109,10 +120,10 @@
     arrivals: Arrivals,
     next: Option<Arrival>,
     end: Micros,
-    retries: BinaryHeap<Reverse<(Micros, Ask)>>,
+    retries: BinaryHeap<Reverse<(Micros, Attempt)>>,
     classes: Vec<(Micros, Micros)>,
     retry: RetrySettings,
-    dice: Dice,
+    dice: SeededRng,
     next_id: u64,
 }
 
@@ -134,10 +145,15 @@
             retries: BinaryHeap::new(),
             classes: classes
                 .iter()
-                .map(|class| (from_ms(class.aim_ms), from_ms(class.deadline_ms)))
+                .map(|class| {
+                    (
+                        from_ms(class.latency_objective_ms),
+                        from_ms(class.deadline_ms),
+                    )
+                })
                 .collect(),
             retry,
-            dice: Dice::new(seed, &format!("clients-{source}")),
+            dice: SeededRng::for_part(seed, &format!("clients-{source}")),
             next_id: (source as u64 + 1) << 40,
         }
     }
@@ -152,7 +168,7 @@
     }
 
     /// The next try that is due by now.
-    pub fn take(&mut self, now: Micros) -> Option<Ask> {
+    pub fn take_due(&mut self, now: Micros) -> Option<Attempt> {
         let due = self.next_due().filter(|due| *due <= now)?;
         if self
             .retries
@@ -174,7 +190,7 @@
             .copied()
             .unwrap_or((0, 0));
         let id = self.new_id();
-        Some(Ask {
+        Some(Attempt {
             due: at,
             first_due: at,
             id,
@@ -192,13 +208,15 @@
     }
 
     /// Books the end of a try; true if the client comes again with another.
-    pub fn settle(&mut self, now: Micros, ask: &Ask, end: End) -> bool {
-        if end == End::Served || ask.retry >= self.retry.most {
+    pub fn record_outcome(&mut self, now: Micros, ask: &Attempt, end: Outcome) -> bool {
+        if end == Outcome::Served || ask.retry >= self.retry.max_retries {
             return false;
         }
-        let usual = from_ms(self.retry.wait_ms * (0.5 + self.dice.unit()));
+        let usual = from_ms(self.retry.backoff_ms * (0.5 + self.dice.unit()));
         let wait = match end {
-            End::Refused { after_ms: Some(ms) } if self.retry.advice => from_ms(ms as f64),
+            Outcome::Rejected {
+                retry_after_ms: Some(ms),
+            } if self.retry.honor_retry_after => from_ms(ms as f64),
             _ => usual,
         };
         let due = now + wait;
@@ -210,7 +228,7 @@
             .get(usize::from(ask.class))
             .copied()
             .unwrap_or((0, 0));
-        let again = Ask {
+        let again = Attempt {
             due,
             id: self.new_id(),
             retry: ask.retry + 1,
@@ -222,7 +240,7 @@
     }
 
     /// The aim of a class: counted from its first try.
-    pub fn aim(&self, class: u8) -> Micros {
+    pub fn latency_objective(&self, class: u8) -> Micros {
         self.classes
             .get(usize::from(class))
             .map_or(0, |(aim, _)| *aim)
--- a/crates/stairfront-emulator/src/agent.rs
+++ b/crates/stairfront-emulator/src/discovery_agent.rs
@@ -4,8 +4,8 @@
 
 use serde_json::{json, Value};
 
-use crate::cache_host::Ticket;
-use crate::time::{from_ms, Micros, MS};
+use crate::cache_host::ReplySlot;
+use stairfront_common::time::{from_ms, Micros, MS};
 
 /// Changes kept for watches; who is further behind gets the whole list.
 const CHANGES_KEPT: usize = 1024;
@@ -13,90 +13,93 @@
 const LONGEST_HOLD: Micros = 60_000 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum EndpointStatus {
     Serving,
     Draining,
-    Gone,
+    Removed,
 }
 
-impl Status {
-    fn word(self) -> &'static str {
+impl EndpointStatus {
+    fn as_str(self) -> &'static str {
         match self {
-            Status::Serving => "SERVING",
-            Status::Draining => "DRAINING",
-            Status::Gone => "DELETED",
+            EndpointStatus::Serving => "SERVING",
+            EndpointStatus::Draining => "DRAINING",
+            EndpointStatus::Removed => "DELETED",
         }
     }
 }
 
 /// One server as the list has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct EndpointRecord {
     pub name: String,
     pub address: String,
     pub zone: String,
     pub kind: String,
     pub group: u16,
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Unix time in milliseconds; 0 for long ago.
     pub since_ms: u64,
 }
 
-impl Line {
-    pub fn json(&self) -> Value {
+impl EndpointRecord {
+    pub fn to_json(&self) -> Value {
         json!({"name": self.name, "address": self.address, "zone": self.zone, "type": self.kind, "group": self.group,
-               "status": self.status.word(), "weight": 1.0, "since_ms": self.since_ms})
+               "status": self.status.as_str(), "weight": 1.0, "since_ms": self.since_ms})
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// 200 with this list.
-    Answer(Ticket, String),
+    Answer(ReplySlot, String),
     /// 404: not a call that there is.
-    Unknown(Ticket),
+    NotFound(ReplySlot),
     /// The balancer has been told this of a server.
-    Told { name: String, status: Status },
+    Notified {
+        name: String,
+        status: EndpointStatus,
+    },
 }
 
 struct Watch {
-    ticket: Ticket,
+    ticket: ReplySlot,
     from: u64,
     until: Micros,
 }
 
 #[derive(Default)]
-pub struct Agent {
-    lines: BTreeMap<String, Line>,
+pub struct DiscoveryAgent {
+    lines: BTreeMap<String, EndpointRecord>,
     index: u64,
-    changes: VecDeque<(u64, Line)>,
+    changes: VecDeque<(u64, EndpointRecord)>,
     /// Changes under way to the agent, and when each arrives.
-    coming: VecDeque<(Micros, Line)>,
+    coming: VecDeque<(Micros, EndpointRecord)>,
     lag: Micros,
     silent: bool,
     still: bool,
     watches: Vec<Watch>,
     /// Calls that came while it was silent.
-    unheard: Vec<(Ticket, String)>,
+    unheard: Vec<(ReplySlot, String)>,
 }
 
-impl Agent {
+impl DiscoveryAgent {
     /// `lag`: how long a change is under way, in microseconds.
-    pub fn new(lines: Vec<Line>, lag: Micros) -> Self {
+    pub fn new(lines: Vec<EndpointRecord>, lag: Micros) -> Self {
         let lines = lines
             .into_iter()
             .map(|line| (line.name.clone(), line))
             .collect();
-        Agent {
+        DiscoveryAgent {
             lines,
             index: 1,
             lag,
-            ..Agent::default()
+            ..DiscoveryAgent::default()
         }
     }
 
     /// A server is so from now on; the agent hears of it after the lag.
-    pub fn change(&mut self, now: Micros, line: Line) {
+    pub fn change(&mut self, now: Micros, line: EndpointRecord) {
         self.coming.push_back((now + self.lag, line));
     }
 
@@ -105,14 +108,14 @@
         self.silent = silent;
         if !silent {
             for (ticket, target) in std::mem::take(&mut self.unheard) {
-                self.call(now, ticket, &target, actions);
+                self.handle_request(now, ticket, &target, actions);
             }
             self.advance(now, actions);
         }
     }
 
     /// While its list stands still it answers with what it had, and changes wait.
-    pub fn set_still(&mut self, now: Micros, still: bool, actions: &mut Vec<Action>) {
+    pub fn set_frozen(&mut self, now: Micros, still: bool, actions: &mut Vec<Action>) {
         self.still = still;
         self.advance(now, actions);
     }
@@ -122,8 +125,8 @@
         let lines = self
             .lines
             .values()
-            .filter(|line| line.status != Status::Gone)
-            .map(Line::json);
+            .filter(|line| line.status != EndpointStatus::Removed)
+            .map(EndpointRecord::to_json);
         json!({"index": self.index, "snapshot": true, "endpoints": lines.collect::<Vec<_>>()})
     }
 
@@ -142,14 +145,20 @@
     }
 
     /// A call, by its target; answered now, or when there is news or its hold is over.
-    pub fn call(&mut self, now: Micros, ticket: Ticket, target: &str, actions: &mut Vec<Action>) {
+    pub fn handle_request(
+        &mut self,
+        now: Micros,
+        ticket: ReplySlot,
+        target: &str,
+        actions: &mut Vec<Action>,
+    ) {
         if self.silent {
             self.unheard.push((ticket, target.to_string()));
             return;
         }
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if path != "/api/targets" {
-            return actions.push(Action::Unknown(ticket));
+            return actions.push(Action::NotFound(ticket));
         }
         let named = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -170,7 +179,7 @@
     }
 
     /// Its connection has ended.
-    pub fn forget(&mut self, ticket: Ticket) {
+    pub fn forget_connection(&mut self, ticket: ReplySlot) {
         self.watches
             .retain(|watch| watch.ticket.connection != ticket.connection);
         self.unheard
@@ -197,7 +206,7 @@
         }
     }
 
-    fn take_in(&mut self, line: Line) {
+    fn take_in(&mut self, line: EndpointRecord) {
         self.index += 1;
         self.changes.push_back((self.index, line.clone()));
         if self.changes.len() > CHANGES_KEPT {
@@ -206,9 +215,9 @@
         self.lines.insert(line.name.clone(), line);
     }
 
-    fn answer_all(&self, ticket: Ticket, actions: &mut Vec<Action>) {
+    fn answer_all(&self, ticket: ReplySlot, actions: &mut Vec<Action>) {
         actions.push(Action::Answer(ticket, self.snapshot().to_string()));
-        let told = |line: &Line| Action::Told {
+        let told = |line: &EndpointRecord| Action::Notified {
             name: line.name.clone(),
             status: line.status,
         };
@@ -224,14 +233,14 @@
         if watch.from + 1 < first && watch.from != self.index || watch.from > self.index {
             return self.answer_all(watch.ticket, actions);
         }
-        let mut news: BTreeMap<&str, &Line> = BTreeMap::new();
+        let mut news: BTreeMap<&str, &EndpointRecord> = BTreeMap::new();
         for (_, line) in self.changes.iter().filter(|(index, _)| *index > watch.from) {
             news.insert(&line.name, line);
         }
-        let endpoints: Vec<Value> = news.values().map(|line| line.json()).collect();
+        let endpoints: Vec<Value> = news.values().map(|line| line.to_json()).collect();
         let list = json!({"index": self.index, "snapshot": false, "endpoints": endpoints});
         actions.push(Action::Answer(watch.ticket, list.to_string()));
-        let told = |line: &&Line| Action::Told {
+        let told = |line: &&EndpointRecord| Action::Notified {
             name: line.name.clone(),
             status: line.status,
         };
--- a/crates/stairfront-emulator/src/group.rs
+++ b/crates/stairfront-emulator/src/group_observer.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::time::{to_ms, Micros, MS, SECOND};
+use stairfront_common::time::{to_ms, Micros, MS, SECOND};
 
 /// Breaches whose history is kept.
 const MOST_EXAMPLES: usize = 8;
@@ -13,18 +13,19 @@
 
 /// What a process says of itself and the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Account {
-    pub standing: String,
+pub struct MemberReport {
+    #[serde(rename = "standing")]
+    pub quorum_status: String,
     pub digest: String,
     #[serde(default)]
     pub roster_differs: Vec<String>,
     #[serde(default)]
     pub cordons: Vec<String>,
-    pub members: Vec<AccountOf>,
+    pub members: Vec<PeerReport>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AccountOf {
+pub struct PeerReport {
     pub name: String,
     pub state: String,
     pub incarnation: u64,
@@ -35,54 +36,54 @@
 
 /// What really happened, or was said.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sign {
+pub enum GroupEvent {
     /// A process was started, and is a new one.
-    Up {
-        who: usize,
+    Started {
+        member: usize,
     },
     /// Killed, or ended as told.
-    Down {
-        who: usize,
+    Stopped {
+        member: usize,
     },
     Paused {
-        who: usize,
+        member: usize,
     },
-    Woke {
-        who: usize,
+    Resumed {
+        member: usize,
     },
     /// A link does something to what goes over it, or not any more.
-    Hurt {
+    LinksFaulted {
         pairs: Vec<(usize, usize)>,
         cut: bool,
         mild: bool,
     },
-    Healed {
+    LinksRestored {
         pairs: Vec<(usize, usize)>,
         cut: bool,
         mild: bool,
     },
     /// A second process of its name was started, or is over.
-    Doubled {
-        who: usize,
-        on: bool,
+    DuplicateRunning {
+        member: usize,
+        running: bool,
     },
     /// The last trouble is over.
-    Quiet,
-    Said {
-        who: usize,
-        account: Account,
+    FaultsFinished,
+    Reported {
+        member: usize,
+        report: MemberReport,
     },
     /// An operator's order for the group was answered with a yes; the other way, it was begun to be taken back.
-    Barred {
+    Cordoned {
         host: String,
     },
-    Freed {
+    Uncordoned {
         host: String,
     },
     /// An attempt began at a cache host, by its own clock.
-    Began {
+    AttemptStarted {
         host: String,
-        who: usize,
+        member: usize,
     },
 }
 
@@ -91,9 +92,9 @@
     /// How long things must have been as they are before a view of them must be right.
     pub settle: Micros,
     /// How long a dead one may be taken for alive.
-    pub detect: Micros,
+    pub detection_time: Micros,
     /// How long after the last trouble all must be whole and agree.
-    pub whole_again: Micros,
+    pub recovery_time: Micros,
     /// An attempt that began so soon after a yes may have been under way.
     pub slack: Micros,
 }
@@ -102,31 +103,36 @@
     fn default() -> Self {
         GroupLimits {
             settle: 6 * SECOND,
-            detect: 7 * SECOND,
-            whole_again: 8 * SECOND,
+            detection_time: 7 * SECOND,
+            recovery_time: 8 * SECOND,
             slack: 50 * MS,
         }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct GroupFigures {
-    pub accounts: u64,
+pub struct GroupMetrics {
+    #[serde(rename = "accounts")]
+    pub reports: u64,
     /// Judgements that could be made: a check that never can be fails nobody.
     pub judged_alive: u64,
     pub judged_dead: u64,
-    pub judged_standing: u64,
+    #[serde(rename = "judged_standing")]
+    pub judged_quorum: u64,
     pub judged_attempts: u64,
     pub yes: u64,
     /// From the last trouble's end until all were whole and agreed, in milliseconds.
-    pub whole_after_ms: Option<f64>,
+    #[serde(rename = "whole_after_ms")]
+    pub complete_after_ms: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct GroupReport {
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
     pub examples: Vec<String>,
-    pub figures: GroupFigures,
+    #[serde(rename = "figures")]
+    pub metrics: GroupMetrics,
 }
 
 #[derive(Clone, Debug)]
@@ -137,7 +143,7 @@
     /// Since when it has been as it is.
     since: Micros,
     life: u64,
-    said: Option<(Micros, u64, Account)>,
+    said: Option<(Micros, u64, MemberReport)>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -191,14 +197,16 @@
         }
     }
 
-    pub fn hear(&mut self, now: Micros, sign: Sign) {
-        if !matches!(sign, Sign::Said { .. } | Sign::Began { .. })
-            && self.history.len() < MOST_HISTORY
+    pub fn observe(&mut self, now: Micros, sign: GroupEvent) {
+        if !matches!(
+            sign,
+            GroupEvent::Reported { .. } | GroupEvent::AttemptStarted { .. }
+        ) && self.history.len() < MOST_HISTORY
         {
             self.history.push((now, format!("{sign:?}")));
         }
         match sign {
-            Sign::Up { who } => {
+            GroupEvent::Started { member: who } => {
                 let life = self.processes[who].life + 1;
                 self.processes[who] = Process {
                     up: true,
@@ -209,37 +217,45 @@
                     ..self.processes[who].clone()
                 };
             }
-            Sign::Down { who } => {
+            GroupEvent::Stopped { member: who } => {
                 let process = &mut self.processes[who];
                 (process.up, process.paused, process.since, process.said) =
                     (false, false, now, None);
             }
-            Sign::Paused { who } => {
+            GroupEvent::Paused { member: who } => {
                 let process = &mut self.processes[who];
                 (process.paused, process.since, process.said) = (true, now, None);
             }
-            Sign::Woke { who } => {
+            GroupEvent::Resumed { member: who } => {
                 let process = &mut self.processes[who];
                 (process.paused, process.since) = (false, now);
             }
-            Sign::Doubled { who, on } => {
+            GroupEvent::DuplicateRunning {
+                member: who,
+                running: on,
+            } => {
                 let process = &mut self.processes[who];
                 (process.doubled, process.since) = (on, now);
             }
-            Sign::Hurt { pairs, cut, mild } => self.change(now, &pairs, cut, mild, 1),
-            Sign::Healed { pairs, cut, mild } => self.change(now, &pairs, cut, mild, -1),
-            Sign::Quiet => self.quiet = Some(now),
-            Sign::Said { who, account } => self.said(now, who, account),
-            Sign::Barred { host } => {
-                self.report.figures.yes += 1;
+            GroupEvent::LinksFaulted { pairs, cut, mild } => self.change(now, &pairs, cut, mild, 1),
+            GroupEvent::LinksRestored { pairs, cut, mild } => {
+                self.change(now, &pairs, cut, mild, -1)
+            }
+            GroupEvent::FaultsFinished => self.quiet = Some(now),
+            GroupEvent::Reported {
+                member: who,
+                report: account,
+            } => self.said(now, who, account),
+            GroupEvent::Cordoned { host } => {
+                self.report.metrics.yes += 1;
                 self.barred.insert(host, now);
             }
-            Sign::Freed { host } => drop(self.barred.remove(&host)),
-            Sign::Began { host, who } => {
+            GroupEvent::Uncordoned { host } => drop(self.barred.remove(&host)),
+            GroupEvent::AttemptStarted { host, member: who } => {
                 let Some(at) = self.barred.get(&host).copied() else {
                     return;
                 };
-                self.report.figures.judged_attempts += 1;
+                self.report.metrics.judged_attempts += 1;
                 if now > at + self.limits.slack {
                     let after = to_ms(now - at);
                     let who = self.names[who].clone();
@@ -269,7 +285,7 @@
 
     /// Whether a process that starts now can ask enough of the others what is held: more than half are up and awake,
     /// itself among them, and nothing is done to the links between.
-    pub fn can_ask(&self, now: Micros, who: usize) -> bool {
+    pub fn can_reach_majority(&self, now: Micros, who: usize) -> bool {
         let count = self.names.len();
         let there = (0..count).filter(|other| {
             let process = &self.processes[*other];
@@ -283,7 +299,7 @@
     }
 
     fn breach(&mut self, now: Micros, what: String) {
-        self.report.broken += 1;
+        self.report.violations += 1;
         if self.report.examples.len() < MOST_EXAMPLES {
             let lately = self.history.iter().filter(|(at, _)| now - at < 20 * SECOND);
             let lately: Vec<String> = lately
@@ -324,11 +340,11 @@
         })
     }
 
-    fn said(&mut self, now: Micros, who: usize, account: Account) {
+    fn said(&mut self, now: Micros, who: usize, account: MemberReport) {
         if !self.processes[who].up {
             return;
         }
-        self.report.figures.accounts += 1;
+        self.report.metrics.reports += 1;
         let life = self.processes[who].life;
         for of in &account.members {
             let key = (who, life, of.name.clone());
@@ -348,7 +364,7 @@
         self.judge_whole(now);
     }
 
-    fn judge_states(&mut self, now: Micros, who: usize, account: &Account) {
+    fn judge_states(&mut self, now: Micros, who: usize, account: &MemberReport) {
         if !self.is_well(now, who) {
             return;
         }
@@ -370,7 +386,7 @@
             });
             let between: BTreeSet<usize> = between.collect();
             if self.is_well(now, other) && between.len() * 2 > count {
-                self.report.figures.judged_alive += 1;
+                self.report.metrics.judged_alive += 1;
                 if of.state == "failed" || of.state == "left" {
                     let (me, name, state) = (&self.names[who], &of.name, &of.state);
                     let through = between.len();
@@ -381,8 +397,8 @@
                 }
             }
             let dead = &self.processes[other];
-            if !dead.up && !dead.doubled && now - dead.since >= self.limits.detect {
-                self.report.figures.judged_dead += 1;
+            if !dead.up && !dead.doubled && now - dead.since >= self.limits.detection_time {
+                self.report.metrics.judged_dead += 1;
                 if of.state == "alive" {
                     let (me, name) = (&self.names[who], &of.name);
                     let since = to_ms(now - dead.since);
@@ -395,7 +411,7 @@
         }
     }
 
-    fn judge_standing(&mut self, now: Micros, who: usize, account: &Account) {
+    fn judge_standing(&mut self, now: Micros, who: usize, account: &MemberReport) {
         if !self.is_well(now, who) {
             return;
         }
@@ -412,10 +428,10 @@
                 }
             }
         }
-        let standing = account.standing.as_str();
+        let standing = account.quorum_status.as_str();
         let binds = matches!(standing, "whole" | "majority");
         if reach.len() * 2 <= count {
-            self.report.figures.judged_standing += 1;
+            self.report.metrics.judged_quorum += 1;
             if binds {
                 let (me, can) = (&self.names[who], reach.len());
                 self.breach(
@@ -440,7 +456,7 @@
                 .iter()
                 .all(|a| others.iter().all(|b| self.is_cut(now, *a, *b)));
         if calm && apart {
-            self.report.figures.judged_standing += 1;
+            self.report.metrics.judged_quorum += 1;
             let right = match reach.len() == count {
                 true => standing == "whole",
                 false => standing == "majority",
@@ -460,7 +476,7 @@
     fn judge_whole(&mut self, now: Micros) {
         let Some(quiet) = self
             .quiet
-            .filter(|_| self.report.figures.whole_after_ms.is_none())
+            .filter(|_| self.report.metrics.complete_after_ms.is_none())
         else {
             return;
         };
@@ -472,23 +488,24 @@
                 .filter(|(at, ..)| *at >= quiet && now - at < SECOND);
             said.is_some_and(|(.., account)| {
                 digests.insert(account.digest.clone());
-                account.standing == "whole" && account.members.iter().all(|of| of.state == "alive")
+                account.quorum_status == "whole"
+                    && account.members.iter().all(|of| of.state == "alive")
             })
         });
         if whole && digests.len() == 1 {
-            self.report.figures.whole_after_ms = Some(to_ms(now - quiet));
+            self.report.metrics.complete_after_ms = Some(to_ms(now - quiet));
         }
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.report.figures.whole_after_ms.is_some()
+    pub fn is_complete(&self) -> bool {
+        self.report.metrics.complete_after_ms.is_some()
     }
 
     /// Judges what had to have come by the end.
     pub fn finish(mut self, now: Micros) -> GroupReport {
         if let Some(quiet) = self.quiet {
-            let limit = self.limits.whole_again;
-            let late = match self.report.figures.whole_after_ms {
+            let limit = self.limits.recovery_time;
+            let late = match self.report.metrics.complete_after_ms {
                 Some(ms) => ms > to_ms(limit),
                 None => now - quiet > limit,
             };
@@ -500,7 +517,7 @@
                             odd.map(|of| format!("{} {}", of.name, of.state)).collect();
                         format!(
                             "{} {} [{}] at {:.0} ms",
-                            account.standing,
+                            account.quorum_status,
                             account.digest,
                             odd.join(", "),
                             to_ms(*at)
--- a/crates/stairfront-emulator/src/group_script.rs
+++ b/crates/stairfront-emulator/src/group_script.rs
@@ -2,13 +2,13 @@
 //! acts, the same for the same seed. A script has a budget, and ends with all processes started and all links whole.
 use serde::{Deserialize, Serialize};
 
-use crate::dice::Dice;
 use crate::links::LinkFault;
-use crate::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, to_ms, Micros, MS, SECOND};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum GroupFault {
     /// Links in one direction each.
     Links {
         pairs: Vec<(usize, usize)>,
@@ -19,86 +19,115 @@
     /// The border moves by one member every so often, without healing in between.
     MovingSplit { side: Vec<usize>, each_ms: f64 },
     /// SIGKILL; started again at the end, with its disk or without.
-    Kill { who: Vec<usize>, empty: bool },
+    Kill {
+        #[serde(rename = "who")]
+        members: Vec<usize>,
+        empty: bool,
+    },
     /// SIGTERM; started again at the end.
-    Term { who: usize },
+    Term {
+        #[serde(rename = "who")]
+        member: usize,
+    },
     /// SIGKILL; started again at the end at another address.
-    Move { who: usize },
+    Move {
+        #[serde(rename = "who")]
+        member: usize,
+    },
     /// SIGSTOP, and SIGCONT at the end.
-    Pause { who: usize },
+    Pause {
+        #[serde(rename = "who")]
+        member: usize,
+    },
     /// Gets a small part of a core: stopped for most of each tenth of a second.
-    Starve { who: usize },
+    #[serde(rename = "starve")]
+    StarveCpu {
+        #[serde(rename = "who")]
+        member: usize,
+    },
     /// A second process with a name that is in use, at another address.
-    Namesake { who: usize },
+    #[serde(rename = "namesake")]
+    DuplicateName {
+        #[serde(rename = "who")]
+        member: usize,
+    },
     /// Restarted one after the other, killed each time.
-    Rolling { each_ms: f64, who: Vec<usize> },
+    Rolling {
+        each_ms: f64,
+        #[serde(rename = "who")]
+        members: Vec<usize>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TimedTrouble {
+pub struct TimedGroupFault {
     pub at_ms: f64,
-    pub lasts_ms: f64,
-    pub trouble: Trouble,
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: f64,
+    #[serde(rename = "trouble")]
+    pub fault: GroupFault,
 }
 
 /// One act on a group.
 #[derive(Clone, Debug, PartialEq)]
-pub enum GroupAct {
-    Lay {
-        number: u64,
+pub enum GroupAction {
+    AddLinkFault {
+        id: u64,
         pairs: Vec<(usize, usize)>,
         fault: LinkFault,
     },
-    Lift {
-        number: u64,
+    RemoveLinkFault {
+        id: u64,
     },
     Kill {
-        who: usize,
+        member: usize,
         empty: bool,
     },
     Start {
-        who: usize,
+        member: usize,
     },
     Term {
-        who: usize,
+        member: usize,
     },
     Pause {
-        who: usize,
+        member: usize,
     },
-    Wake {
-        who: usize,
+    Resume {
+        member: usize,
     },
     /// Its next start is at its other address.
     Move {
-        who: usize,
+        member: usize,
     },
-    StartNamesake {
-        who: usize,
+    StartDuplicate {
+        member: usize,
     },
-    StopNamesake {
-        who: usize,
+    StopDuplicate {
+        member: usize,
     },
 }
 
 /// How much a drawn script may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Budget {
-    pub troubles: usize,
+pub struct FaultBudget {
+    #[serde(rename = "troubles")]
+    pub max_faults: usize,
     /// From the first to the end of the last.
     pub span_s: f64,
     /// The longest that one lasts.
-    pub longest_s: f64,
+    #[serde(rename = "longest_s")]
+    pub max_duration_s: f64,
     /// Whether kinds of trouble that touch processes are drawn, or links alone.
     pub processes: bool,
 }
 
-impl Default for Budget {
+impl Default for FaultBudget {
     fn default() -> Self {
-        Budget {
-            troubles: 5,
+        FaultBudget {
+            max_faults: 5,
             span_s: 18.0,
-            longest_s: 11.0,
+            max_duration_s: 11.0,
             processes: true,
         }
     }
@@ -107,18 +136,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupScript {
     pub members: usize,
-    pub troubles: Vec<TimedTrouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<TimedGroupFault>,
 }
 
 impl GroupScript {
-    pub fn draw(seed: u64, members: usize, budget: Budget, first: Micros) -> Self {
-        let mut dice = Dice::new(seed, "group-script");
+    pub fn draw(seed: u64, members: usize, budget: FaultBudget, first: Micros) -> Self {
+        let mut dice = SeededRng::for_part(seed, "group-script");
         let mut troubles = Vec::new();
         // Danger: two troubles of one process at once have no meaning, such as a start of one that is paused.
         let mut busy: Vec<Vec<(f64, f64)>> = vec![Vec::new(); members];
         let span_ms = budget.span_s * 1e3;
-        for _ in 0..budget.troubles {
-            let lasts_ms = 1_000.0 + dice.unit() * (budget.longest_s * 1e3 - 1_000.0).max(0.0);
+        for _ in 0..budget.max_faults {
+            let lasts_ms = 1_000.0 + dice.unit() * (budget.max_duration_s * 1e3 - 1_000.0).max(0.0);
             let lasts_ms = lasts_ms.min(span_ms);
             let at_ms = to_ms(first) + dice.unit() * (span_ms - lasts_ms);
             let trouble = draw_one(&mut dice, members, budget.processes);
@@ -133,44 +163,50 @@
                 continue;
             }
             who.iter().for_each(|who| busy[*who].push(window));
-            troubles.push(TimedTrouble {
+            troubles.push(TimedGroupFault {
                 at_ms,
-                lasts_ms,
-                trouble,
+                duration_ms: lasts_ms,
+                fault: trouble,
             });
         }
         troubles.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-        GroupScript { members, troubles }
+        GroupScript {
+            members,
+            faults: troubles,
+        }
     }
 
     /// When the last of them is over.
-    pub fn ends(&self) -> Micros {
-        self.troubles
+    pub fn end(&self) -> Micros {
+        self.faults
             .iter()
-            .map(|t| from_ms(t.at_ms + t.lasts_ms))
+            .map(|t| from_ms(t.at_ms + t.duration_ms))
             .max()
             .unwrap_or(0)
     }
 
-    pub fn words(&self) -> Vec<String> {
-        let one = |t: &TimedTrouble| {
-            let (from, to) = (t.at_ms / 1e3, (t.at_ms + t.lasts_ms) / 1e3);
+    pub fn describe(&self) -> Vec<String> {
+        let one = |t: &TimedGroupFault| {
+            let (from, to) = (t.at_ms / 1e3, (t.at_ms + t.duration_ms) / 1e3);
             format!(
                 "{from:6.2} to {to:6.2} s: {}",
-                t.trouble.words(self.members)
+                t.fault.describe(self.members)
             )
         };
-        self.troubles.iter().map(one).collect()
+        self.faults.iter().map(one).collect()
     }
 
     /// In order of time.
-    pub fn acts(&self) -> Vec<(Micros, GroupAct)> {
+    pub fn actions(&self) -> Vec<(Micros, GroupAction)> {
         let mut acts = Vec::new();
-        for (i, timed) in self.troubles.iter().enumerate() {
-            let (from, to) = (from_ms(timed.at_ms), from_ms(timed.at_ms + timed.lasts_ms));
+        for (i, timed) in self.faults.iter().enumerate() {
+            let (from, to) = (
+                from_ms(timed.at_ms),
+                from_ms(timed.at_ms + timed.duration_ms),
+            );
             // Room for the borders of one that moves.
             lay_out(
-                &timed.trouble,
+                &timed.fault,
                 self.members,
                 i as u64 * 1000,
                 (from, to),
@@ -183,27 +219,29 @@
 }
 
 fn lay_out(
-    trouble: &Trouble,
+    trouble: &GroupFault,
     members: usize,
     number: u64,
     (from, to): (Micros, Micros),
-    acts: &mut Vec<(Micros, GroupAct)>,
+    acts: &mut Vec<(Micros, GroupAction)>,
 ) {
     let mut links = |number, pairs, fault, from, to| {
         acts.push((
             from,
-            GroupAct::Lay {
-                number,
+            GroupAction::AddLinkFault {
+                id: number,
                 pairs,
                 fault,
             },
         ));
-        acts.push((to, GroupAct::Lift { number }));
+        acts.push((to, GroupAction::RemoveLinkFault { id: number }));
     };
     match trouble {
-        Trouble::Links { pairs, fault } => links(number, pairs.clone(), *fault, from, to),
-        Trouble::Split { side } => links(number, border(members, side), LinkFault::Cut, from, to),
-        Trouble::MovingSplit { side, each_ms } => {
+        GroupFault::Links { pairs, fault } => links(number, pairs.clone(), *fault, from, to),
+        GroupFault::Split { side } => {
+            links(number, border(members, side), LinkFault::Cut, from, to)
+        }
+        GroupFault::MovingSplit { side, each_ms } => {
             let each = from_ms(*each_ms).max(100 * MS);
             for step in 0..((to - from) / each).max(1) {
                 let moved: Vec<usize> = side
@@ -225,60 +263,69 @@
                 );
             }
         }
-        Trouble::Kill { who, empty } => {
+        GroupFault::Kill {
+            members: who,
+            empty,
+        } => {
             for who in who {
                 acts.push((
                     from,
-                    GroupAct::Kill {
-                        who: *who,
+                    GroupAction::Kill {
+                        member: *who,
                         empty: *empty,
                     },
                 ));
-                acts.push((to, GroupAct::Start { who: *who }));
+                acts.push((to, GroupAction::Start { member: *who }));
             }
         }
-        Trouble::Term { who } => {
-            acts.push((from, GroupAct::Term { who: *who }));
-            acts.push((to, GroupAct::Start { who: *who }));
+        GroupFault::Term { member: who } => {
+            acts.push((from, GroupAction::Term { member: *who }));
+            acts.push((to, GroupAction::Start { member: *who }));
         }
-        Trouble::Move { who } => {
+        GroupFault::Move { member: who } => {
             acts.push((
                 from,
-                GroupAct::Kill {
-                    who: *who,
+                GroupAction::Kill {
+                    member: *who,
                     empty: true,
                 },
             ));
-            acts.push((from, GroupAct::Move { who: *who }));
-            acts.push((to, GroupAct::Start { who: *who }));
+            acts.push((from, GroupAction::Move { member: *who }));
+            acts.push((to, GroupAction::Start { member: *who }));
         }
-        Trouble::Pause { who } => {
-            acts.push((from, GroupAct::Pause { who: *who }));
-            acts.push((to, GroupAct::Wake { who: *who }));
+        GroupFault::Pause { member: who } => {
+            acts.push((from, GroupAction::Pause { member: *who }));
+            acts.push((to, GroupAction::Resume { member: *who }));
         }
-        Trouble::Starve { who } => {
+        GroupFault::StarveCpu { member: who } => {
             let mut at = from;
             while at < to {
-                acts.push((at, GroupAct::Pause { who: *who }));
-                acts.push((at + 95 * MS, GroupAct::Wake { who: *who }));
+                acts.push((at, GroupAction::Pause { member: *who }));
+                acts.push((at + 95 * MS, GroupAction::Resume { member: *who }));
                 at += 100 * MS;
             }
         }
-        Trouble::Namesake { who } => {
-            acts.push((from, GroupAct::StartNamesake { who: *who }));
-            acts.push((to, GroupAct::StopNamesake { who: *who }));
+        GroupFault::DuplicateName { member: who } => {
+            acts.push((from, GroupAction::StartDuplicate { member: *who }));
+            acts.push((to, GroupAction::StopDuplicate { member: *who }));
         }
-        Trouble::Rolling { each_ms, who } => {
+        GroupFault::Rolling {
+            each_ms,
+            members: who,
+        } => {
             for (i, who) in who.iter().enumerate() {
                 let at = from + i as Micros * from_ms(*each_ms);
                 acts.push((
                     at,
-                    GroupAct::Kill {
-                        who: *who,
+                    GroupAction::Kill {
+                        member: *who,
                         empty: true,
                     },
                 ));
-                acts.push((at + from_ms(*each_ms / 2.0), GroupAct::Start { who: *who }));
+                acts.push((
+                    at + from_ms(*each_ms / 2.0),
+                    GroupAction::Start { member: *who },
+                ));
             }
         }
     }
@@ -298,9 +345,9 @@
     pairs.filter(|(from, to)| from != to).collect()
 }
 
-fn draw_one(dice: &mut Dice, members: usize, processes: bool) -> Trouble {
-    let one = |dice: &mut Dice| dice.below(members as u64) as usize;
-    let some = |dice: &mut Dice, most: usize| {
+fn draw_one(dice: &mut SeededRng, members: usize, processes: bool) -> GroupFault {
+    let one = |dice: &mut SeededRng| dice.below(members as u64) as usize;
+    let some = |dice: &mut SeededRng, most: usize| {
         let mut all: Vec<usize> = (0..members).collect();
         let wanted = 1 + dice.below(most.max(1) as u64) as usize;
         while all.len() > wanted {
@@ -308,11 +355,11 @@
         }
         all
     };
-    match dice.below(if processes { 16 } else { 9 }) {
-        0 => Trouble::Split {
+    match dice.below(if processes { 16_u64 } else { 9 }) {
+        0 => GroupFault::Split {
             side: some(dice, members - 1),
         },
-        1 => Trouble::MovingSplit {
+        1 => GroupFault::MovingSplit {
             side: some(dice, members / 2),
             each_ms: 1_000.0 + dice.unit() * 3_000.0,
         },
@@ -323,14 +370,14 @@
                 .filter(|to| *to != who)
                 .map(|to| (who, to))
                 .collect();
-            Trouble::Links {
+            GroupFault::Links {
                 pairs,
                 fault: LinkFault::Cut,
             }
         }
         3 => {
             let (from, to) = (one(dice), one(dice));
-            Trouble::Links {
+            GroupFault::Links {
                 pairs: vec![(from, to), (to, from)],
                 fault: LinkFault::Cut,
             }
@@ -338,7 +385,7 @@
         4 => {
             let who = one(dice);
             let pairs = border(members, &[who]);
-            Trouble::Links {
+            GroupFault::Links {
                 pairs,
                 fault: LinkFault::Flap {
                     period_ms: 400.0 + dice.unit() * 3_000.0,
@@ -350,13 +397,13 @@
                 chance: 0.05,
                 datagrams: 6.0,
             };
-            Trouble::Links {
+            GroupFault::Links {
                 pairs: all_links(members),
                 fault,
             }
         }
         6 => {
-            let fault = match dice.below(4) {
+            let fault = match dice.below(4_u64) {
                 0 => LinkFault::Loss { chance: 0.1 },
                 1 => LinkFault::Slow {
                     latency_ms: 10.0,
@@ -365,95 +412,104 @@
                 2 => LinkFault::Double { chance: 0.5 },
                 _ => LinkFault::Reorder { chance: 0.5 },
             };
-            Trouble::Links {
+            GroupFault::Links {
                 pairs: all_links(members),
                 fault,
             }
         }
         7 => {
-            let fault = match dice.below(3) {
+            let fault = match dice.below(3_u64) {
                 0 => LinkFault::Spoil { chance: 0.1 },
                 1 => LinkFault::Truncate { chance: 0.1 },
                 _ => LinkFault::HalfOpen,
             };
-            Trouble::Links {
+            GroupFault::Links {
                 pairs: all_links(members),
                 fault,
             }
         }
         8 => {
             let who = one(dice);
-            Trouble::Links {
+            GroupFault::Links {
                 pairs: border(members, &[who]),
                 fault: LinkFault::Rate {
                     bytes_per_s: 20_000.0,
                 },
             }
         }
-        9 | 10 => Trouble::Kill {
-            who: some(dice, members / 2),
+        9 | 10 => GroupFault::Kill {
+            members: some(dice, members / 2),
             empty: dice.happens(0.5),
         },
-        11 if dice.happens(0.5) => Trouble::Move { who: one(dice) },
-        11 => Trouble::Term { who: one(dice) },
-        12 | 13 => Trouble::Pause { who: one(dice) },
-        14 if dice.happens(0.5) => Trouble::Starve { who: one(dice) },
-        14 => Trouble::Namesake { who: one(dice) },
-        _ if dice.happens(0.3) => Trouble::Kill {
-            who: (0..members).collect(),
+        11 if dice.happens(0.5) => GroupFault::Move { member: one(dice) },
+        11 => GroupFault::Term { member: one(dice) },
+        12 | 13 => GroupFault::Pause { member: one(dice) },
+        14 if dice.happens(0.5) => GroupFault::StarveCpu { member: one(dice) },
+        14 => GroupFault::DuplicateName { member: one(dice) },
+        _ if dice.happens(0.3) => GroupFault::Kill {
+            members: (0..members).collect(),
             empty: dice.happens(0.5),
         },
-        _ => Trouble::Rolling {
+        _ => GroupFault::Rolling {
             each_ms: 700.0,
-            who: some(dice, members.div_ceil(3)),
+            members: some(dice, members.div_ceil(3)),
         },
     }
 }
 
-impl Trouble {
+impl GroupFault {
     /// Processes that it starts, stops or ends.
     fn processes(&self) -> Vec<usize> {
         match self {
-            Trouble::Kill { who, .. } | Trouble::Rolling { who, .. } => who.clone(),
-            Trouble::Term { who } | Trouble::Pause { who } | Trouble::Move { who } => vec![*who],
-            Trouble::Starve { who } | Trouble::Namesake { who } => vec![*who],
-            Trouble::Links { .. } | Trouble::Split { .. } | Trouble::MovingSplit { .. } => {
-                Vec::new()
+            GroupFault::Kill { members: who, .. } | GroupFault::Rolling { members: who, .. } => {
+                who.clone()
+            }
+            GroupFault::Term { member: who }
+            | GroupFault::Pause { member: who }
+            | GroupFault::Move { member: who } => vec![*who],
+            GroupFault::StarveCpu { member: who } | GroupFault::DuplicateName { member: who } => {
+                vec![*who]
             }
+            GroupFault::Links { .. }
+            | GroupFault::Split { .. }
+            | GroupFault::MovingSplit { .. } => Vec::new(),
         }
     }
 
     /// All that it names.
     pub fn touched(&self) -> Vec<usize> {
         match self {
-            Trouble::Links { pairs, .. } => {
+            GroupFault::Links { pairs, .. } => {
                 pairs.iter().flat_map(|(from, to)| [*from, *to]).collect()
             }
-            Trouble::Split { side } | Trouble::MovingSplit { side, .. } => side.clone(),
+            GroupFault::Split { side } | GroupFault::MovingSplit { side, .. } => side.clone(),
             _ => self.processes(),
         }
     }
 
-    fn words(&self, members: usize) -> String {
+    fn describe(&self, members: usize) -> String {
         match self {
-            Trouble::Links { pairs, fault } if pairs.len() == members * (members - 1) => {
+            GroupFault::Links { pairs, fault } if pairs.len() == members * (members - 1) => {
                 format!("all links: {fault:?}")
             }
-            Trouble::Links { pairs, fault } => {
+            GroupFault::Links { pairs, fault } => {
                 let pairs: Vec<String> = pairs
                     .iter()
                     .map(|(from, to)| format!("{from}>{to}"))
                     .collect();
                 format!("links {}: {fault:?}", pairs.join(" "))
             }
-            Trouble::Split { side } => format!("{side:?} cut off from the rest"),
-            Trouble::MovingSplit { side, each_ms } => {
+            GroupFault::Split { side } => format!("{side:?} cut off from the rest"),
+            GroupFault::MovingSplit { side, each_ms } => {
                 format!(
                     "{side:?} cut off from the rest, the border moving by one each {:.1} s",
                     each_ms / 1e3
                 )
             }
-            Trouble::Kill { who, empty } => {
+            GroupFault::Kill {
+                members: who,
+                empty,
+            } => {
                 format!(
                     "{who:?} killed, started again {}",
                     if *empty {
@@ -463,12 +519,19 @@
                     }
                 )
             }
-            Trouble::Term { who } => format!("{who} told to stop, started again"),
-            Trouble::Move { who } => format!("{who} killed, started again at another address"),
-            Trouble::Pause { who } => format!("{who} paused"),
-            Trouble::Starve { who } => format!("{who} gets a twentieth of a core"),
-            Trouble::Namesake { who } => format!("a second process is called as {who}"),
-            Trouble::Rolling { each_ms, who } => {
+            GroupFault::Term { member: who } => format!("{who} told to stop, started again"),
+            GroupFault::Move { member: who } => {
+                format!("{who} killed, started again at another address")
+            }
+            GroupFault::Pause { member: who } => format!("{who} paused"),
+            GroupFault::StarveCpu { member: who } => format!("{who} gets a twentieth of a core"),
+            GroupFault::DuplicateName { member: who } => {
+                format!("a second process is called as {who}")
+            }
+            GroupFault::Rolling {
+                each_ms,
+                members: who,
+            } => {
                 format!(
                     "{who:?} restarted without a disk, one each {:.1} s",
                     each_ms / 1e3
--- a/crates/stairfront-emulator/src/lib.rs
+++ b/crates/stairfront-emulator/src/lib.rs
@@ -4,16 +4,16 @@
 //! Events and a time go in, actions come out. Nothing here opens a socket, reads a clock or starts a thread: the same
 //! models run on loopback sockets (`stairfront-lab`) and wherever else events and a time can be had. Times are whole
 //! microseconds since the start of a run. The same settings and seed give the same arrivals and the same draws.
-pub mod agent;
 pub mod arrivals;
 pub mod cache_host;
 pub mod client;
-pub mod dice;
+pub mod discovery_agent;
+pub mod distributions;
 pub mod faults;
-pub mod group;
+pub mod group_observer;
 pub mod group_script;
 pub mod links;
 pub mod origin;
 pub mod rules;
-pub mod time;
-pub mod workers;
+pub mod settings_error;
+pub mod worker_pool;
--- a/crates/stairfront-emulator/src/links.rs
+++ b/crates/stairfront-emulator/src/links.rs
@@ -4,8 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::dice::Dice;
-use crate::time::{from_ms, Micros, MS, SECOND};
+use crate::distributions::exponential;
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, Micros, MS, SECOND};
 
 /// What a link does to what goes one way over it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -94,19 +95,25 @@
 pub struct Links {
     count: usize,
     links: Vec<Link>,
-    dice: Dice,
+    dice: SeededRng,
 }
 
-/// A datagram that arrives: after how long, and as what.
-pub type Arrival = (Micros, Vec<u8>);
+/// A datagram that arrives.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Delivery {
+    /// Time from the moment that it was sent.
+    pub delay: Micros,
+    /// What arrives, which a fault may have changed.
+    pub bytes: Vec<u8>,
+}
 
 /// What becomes of a stream's bytes at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum StreamDelivery {
     /// They go on after so long.
-    After(Micros),
+    Delayed(Micros),
     /// Neither bytes nor an end go on: the link is silent.
-    Silent,
+    Blocked,
 }
 
 impl Links {
@@ -114,12 +121,18 @@
         Links {
             count,
             links: vec![Link::default(); count * count],
-            dice: Dice::new(seed, "links"),
+            dice: SeededRng::for_part(seed, "links"),
         }
     }
 
     /// Lays a fault over links, under a number by which it is lifted.
-    pub fn lay(&mut self, now: Micros, number: u64, pairs: &[(usize, usize)], fault: LinkFault) {
+    pub fn add_fault(
+        &mut self,
+        now: Micros,
+        number: u64,
+        pairs: &[(usize, usize)],
+        fault: LinkFault,
+    ) {
         for (from, to) in pairs
             .iter()
             .filter(|(from, to)| *from < self.count && *to < self.count)
@@ -130,7 +143,7 @@
         }
     }
 
-    pub fn lift(&mut self, number: u64) {
+    pub fn remove_fault(&mut self, number: u64) {
         for link in &mut self.links {
             link.faults.remove(&number);
             if link.faults.is_empty() {
@@ -139,7 +152,13 @@
         }
     }
 
-    pub fn datagram(&mut self, now: Micros, from: usize, to: usize, bytes: &[u8]) -> Vec<Arrival> {
+    pub fn send_datagram(
+        &mut self,
+        now: Micros,
+        from: usize,
+        to: usize,
+        bytes: &[u8],
+    ) -> Vec<Delivery> {
         let Some(link) = self.links.get_mut(from * self.count + to) else {
             return Vec::new();
         };
@@ -156,7 +175,7 @@
                 LinkFault::Loss { chance } if dice.happens(chance) => return Vec::new(),
                 LinkFault::Bursts { chance, datagrams } => {
                     if link.burst == 0 && dice.happens(chance) {
-                        link.burst = (datagrams * dice.gap()).ceil() as u64;
+                        link.burst = (datagrams * exponential(dice)).ceil() as u64;
                     }
                     if link.burst > 0 {
                         link.burst -= 1;
@@ -175,7 +194,7 @@
                 }
                 LinkFault::Spoil { chance } if !bytes.is_empty() && dice.happens(chance) => {
                     let at = dice.below(bytes.len() as u64) as usize;
-                    bytes[at] ^= 1 + dice.below(255) as u8;
+                    bytes[at] ^= 1 + dice.below(255_u64) as u8;
                 }
                 LinkFault::Truncate { chance } if dice.happens(chance) => {
                     bytes.truncate(dice.below(bytes.len() as u64) as usize);
@@ -192,25 +211,32 @@
                 _ => {}
             }
         }
-        let mut arrivals = vec![(delay, bytes)];
+        let mut arrivals = vec![Delivery { delay, bytes }];
         if twice {
-            let (delay, bytes) = arrivals[0].clone();
-            arrivals.push((delay + dice.below(20 * MS as u64) as Micros, bytes));
+            let mut duplicate = arrivals[0].clone();
+            duplicate.delay += dice.below(20 * MS as u64) as Micros;
+            arrivals.push(duplicate);
         }
         arrivals
     }
 
     /// What becomes now of so many bytes of a stream. A stream is not lossy: what loses datagrams only slows it.
-    pub fn stream(&mut self, now: Micros, from: usize, to: usize, bytes: usize) -> Passage {
+    pub fn send_stream(
+        &mut self,
+        now: Micros,
+        from: usize,
+        to: usize,
+        bytes: usize,
+    ) -> StreamDelivery {
         let Some(link) = self.links.get(from * self.count + to) else {
-            return Passage::Silent;
+            return StreamDelivery::Blocked;
         };
         let mut delay = LATENCY;
         for (fault, since) in link.faults.values() {
             match *fault {
-                LinkFault::Cut | LinkFault::HalfOpen => return Passage::Silent,
+                LinkFault::Cut | LinkFault::HalfOpen => return StreamDelivery::Blocked,
                 LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => {
-                    return Passage::Silent
+                    return StreamDelivery::Blocked
                 }
                 LinkFault::Slow {
                     latency_ms,
@@ -225,7 +251,7 @@
                 _ => {}
             }
         }
-        Passage::After(delay)
+        StreamDelivery::Delayed(delay)
     }
 }
 
--- a/crates/stairfront-emulator/src/origin.rs
+++ b/crates/stairfront-emulator/src/origin.rs
@@ -4,10 +4,12 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::cache_host::{made_value, Ticket};
-use crate::dice::{Dice, ServiceTime};
-use crate::time::{from_ms, Micros, MS};
-use crate::workers::Workers;
+use crate::cache_host::{value_for, ReplySlot};
+use crate::distributions::ServiceTime;
+use crate::settings_error::{validate_times, SettingsError};
+use crate::worker_pool::WorkerPool;
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, Micros, MS};
 
 /// Grain of the window in which the work sent is added up.
 const WINDOW_PART: Micros = 50 * MS;
@@ -19,9 +21,11 @@
     pub read: ServiceTime,
     pub write: ServiceTime,
     /// Most requests that wait for a core; more are turned away with 503 and `Not-Started`.
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub max_queue: usize,
     /// Chance that a request fails with 500 after its work.
-    pub errors: f64,
+    #[serde(rename = "errors")]
+    pub error_rate: f64,
     /// Sent so many times its capacity for so long, it stops for a while; 0 for never. Milliseconds.
     pub stop_multiple: f64,
     pub stop_window_ms: f64,
@@ -35,16 +39,16 @@
             cores: 8,
             read: ServiceTime {
                 mean_ms: 40.0,
-                shape: crate::dice::Shape::Lognormal,
+                distribution: crate::distributions::Distribution::Lognormal,
                 spread: 0.4,
             },
             write: ServiceTime {
                 mean_ms: 40.0,
-                shape: crate::dice::Shape::Lognormal,
+                distribution: crate::distributions::Distribution::Lognormal,
                 spread: 0.4,
             },
-            queue: 100,
-            errors: 0.0,
+            max_queue: 100,
+            error_rate: 0.0,
             stop_multiple: 2.5,
             stop_window_ms: 3_000.0,
             stopped_ms: 4_000.0,
@@ -54,24 +58,29 @@
 }
 
 impl OriginSettings {
-    /// The first key with a fault, and what is wrong.
-    pub fn fault(&self) -> Option<(&'static str, String)> {
+    /// Checks that each value is in its range.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is out of its range.
+    pub fn validate(&self) -> Result<(), SettingsError> {
         for (key, service) in [("read", self.read), ("write", self.write)] {
-            if let Some(problem) = service.problem() {
-                return Some((key, problem.to_string()));
-            }
+            service
+                .validate()
+                .map_err(|error| SettingsError::new(key, error.to_string()))?;
         }
-        if !(0.0..=1.0).contains(&self.errors) {
-            return Some(("errors", "must be between 0 and 1".to_string()));
+        if !(0.0..=1.0).contains(&self.error_rate) {
+            return Err(SettingsError::new("errors", "must be between 0 and 1"));
         }
-        let bad = |ms: f64| !(0.0..=86_400_000.0).contains(&ms);
-        if bad(self.stop_window_ms) || bad(self.stopped_ms) {
-            return Some((
-                "stop_window_ms",
-                "must be a time in milliseconds, a day at most".to_string(),
-            ));
+        // Both times are reported under the first one's key.
+        validate_times(&[
+            ("stop_window_ms", self.stop_window_ms),
+            ("stop_window_ms", self.stopped_ms),
+        ])?;
+        if self.cores == 0 || self.cores > 1024 {
+            return Err(SettingsError::new("cores", "must be 1 to 1024"));
         }
-        (self.cores == 0 || self.cores > 1024).then(|| ("cores", "must be 1 to 1024".to_string()))
+        Ok(())
     }
 
     /// Reads a second that all its cores can do.
@@ -90,11 +99,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// 200 with this body.
-    Value(Ticket, Bytes),
+    Value(ReplySlot, Bytes),
     /// 500: it may have run.
-    Failed(Ticket),
+    Failed(ReplySlot),
     /// 503 with `Not-Started`.
-    NotStarted(Ticket),
+    NotStarted(ReplySlot),
     /// The value goes to the caches that missed for this request.
     Filled { id: Bytes },
     /// A write has taken effect; the copies of its key are void.
@@ -106,8 +115,8 @@
 #[derive(Debug)]
 pub struct Origin {
     set: OriginSettings,
-    dice: Dice,
-    workers: Workers<(Ticket, Request)>,
+    dice: SeededRng,
+    workers: WorkerPool<(ReplySlot, Request)>,
     slow: f64,
     sent: VecDeque<(Micros, f64)>,
     sum: f64,
@@ -120,8 +129,8 @@
 impl Origin {
     pub fn new(set: OriginSettings, seed: u64) -> Self {
         Origin {
-            dice: Dice::new(seed, "origin"),
-            workers: Workers::new(set.cores, set.queue),
+            dice: SeededRng::for_part(seed, "origin"),
+            workers: WorkerPool::new(set.cores, set.max_queue),
             slow: 1.0,
             sent: VecDeque::new(),
             sum: 0.0,
@@ -132,12 +141,12 @@
         }
     }
 
-    pub fn set_slow(&mut self, factor: f64) {
+    pub fn set_slowdown(&mut self, factor: f64) {
         self.slow = factor.max(1e-3);
     }
 
     /// The most that it was sent within its window, over its capacity.
-    pub fn worst(&self) -> f64 {
+    pub fn max_load_ratio(&self) -> f64 {
         self.worst
     }
 
@@ -145,10 +154,10 @@
         self.workers.running() + self.workers.waiting()
     }
 
-    pub fn request(
+    pub fn handle_request(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         request: Request,
         actions: &mut Vec<Action>,
     ) {
@@ -206,12 +215,12 @@
     }
 
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        while let Some((_, (ticket, request))) = self.workers.take_done(now, 1.0 / self.slow) {
-            if self.dice.happens(self.set.errors) {
+        while let Some((_, (ticket, request))) = self.workers.take_finished(now, 1.0 / self.slow) {
+            if self.dice.happens(self.set.error_rate) {
                 actions.push(Action::Failed(ticket));
                 continue;
             }
-            let value = made_value(&request.id, &request.key, &self.filler);
+            let value = value_for(&request.id, &request.key, &self.filler);
             actions.push(match request.write {
                 true => Action::Written {
                     id: request.id,
--- a/crates/stairfront-emulator/src/rules.rs
+++ b/crates/stairfront-emulator/src/rules.rs
@@ -1,14 +1,14 @@
 //! The checker of the four rules: an observer that hears what clients sent and got and what servers began and ended,
 //! from each of them by itself, and decides with figures. It takes nothing a balancer says of itself.
 //!
-//! What it hears may come out of order by up to `Limits::horizon`: a request is judged so long after its end.
+//! What it hears may come out of order by up to `RuleLimits::horizon`: a request is judged so long after its end.
 use std::collections::{BTreeMap, VecDeque};
 
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
-use crate::client::Repeats;
-use crate::time::{to_ms, Micros, MS, SECOND};
+use crate::client::Idempotency;
+use stairfront_common::time::{to_ms, Micros, MS, SECOND};
 
 /// A process that goes on after it was stopped takes its time to answer what lay there meanwhile.
 const AFTER_SLEEP: Micros = 200 * MS;
@@ -16,59 +16,63 @@
 const MOST_EXAMPLES: usize = 8;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ClientAnswer {
     /// A value; whether it was made for this request.
     Value {
         own: bool,
     },
-    Refused,
+    Rejected,
     Failed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AnnouncedState {
     Serving,
     /// Draining or gone.
-    Leaving,
+    Draining,
 }
 
 /// What somebody saw, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A client sent a request to a balancer, which had taken it from then on.
-    Sent {
+    RequestSent {
         id: u64,
         class: u8,
         balancer: u16,
         deadline: Micros,
     },
     /// Its last byte of an answer came.
-    Answered { id: u64, answer: Answer },
+    Answered { id: u64, answer: ClientAnswer },
     /// A whole answer came that no request of the connection was owed.
-    Surplus { balancer: u16 },
+    UnsolicitedAnswer { balancer: u16 },
     /// The connection ended without an answer.
-    Lost { id: u64 },
+    ConnectionLost { id: u64 },
     /// The client closed the connection.
-    Left { id: u64 },
+    ClientClosed { id: u64 },
     /// A server had the last byte of an attempt, from a balancer.
-    Began {
+    AttemptStarted {
         attempt: u64,
         id: u64,
         host: u16,
         balancer: u16,
     },
     /// It answered, or the balancer's end of the connection was closed.
-    Ended { attempt: u64, id: u64, ran: bool },
+    AttemptEnded {
+        attempt: u64,
+        id: u64,
+        executed: bool,
+    },
     /// A request took effect, as opposed to a repeat that was dropped.
-    Effect { id: u64 },
+    EffectApplied { id: u64 },
     /// Discovery's agent wrote to a balancer what a host is.
-    Said {
+    Notified {
         balancer: u16,
         host: u16,
-        told: Told,
+        state: AnnouncedState,
     },
     /// A host fell over while cold.
-    FellOver { host: u16 },
+    HostCrashed { host: u16 },
     /// A cold host looked for a key that it lacked.
     ColdMiss { id: u64 },
     /// The origin stopped, pushed over; which part of its fetches of the last seconds came from cold misses is the
@@ -76,46 +80,46 @@
     OriginStopped,
     /// The group has said yes to a cordon of a host: from now on nothing new goes there, from that balancer or from any;
     /// or it may again.
-    Barred {
+    Cordoned {
         host: u16,
         balancer: Option<u16>,
-        on: bool,
+        cordoned: bool,
     },
     /// A balancer's process is stopped, or goes on: what it held meanwhile is nobody's fault.
-    BalancerStill { balancer: u16, still: bool },
+    BalancerPaused { balancer: u16, paused: bool },
     /// A balancer was killed: what it held is its clients' to retry. Also said of one that ended as told.
-    BalancerGone { balancer: u16 },
+    BalancerStopped { balancer: u16 },
 }
 
 /// What the rules allow.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct RuleLimits {
     /// Each time limit is so much longer.
     pub slack: Micros,
     /// Rule 3: from when on nothing new.
     pub grace: Micros,
-    pub most_attempts: usize,
-    pub may_overlap: bool,
+    pub max_attempts: usize,
+    pub allow_overlap: bool,
     /// What repeats of each class do.
-    pub classes: Vec<Repeats>,
+    pub classes: Vec<Idempotency>,
     /// How long after its end a request may still be spoken of.
     pub horizon: Micros,
     /// Part of cold misses among fetches from which a stop of the origin is theirs.
-    pub cold_part: f64,
+    pub max_cold_fraction: f64,
     /// Position of the origin among the hosts: drains do not befall it.
     pub origin: u16,
 }
 
-impl Default for Limits {
+impl Default for RuleLimits {
     fn default() -> Self {
-        Limits {
+        RuleLimits {
             slack: 50 * MS,
             grace: 250 * MS,
-            most_attempts: 3,
-            may_overlap: false,
-            classes: vec![Repeats::Safe],
+            max_attempts: 3,
+            allow_overlap: false,
+            classes: vec![Idempotency::Idempotent],
             horizon: 3 * SECOND,
-            cold_part: 0.5,
+            max_cold_fraction: 0.5,
             origin: u16::MAX,
         }
     }
@@ -124,13 +128,14 @@
 /// One rule: how often it was broken, and how.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Verdict {
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub violations: u64,
     pub examples: Vec<String>,
 }
 
 impl Verdict {
     fn breach(&mut self, text: impl FnOnce() -> String) {
-        self.broken += 1;
+        self.violations += 1;
         if self.examples.len() < MOST_EXAMPLES {
             self.examples.push(text());
         }
@@ -139,44 +144,55 @@
 
 /// The figures that the rules were decided by.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
-pub struct Figures {
+pub struct RuleMetrics {
     pub requests: u64,
     pub answered: u64,
     /// Requests that ended with their balancer, or whose client left.
     pub excused: u64,
     /// The latest answer past its client's time, in milliseconds (below 0: before).
-    pub latest_ms: f64,
+    #[serde(rename = "latest_ms")]
+    pub max_lateness_ms: f64,
     pub late: u64,
     pub attempts: u64,
     /// Attempts beyond the first of their request at a cache, and fetches beyond the first.
-    pub repeats: u64,
-    pub most_attempts: u64,
+    #[serde(rename = "repeats")]
+    pub retries: u64,
+    #[serde(rename = "most_attempts")]
+    pub max_attempts: u64,
     /// The longest that two attempts of one request were out together, in milliseconds.
-    pub longest_overlap_ms: f64,
+    #[serde(rename = "longest_overlap_ms")]
+    pub max_overlap_ms: f64,
     /// The most effects of a request that may have only one.
-    pub most_effects: u64,
-    pub notices: u64,
+    #[serde(rename = "most_effects")]
+    pub max_effects: u64,
+    #[serde(rename = "notices")]
+    pub drain_notices: u64,
     /// The latest new attempt after a balancer was told that its host leaves, in milliseconds.
-    pub latest_to_leaving_ms: f64,
+    #[serde(rename = "latest_to_leaving_ms")]
+    pub max_after_drain_ms: f64,
     /// The latest new attempt after a yes of the group to its host's cordon, in milliseconds.
-    pub latest_to_barred_ms: f64,
-    pub fell_over: u64,
+    #[serde(rename = "latest_to_barred_ms")]
+    pub max_after_cordon_ms: f64,
+    #[serde(rename = "fell_over")]
+    pub crashed_hosts: u64,
     pub origin_stops: u64,
     /// The largest part of cold misses among the fetches before a stop.
-    pub cold_part: f64,
+    #[serde(rename = "cold_part")]
+    pub max_cold_fraction: f64,
 }
 
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
-pub struct Report {
+pub struct RuleReport {
     /// 1: one final answer in the client's time. 2: no effect twice, no attempts together. 3: nothing new to a leaving
     /// server. 4: no cold server, nor the origin through cold misses, pushed over.
     pub rules: [Verdict; 4],
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub metrics: RuleMetrics,
 }
 
-impl Report {
+impl RuleReport {
     pub fn holds(&self) -> bool {
-        self.rules.iter().all(|rule| rule.broken == 0)
+        self.rules.iter().all(|rule| rule.violations == 0)
     }
 }
 
@@ -192,7 +208,7 @@
 #[derive(Default)]
 struct Case {
     sent: Option<(Micros, u8, u16, Micros)>,
-    answers: Vec<(Micros, Answer)>,
+    answers: Vec<(Micros, ClientAnswer)>,
     /// The client has left, or the connection was lost, then.
     left: Option<Micros>,
     lost: Option<Micros>,
@@ -201,14 +217,14 @@
     last: Micros,
 }
 
-pub struct Checker {
-    limits: Limits,
+pub struct RuleChecker {
+    limits: RuleLimits,
     cases: FxHashMap<u64, Case>,
     /// Requests by when they are looked at again, oldest first.
     order: VecDeque<(Micros, u64)>,
     now: Micros,
     /// What each balancer was last told of each host, and when; a leaving one from then on.
-    leaving: BTreeMap<(u16, u16), Vec<(Micros, Told)>>,
+    leaving: BTreeMap<(u16, u16), Vec<(Micros, AnnouncedState)>>,
     gone: FxHashMap<u16, Vec<Micros>>,
     /// What was said of cordons by the group, in order of time.
     barred: Vec<(Micros, u16, Option<u16>, bool)>,
@@ -218,16 +234,16 @@
     fetches: VecDeque<(Micros, u64)>,
     cold: FxHashMap<u64, Micros>,
     began: Vec<(Micros, u16, u16)>,
-    report: Report,
+    report: RuleReport,
 }
 
-impl Checker {
-    pub fn new(limits: Limits) -> Self {
-        let figures = Figures {
-            latest_ms: f64::NEG_INFINITY,
-            ..Figures::default()
+impl RuleChecker {
+    pub fn new(limits: RuleLimits) -> Self {
+        let figures = RuleMetrics {
+            max_lateness_ms: f64::NEG_INFINITY,
+            ..RuleMetrics::default()
         };
-        Checker {
+        RuleChecker {
             limits,
             cases: FxHashMap::default(),
             order: VecDeque::new(),
@@ -239,9 +255,9 @@
             fetches: VecDeque::new(),
             cold: FxHashMap::default(),
             began: Vec::new(),
-            report: Report {
-                figures,
-                ..Report::default()
+            report: RuleReport {
+                metrics: figures,
+                ..RuleReport::default()
             },
         }
     }
@@ -256,10 +272,10 @@
         case
     }
 
-    pub fn hear(&mut self, at: Micros, seen: Seen) {
+    pub fn observe(&mut self, at: Micros, seen: Observation) {
         self.now = self.now.max(at);
         match seen {
-            Seen::Sent {
+            Observation::RequestSent {
                 id,
                 class,
                 balancer,
@@ -267,16 +283,16 @@
             } => {
                 self.case(id, at).sent = Some((at, class, balancer, deadline));
             }
-            Seen::Answered { id, answer } => self.case(id, at).answers.push((at, answer)),
-            Seen::Surplus { balancer } => self.report.rules[0].breach(|| {
+            Observation::Answered { id, answer } => self.case(id, at).answers.push((at, answer)),
+            Observation::UnsolicitedAnswer { balancer } => self.report.rules[0].breach(|| {
                 format!(
                     "{:.1} ms: balancer {balancer} sent an answer that nobody was owed",
                     to_ms(at)
                 )
             }),
-            Seen::Lost { id } => self.case(id, at).lost = Some(at),
-            Seen::Left { id } => self.case(id, at).left = Some(at),
-            Seen::Began {
+            Observation::ConnectionLost { id } => self.case(id, at).lost = Some(at),
+            Observation::ClientClosed { id } => self.case(id, at).left = Some(at),
+            Observation::AttemptStarted {
                 attempt,
                 id,
                 host,
@@ -304,7 +320,11 @@
                     }),
                 }
             }
-            Seen::Ended { attempt, id, ran } => {
+            Observation::AttemptEnded {
+                attempt,
+                id,
+                executed: ran,
+            } => {
                 let case = self.case(id, at);
                 match case
                     .attempts
@@ -324,40 +344,44 @@
                     }
                 }
             }
-            Seen::Effect { id } => self.case(id, at).effects += 1,
-            Seen::Said {
+            Observation::EffectApplied { id } => self.case(id, at).effects += 1,
+            Observation::Notified {
                 balancer,
                 host,
-                told,
+                state: told,
             } => {
-                self.report.figures.notices += u64::from(told == Told::Leaving);
+                self.report.metrics.drain_notices += u64::from(told == AnnouncedState::Draining);
                 self.leaving
                     .entry((balancer, host))
                     .or_default()
                     .push((at, told));
             }
-            Seen::FellOver { host } => {
-                self.report.figures.fell_over += 1;
+            Observation::HostCrashed { host } => {
+                self.report.metrics.crashed_hosts += 1;
                 self.report.rules[3]
                     .breach(|| format!("{:.1} ms: cold host {host} fell over", to_ms(at)));
             }
-            Seen::ColdMiss { id } => {
+            Observation::ColdMiss { id } => {
                 self.cold.insert(id, at);
             }
-            Seen::OriginStopped => self.origin_stopped(at),
-            Seen::Barred { host, balancer, on } => self.barred.push((at, host, balancer, on)),
-            Seen::BalancerStill {
+            Observation::OriginStopped => self.origin_stopped(at),
+            Observation::Cordoned {
+                host,
                 balancer,
-                still: true,
+                cordoned: on,
+            } => self.barred.push((at, host, balancer, on)),
+            Observation::BalancerPaused {
+                balancer,
+                paused: true,
             } => {
                 self.still
                     .entry(balancer)
                     .or_default()
                     .push((at, Micros::MAX));
             }
-            Seen::BalancerStill {
+            Observation::BalancerPaused {
                 balancer,
-                still: false,
+                paused: false,
             } => {
                 if let Some(last) = self
                     .still
@@ -367,7 +391,9 @@
                     last.1 = at;
                 }
             }
-            Seen::BalancerGone { balancer } => self.gone.entry(balancer).or_default().push(at),
+            Observation::BalancerStopped { balancer } => {
+                self.gone.entry(balancer).or_default().push(at)
+            }
         }
     }
 
@@ -378,10 +404,10 @@
             .filter(|(_, id)| self.cold.contains_key(id))
             .count();
         let part = cold as f64 / self.fetches.len().max(1) as f64;
-        let figures = &mut self.report.figures;
+        let figures = &mut self.report.metrics;
         figures.origin_stops += 1;
-        figures.cold_part = figures.cold_part.max(part);
-        if part >= self.limits.cold_part {
+        figures.max_cold_fraction = figures.max_cold_fraction.max(part);
+        if part >= self.limits.max_cold_fraction {
             self.report.rules[3].breach(|| {
                 format!(
                     "{:.1} ms: the origin stopped, {part:.2} of its fetches from cold misses",
@@ -392,15 +418,15 @@
     }
 
     /// Judges all requests that nothing more can be heard of; to be called now and then.
-    pub fn settle(&mut self) {
+    pub fn judge_finished(&mut self) {
         self.settle_before(self.now - self.limits.horizon);
     }
 
     /// Judges everything and reports.
-    pub fn finish(mut self) -> Report {
+    pub fn finish(mut self) -> RuleReport {
         self.settle_before(Micros::MAX);
-        if self.report.figures.requests == 0 {
-            self.report.figures.latest_ms = 0.0;
+        if self.report.metrics.requests == 0 {
+            self.report.metrics.max_lateness_ms = 0.0;
         }
         self.report
     }
@@ -455,7 +481,7 @@
             }
             return;
         };
-        self.report.figures.requests += 1;
+        self.report.metrics.requests += 1;
         self.judge_answers(id, &case, (sent, balancer, deadline));
         self.judge_effects(id, class, &case);
     }
@@ -477,10 +503,10 @@
             .into_iter()
             .any(|(from, until)| *from <= open_until && sent <= until.saturating_add(AFTER_SLEEP));
         let ended = ended || stood;
-        let Report { rules, figures } = &mut self.report;
-        figures.answered += u64::from(!case.answers.is_empty());
+        let RuleReport { rules, metrics } = &mut self.report;
+        metrics.answered += u64::from(!case.answers.is_empty());
         match &case.answers[..] {
-            [] if ended || case.left.is_some_and(|left| left <= deadline) => figures.excused += 1,
+            [] if ended || case.left.is_some_and(|left| left <= deadline) => metrics.excused += 1,
             [] => rules[0].breach(|| match case.lost {
                 Some(at) => format!("{id:016x}: lost with its connection after {:.1} ms", to_ms(at - sent)),
                 None => format!(
@@ -492,15 +518,15 @@
             }),
             [(at, answer), more @ ..] => {
                 let past = to_ms(at - deadline);
-                figures.latest_ms = figures.latest_ms.max(past);
+                metrics.max_lateness_ms = metrics.max_lateness_ms.max(past);
                 if !more.is_empty() {
                     rules[0].breach(|| format!("{id:016x}: {} answers", more.len() + 1));
                 }
-                if *answer == (Answer::Value { own: false }) {
+                if *answer == (ClientAnswer::Value { own: false }) {
                     rules[0].breach(|| format!("{id:016x}: served with what was made for another request"));
                 }
                 if *at > deadline + self.limits.slack && !stood {
-                    figures.late += 1;
+                    metrics.late += 1;
                     rules[0].breach(|| format!("{id:016x}: answered {past:.1} ms past its time"));
                 }
             }
@@ -510,16 +536,16 @@
     fn judge_effects(&mut self, id: u64, class: u8, case: &Case) {
         let mut attempts = case.attempts.clone();
         attempts.sort_by_key(|attempt| attempt.began);
-        let Report { rules, figures } = &mut self.report;
-        figures.attempts += attempts.len() as u64;
+        let RuleReport { rules, metrics } = &mut self.report;
+        metrics.attempts += attempts.len() as u64;
         let origin = attempts
             .iter()
             .filter(|attempt| attempt.host == self.limits.origin)
             .count();
         let caches = attempts.len() - origin;
-        figures.repeats += (origin.saturating_sub(1) + caches.saturating_sub(1)) as u64;
-        figures.most_attempts = figures.most_attempts.max(attempts.len() as u64);
-        if attempts.len() > self.limits.most_attempts {
+        metrics.retries += (origin.saturating_sub(1) + caches.saturating_sub(1)) as u64;
+        metrics.max_attempts = metrics.max_attempts.max(attempts.len() as u64);
+        if attempts.len() > self.limits.max_attempts {
             rules[1].breach(|| format!("{id:016x}: {} attempts", attempts.len()));
         }
         for pair in attempts.windows(2) {
@@ -527,8 +553,8 @@
             let together = pair[0]
                 .ended
                 .map_or(f64::INFINITY, |ended| to_ms(ended - pair[1].began));
-            figures.longest_overlap_ms = figures.longest_overlap_ms.max(together.min(1e9));
-            if !self.limits.may_overlap && together > to_ms(self.limits.slack) {
+            metrics.max_overlap_ms = metrics.max_overlap_ms.max(together.min(1e9));
+            if !self.limits.allow_overlap && together > to_ms(self.limits.slack) {
                 rules[1].breach(|| {
                     format!(
                         "{id:016x}: at hosts {} and {} for {together:.1} ms together",
@@ -543,15 +569,15 @@
             .get(usize::from(class))
             .copied()
             .unwrap_or_default();
-        if repeats == Repeats::Safe {
+        if repeats == Idempotency::Idempotent {
             return;
         }
         let ran = attempts.iter().filter(|attempt| attempt.ran).count() as u64;
         let effects = match repeats {
-            Repeats::Unsafe => ran.max(u64::from(case.effects)),
+            Idempotency::NotIdempotent => ran.max(u64::from(case.effects)),
             _ => u64::from(case.effects),
         };
-        figures.most_effects = figures.most_effects.max(effects);
+        metrics.max_effects = metrics.max_effects.max(effects);
         if effects > 1 {
             rules[1].breach(|| format!("{id:016x}: took effect {effects} times"));
         }
@@ -559,8 +585,8 @@
         let refused = case
             .answers
             .iter()
-            .any(|(_, answer)| *answer == Answer::Refused);
-        if repeats == Repeats::Unsafe && refused && ran > 0 {
+            .any(|(_, answer)| *answer == ClientAnswer::Rejected);
+        if repeats == Idempotency::NotIdempotent && refused && ran > 0 {
             rules[1].breach(|| format!("{id:016x}: refused after it had run"));
         }
     }
@@ -579,8 +605,8 @@
             return;
         };
         let after = to_ms(at - since);
-        self.report.figures.latest_to_barred_ms =
-            self.report.figures.latest_to_barred_ms.max(after);
+        self.report.metrics.max_after_cordon_ms =
+            self.report.metrics.max_after_cordon_ms.max(after);
         if at - since > self.limits.slack {
             self.report.rules[2].breach(|| {
                 format!("{:.1} ms: host {host} got something new from balancer {balancer} {after:.1} ms after the \
@@ -598,14 +624,14 @@
         let mut since = None;
         for (said, told) in before {
             since = match told {
-                Told::Leaving => since.or(Some(*said)),
-                Told::Serving => None,
+                AnnouncedState::Draining => since.or(Some(*said)),
+                AnnouncedState::Serving => None,
             };
         }
         let Some(since) = since else { return };
         let after = to_ms(at - since);
-        let figures = &mut self.report.figures;
-        figures.latest_to_leaving_ms = figures.latest_to_leaving_ms.max(after);
+        let figures = &mut self.report.metrics;
+        figures.max_after_drain_ms = figures.max_after_drain_ms.max(after);
         if at - since > self.limits.grace + self.limits.slack {
             self.report.rules[2].breach(|| {
                 format!("host {host} got something new {after:.1} ms after balancer {balancer} was told")
--- a/crates/stairfront-emulator/src/workers.rs
+++ b/crates/stairfront-emulator/src/worker_pool.rs
@@ -2,7 +2,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use crate::time::Micros;
+use stairfront_common::time::Micros;
 
 /// Work that has found a core, or waits for one.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
 
 /// So many cores at a speed that may change; a job that runs keeps the speed that it began with.
 #[derive(Debug)]
-pub struct Workers<T> {
+pub struct WorkerPool<T> {
     cores: usize,
     most_waiting: usize,
     /// When each running job is done, by slot.
@@ -27,9 +27,9 @@
     looked_at: Micros,
 }
 
-impl<T> Workers<T> {
+impl<T> WorkerPool<T> {
     pub fn new(cores: usize, most_waiting: usize) -> Self {
-        Workers {
+        WorkerPool {
             cores: cores.max(1),
             most_waiting,
             running: BinaryHeap::new(),
@@ -72,7 +72,7 @@
     }
 
     /// The next job done by now, with the time it was done; the one first in the queue takes over its core.
-    pub fn take_done(&mut self, now: Micros, speed: f64) -> Option<(Micros, T)> {
+    pub fn take_finished(&mut self, now: Micros, speed: f64) -> Option<(Micros, T)> {
         if self.next_due()? > now {
             return None;
         }
@@ -97,7 +97,7 @@
     }
 
     /// Time passes in which no core does anything: all running work is done so much later.
-    pub fn hold_up(&mut self, by: Micros) {
+    pub fn stall(&mut self, by: Micros) {
         let later = |Reverse((due, order, slot)): Reverse<(Micros, u64, usize)>| {
             Reverse((due + by, order, slot))
         };
@@ -116,7 +116,7 @@
     }
 
     /// Part of the cores' time since the last look that was given to work, at most 1.
-    pub fn busy_since_last_look(&mut self, now: Micros) -> f64 {
+    pub fn utilization_since_last_call(&mut self, now: Micros) -> f64 {
         let span = (now - self.looked_at).max(1) * self.cores as Micros;
         let part = (self.busy as f64 / span as f64).min(1.0);
         // What was begun and runs on counts for the next span too.
--- a/crates/stairfront-emulator/tests/rules.rs
+++ b/crates/stairfront-emulator/tests/rules.rs
@@ -1,34 +1,40 @@
 //! The checker must see each breach: one good trace that holds, and the same doctored in one place for each.
-use stairfront_emulator::client::Repeats;
-use stairfront_emulator::rules::{Answer, Checker, Limits, Report, Seen, Told};
-use stairfront_emulator::time::{Micros, MS, SECOND};
+use stairfront_common::time::{Micros, MS, SECOND};
+use stairfront_emulator::client::Idempotency;
+use stairfront_emulator::rules::{
+    AnnouncedState, ClientAnswer, Observation, RuleChecker, RuleLimits, RuleReport,
+};
 
 const ORIGIN: u16 = 9;
 
-type Trace = Vec<(Micros, Seen)>;
+type Trace = Vec<(Micros, Observation)>;
 
-fn limits() -> Limits {
-    let classes = vec![Repeats::Safe, Repeats::Keyed, Repeats::Unsafe];
-    Limits {
+fn limits() -> RuleLimits {
+    let classes = vec![
+        Idempotency::Idempotent,
+        Idempotency::Keyed,
+        Idempotency::NotIdempotent,
+    ];
+    RuleLimits {
         classes,
         origin: ORIGIN,
-        ..Limits::default()
+        ..RuleLimits::default()
     }
 }
 
-fn judge(trace: &[(Micros, Seen)]) -> Report {
-    let mut checker = Checker::new(limits());
+fn judge(trace: &[(Micros, Observation)]) -> RuleReport {
+    let mut checker = RuleChecker::new(limits());
     for (at, seen) in trace {
-        checker.hear(*at, *seen);
-        checker.settle();
+        checker.observe(*at, *seen);
+        checker.judge_finished();
     }
     checker.finish()
 }
 
-const OWN: Answer = Answer::Value { own: true };
+const OWN: ClientAnswer = ClientAnswer::Value { own: true };
 
-fn sent(id: u64, class: u8) -> Seen {
-    Seen::Sent {
+fn sent(id: u64, class: u8) -> Observation {
+    Observation::RequestSent {
         id,
         class,
         balancer: 0,
@@ -36,8 +42,8 @@
     }
 }
 
-fn later(id: u64, class: u8) -> Seen {
-    Seen::Sent {
+fn later(id: u64, class: u8) -> Observation {
+    Observation::RequestSent {
         id,
         class,
         balancer: 0,
@@ -45,8 +51,8 @@
     }
 }
 
-fn began(attempt: u64, id: u64, host: u16) -> Seen {
-    Seen::Began {
+fn began(attempt: u64, id: u64, host: u16) -> Observation {
+    Observation::AttemptStarted {
         attempt,
         id,
         host,
@@ -54,15 +60,19 @@
     }
 }
 
-fn ended(attempt: u64, id: u64, ran: bool) -> Seen {
-    Seen::Ended { attempt, id, ran }
+fn ended(attempt: u64, id: u64, ran: bool) -> Observation {
+    Observation::AttemptEnded {
+        attempt,
+        id,
+        executed: ran,
+    }
 }
 
-fn said(host: u16, told: Told) -> Seen {
-    Seen::Said {
+fn said(host: u16, told: AnnouncedState) -> Observation {
+    Observation::Notified {
         balancer: 0,
         host,
-        told,
+        state: told,
     }
 }
 
@@ -74,20 +84,20 @@
         (20 * MS, ended(1, 1, false)),
         (21 * MS, began(2, 1, ORIGIN)),
         (60 * MS, ended(2, 1, true)),
-        (61 * MS, Seen::Answered { id: 1, answer: OWN }),
+        (61 * MS, Observation::Answered { id: 1, answer: OWN }),
         (100 * MS, sent(2, 1)),
         (101 * MS, began(3, 2, 4)),
-        (110 * MS, Seen::Effect { id: 2 }),
+        (110 * MS, Observation::EffectApplied { id: 2 }),
         (200 * MS, ended(3, 2, false)),
         (201 * MS, began(4, 2, 4)),
         (220 * MS, ended(4, 2, true)),
-        (221 * MS, Seen::Answered { id: 2, answer: OWN }),
-        (300 * MS, said(3, Told::Leaving)),
+        (221 * MS, Observation::Answered { id: 2, answer: OWN }),
+        (300 * MS, said(3, AnnouncedState::Draining)),
         (310 * MS, sent(3, 2)),
         (500 * MS, began(5, 3, 3)),
         (510 * MS, ended(5, 3, true)),
-        (510 * MS, Seen::Effect { id: 3 }),
-        (511 * MS, Seen::Answered { id: 3, answer: OWN }),
+        (510 * MS, Observation::EffectApplied { id: 3 }),
+        (511 * MS, Observation::Answered { id: 3, answer: OWN }),
     ]
 }
 
@@ -95,7 +105,7 @@
 fn a_good_trace_holds_in_any_order_within_the_horizon() {
     let report = judge(&good());
     assert!(report.holds(), "{report:?}");
-    let figures = &report.figures;
+    let figures = &report.metrics;
     assert_eq!(
         (
             figures.requests,
@@ -105,7 +115,7 @@
         ),
         (3, 3, 5, 0)
     );
-    assert_eq!(figures.latest_to_leaving_ms, 200.0);
+    assert_eq!(figures.max_after_drain_ms, 200.0);
     let mut backwards = good();
     backwards.reverse();
     assert!(judge(&backwards).holds(), "{:?}", judge(&backwards));
@@ -113,8 +123,8 @@
 
 #[test]
 fn each_breach_is_seen_and_only_its_rule_breaks() {
-    let with = |more: &[(Micros, Seen)]| [good(), more.to_vec()].concat();
-    let without = |gone: Seen| {
+    let with = |more: &[(Micros, Observation)]| [good(), more.to_vec()].concat();
+    let without = |gone: Observation| {
         good()
             .into_iter()
             .filter(|(_, seen)| *seen != gone)
@@ -123,7 +133,7 @@
     let unsafe_twice = [
         (520 * MS, began(6, 3, 5)),
         (530 * MS, ended(6, 3, true)),
-        (530 * MS, Seen::Effect { id: 3 }),
+        (530 * MS, Observation::EffectApplied { id: 3 }),
     ];
     let refused = [
         (600 * MS, later(4, 2)),
@@ -131,9 +141,9 @@
         (610 * MS, ended(6, 4, true)),
         (
             611 * MS,
-            Seen::Answered {
+            Observation::Answered {
                 id: 4,
-                answer: Answer::Refused,
+                answer: ClientAnswer::Rejected,
             },
         ),
     ];
@@ -149,16 +159,16 @@
         (
             "no answer",
             0,
-            without(Seen::Answered { id: 1, answer: OWN }),
+            without(Observation::Answered { id: 1, answer: OWN }),
         ),
         (
             "two answers",
             0,
             with(&[(
                 70 * MS,
-                Seen::Answered {
+                Observation::Answered {
                     id: 1,
-                    answer: Answer::Failed,
+                    answer: ClientAnswer::Failed,
                 },
             )]),
         ),
@@ -167,7 +177,7 @@
             0,
             with(&[
                 (5 * MS, sent(7, 0)),
-                (560 * MS, Seen::Answered { id: 7, answer: OWN }),
+                (560 * MS, Observation::Answered { id: 7, answer: OWN }),
             ]),
         ),
         (
@@ -177,9 +187,9 @@
                 (5 * MS, sent(7, 0)),
                 (
                     9 * MS,
-                    Seen::Answered {
+                    Observation::Answered {
                         id: 7,
-                        answer: Answer::Value { own: false },
+                        answer: ClientAnswer::Value { own: false },
                     },
                 ),
             ]),
@@ -187,17 +197,23 @@
         (
             "nobody's answer",
             0,
-            with(&[(70 * MS, Seen::Surplus { balancer: 0 })]),
+            with(&[(70 * MS, Observation::UnsolicitedAnswer { balancer: 0 })]),
         ),
         (
             "lost",
             0,
-            with(&[(5 * MS, sent(7, 0)), (9 * MS, Seen::Lost { id: 7 })]),
+            with(&[
+                (5 * MS, sent(7, 0)),
+                (9 * MS, Observation::ConnectionLost { id: 7 }),
+            ]),
         ),
         (
             "left late",
             0,
-            with(&[(5 * MS, sent(7, 0)), (600 * MS, Seen::Left { id: 7 })]),
+            with(&[
+                (5 * MS, sent(7, 0)),
+                (600 * MS, Observation::ClientClosed { id: 7 }),
+            ]),
         ),
         (
             "together",
@@ -213,7 +229,7 @@
         (
             "keyed effect twice",
             1,
-            with(&[(205 * MS, Seen::Effect { id: 2 })]),
+            with(&[(205 * MS, Observation::EffectApplied { id: 2 })]),
         ),
         ("unsafe effect twice", 1, with(&unsafe_twice)),
         ("refused after an effect", 1, with(&refused)),
@@ -229,26 +245,26 @@
                 (610 * MS, later(7, 0)),
                 (620 * MS, began(9, 7, 3)),
                 (621 * MS, ended(9, 7, true)),
-                (622 * MS, Seen::Answered { id: 7, answer: OWN }),
+                (622 * MS, Observation::Answered { id: 7, answer: OWN }),
             ]),
         ),
         (
             "fell over",
             3,
-            with(&[(400 * MS, Seen::FellOver { host: 2 })]),
+            with(&[(400 * MS, Observation::HostCrashed { host: 2 })]),
         ),
         (
             "origin, by cold misses",
             3,
             with(&[
-                (20 * MS, Seen::ColdMiss { id: 1 }),
-                (400 * MS, Seen::OriginStopped),
+                (20 * MS, Observation::ColdMiss { id: 1 }),
+                (400 * MS, Observation::OriginStopped),
             ]),
         ),
     ];
     for (name, rule, trace) in cases {
         let report = judge(&trace);
-        let broken: Vec<usize> = (0..4).filter(|i| report.rules[*i].broken > 0).collect();
+        let broken: Vec<usize> = (0..4).filter(|i| report.rules[*i].violations > 0).collect();
         assert_eq!(broken, [rule], "{name}: {report:?}");
         assert!(!report.rules[rule].examples.is_empty(), "{name}");
     }
@@ -258,35 +274,38 @@
 fn what_a_killed_balancer_held_and_a_stop_without_cold_misses_break_nothing() {
     let killed = [
         (5 * MS, sent(7, 0)),
-        (9 * MS, Seen::BalancerGone { balancer: 0 }),
-        (10 * MS, Seen::Lost { id: 7 }),
+        (9 * MS, Observation::BalancerStopped { balancer: 0 }),
+        (10 * MS, Observation::ConnectionLost { id: 7 }),
     ];
     let report = judge(&killed);
-    assert!(report.holds() && report.figures.excused == 1, "{report:?}");
+    assert!(report.holds() && report.metrics.excused == 1, "{report:?}");
     // Another balancer's end excuses nothing.
     let other = [
         (5 * MS, sent(7, 0)),
-        (9 * MS, Seen::BalancerGone { balancer: 1 }),
-        (10 * MS, Seen::Lost { id: 7 }),
+        (9 * MS, Observation::BalancerStopped { balancer: 1 }),
+        (10 * MS, Observation::ConnectionLost { id: 7 }),
     ];
     assert!(!judge(&other).holds());
-    let report = judge(&[good(), vec![(400 * MS, Seen::OriginStopped)]].concat());
+    let report = judge(&[good(), vec![(400 * MS, Observation::OriginStopped)]].concat());
     assert!(
-        report.holds() && report.figures.origin_stops == 1,
+        report.holds() && report.metrics.origin_stops == 1,
         "{report:?}"
     );
     // Who serves again may be sent to, and a host that is said to leave twice has had its grace.
     let back = [
-        (550 * MS, said(3, Told::Serving)),
+        (550 * MS, said(3, AnnouncedState::Serving)),
         (610 * MS, later(7, 0)),
         (620 * MS, began(9, 7, 3)),
         (621 * MS, ended(9, 7, true)),
-        (622 * MS, Seen::Answered { id: 7, answer: OWN }),
+        (622 * MS, Observation::Answered { id: 7, answer: OWN }),
     ];
     assert!(judge(&[good(), back.to_vec()].concat()).holds());
     let mut again = back;
-    again[0].1 = said(3, Told::Leaving);
-    assert_eq!(judge(&[good(), again.to_vec()].concat()).rules[2].broken, 1);
+    again[0].1 = said(3, AnnouncedState::Draining);
+    assert_eq!(
+        judge(&[good(), again.to_vec()].concat()).rules[2].violations,
+        1
+    );
 }
 
 /// Danger: judged while its balancer still stands still, a request that lies there would be held against it: seen in one of
@@ -298,25 +317,30 @@
         (11 * MS, began(1, 1, 3)),
         (
             12 * MS,
-            Seen::BalancerStill {
+            Observation::BalancerPaused {
                 balancer: 0,
-                still: true,
+                paused: true,
             },
         ),
         (20 * MS, ended(1, 1, true)),
     ];
     // Time goes on for longer than the request may still be spoken of.
-    trace.extend((1..40).map(|second| (second * SECOND, Seen::BalancerGone { balancer: 5 })));
+    trace.extend((1..40).map(|second| {
+        (
+            second * SECOND,
+            Observation::BalancerStopped { balancer: 5 },
+        )
+    }));
     trace.push((
         40 * SECOND,
-        Seen::BalancerStill {
+        Observation::BalancerPaused {
             balancer: 0,
-            still: false,
+            paused: false,
         },
     ));
     let report = judge(&trace);
     assert_eq!(
-        (report.rules[0].broken, report.figures.excused),
+        (report.rules[0].violations, report.metrics.excused),
         (0, 1),
         "{report:?}"
     );
--- a/crates/stairfront-emulator/tests/servers.rs
+++ b/crates/stairfront-emulator/tests/servers.rs
@@ -3,35 +3,35 @@
 
 use bytes::Bytes;
 use proptest::prelude::*;
-use stairfront_emulator::agent::{self, Agent, Line, Status};
+use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::cache_host::{
-    is_made_for, Action, Ailments, CacheHost, CacheSettings, Command, ConnId, RepeatGroup, Reply,
-    Ticket,
+    is_value_for, Action, CacheHost, CacheSettings, Command, ConnectionId, IdempotencyStore, Reply,
+    ReplySlot, ServerFaults,
 };
-use stairfront_emulator::dice::ServiceTime;
+use stairfront_emulator::discovery_agent::{self, DiscoveryAgent, EndpointRecord, EndpointStatus};
+use stairfront_emulator::distributions::ServiceTime;
 use stairfront_emulator::origin::{self, Origin, OriginSettings};
-use stairfront_emulator::time::{Micros, MS, SECOND};
 
 fn settings() -> CacheSettings {
     CacheSettings {
         cores: 1,
         hit: ServiceTime::fixed(10.0),
         miss: ServiceTime::fixed(1.0),
-        queue: 3,
+        max_queue: 3,
         ..CacheSettings::default()
     }
 }
 
 fn host(set: CacheSettings) -> CacheHost {
-    let mut host = CacheHost::new(set, 1, "c", RepeatGroup::shared());
-    assert!(host.open(0, ConnId(1)));
+    let mut host = CacheHost::new(set, 1, "c", IdempotencyStore::shared());
+    assert!(host.open(0, ConnectionId(1)));
     host
 }
 
-fn ticket(number: u64) -> Ticket {
-    Ticket {
-        connection: ConnId(1),
-        number,
+fn ticket(number: u64) -> ReplySlot {
+    ReplySlot {
+        connection: ConnectionId(1),
+        sequence: number,
     }
 }
 
@@ -48,7 +48,7 @@
 
 fn ask(host: &mut CacheHost, now: Micros, number: u64, key: &str) -> Vec<Action> {
     let mut actions = Vec::new();
-    host.command(
+    host.handle_command(
         now,
         ticket(number),
         command(key, &format!("id{number}"), false),
@@ -67,7 +67,7 @@
 fn a_key_is_missed_filled_kept_and_void_again() {
     let mut host = host(CacheSettings {
         ttl_ms: 100.0,
-        store: 2,
+        max_keys: 2,
         ..settings()
     });
     assert!(ask(&mut host, 0, 0, "k").is_empty());
@@ -92,7 +92,7 @@
     else {
         panic!("{served:?}")
     };
-    assert!(is_made_for(value, b"id1") && !is_made_for(value, b"id"));
+    assert!(is_value_for(value, b"id1") && !is_value_for(value, b"id"));
     // Past its time, pushed out by two others, or void: each is a miss.
     let missed = |host: &mut CacheHost, now, number| {
         ask(host, now, number, "k");
@@ -107,7 +107,7 @@
     host.preload(252 * MS, Bytes::from("y"));
     assert!(missed(&mut host, 253 * MS, 3));
     host.fill(304 * MS, &Bytes::from("id3"));
-    host.void(1.0);
+    host.invalidate_fraction(1.0);
     assert!(missed(&mut host, 305 * MS, 4));
     // A miss that was never this host's is not stored.
     host.fill(356 * MS, &Bytes::from("elsewhere"));
@@ -117,7 +117,7 @@
 #[test]
 fn a_full_queue_turns_away_and_a_drain_too() {
     let mut host = host(CacheSettings {
-        has_all: true,
+        holds_all_keys: true,
         ..settings()
     });
     let replies: Vec<_> = (0..6)
@@ -147,23 +147,23 @@
 fn a_cold_host_falls_over_under_more_than_it_bears_and_only_then() {
     let cold = |every: Micros| {
         let mut host = host(CacheSettings {
-            has_all: true,
-            queue: 100_000,
-            fall_ms: 1000.0,
+            holds_all_keys: true,
+            max_queue: 100_000,
+            overload_window_ms: 1000.0,
             ..settings()
         });
         host.start_cold(0);
-        host.open(0, ConnId(1));
+        host.open(0, ConnectionId(1));
         let mut fell = None;
         for i in 0..3 * SECOND / every {
             let actions = ask(&mut host, i * every, i as u64, "k");
             until(&mut host, i * every);
-            if actions.contains(&Action::FellOver) {
+            if actions.contains(&Action::Crashed) {
                 fell = Some(i * every);
                 break;
             }
         }
-        (fell, host.worst_cold(), host)
+        (fell, host.max_cold_load_ratio(), host)
     };
     // A fifth of its capacity at first: 20 of these requests a second, and three times that is borne.
     let (fell, worst, _) = cold(SECOND / 40);
@@ -176,15 +176,20 @@
         fell.is_some_and(|at| (SECOND..2 * SECOND).contains(&at)) && worst > 1.0,
         "{fell:?} {worst}"
     );
-    assert!(!host.open(4 * SECOND, ConnId(2)), "it stays down");
+    assert!(!host.open(4 * SECOND, ConnectionId(2)), "it stays down");
     host.start_cold(20 * SECOND);
-    assert!(host.open(20 * SECOND, ConnId(2)));
-    assert!((host.warmth(20 * SECOND), host.warmth(31 * SECOND)) == (0.2, 1.0));
+    assert!(host.open(20 * SECOND, ConnectionId(2)));
+    assert!(
+        (
+            host.capacity_fraction(20 * SECOND),
+            host.capacity_fraction(31 * SECOND)
+        ) == (0.2, 1.0)
+    );
 }
 
 #[test]
 fn a_keyed_write_takes_effect_once_in_its_group() {
-    let group = RepeatGroup::shared();
+    let group = IdempotencyStore::shared();
     let mut effects = Vec::new();
     let mut hosts: Vec<_> = ["a", "b"]
         .map(|name| CacheHost::new(settings(), 1, name, group.clone()))
@@ -195,7 +200,7 @@
             info: Bytes::from("c=put,k=the-key"),
             ..command("k", &format!("id{i}"), true)
         };
-        hosts[host].command(now, ticket(i as u64), write, &mut actions);
+        hosts[host].handle_command(now, ticket(i as u64), write, &mut actions);
         hosts[host].advance(now + 20 * MS, &mut actions);
         assert!(actions
             .iter()
@@ -218,7 +223,7 @@
         info: Bytes::from("k=the-key"),
         ..command("k", "late", true)
     };
-    hosts[0].command(5 * SECOND, ticket(9), write, &mut actions);
+    hosts[0].handle_command(5 * SECOND, ticket(9), write, &mut actions);
     hosts[0].advance(6 * SECOND, &mut actions);
     assert!(
         actions
@@ -233,7 +238,7 @@
     let set = OriginSettings {
         cores: 1,
         read: ServiceTime::fixed(10.0),
-        queue: 10_000,
+        max_queue: 10_000,
         ..OriginSettings::default()
     };
     let mut origin = Origin::new(set, 1);
@@ -246,7 +251,7 @@
     let mut stopped = None;
     for id in 0..2000 {
         let now = id as Micros * 2500;
-        origin.request(now, ticket(id), request(id), &mut actions);
+        origin.handle_request(now, ticket(id), request(id), &mut actions);
         origin.advance(now, &mut actions);
         if actions.contains(&origin::Action::Stopped) {
             stopped = Some(id);
@@ -272,13 +277,13 @@
     assert_eq!(actions.iter().filter(written).count(), 1);
 }
 
-fn line(name: &str, status: Status) -> Line {
+fn line(name: &str, status: EndpointStatus) -> EndpointRecord {
     let (address, zone, kind) = (
         "127.0.0.1:1".to_string(),
         "a".to_string(),
         "cache".to_string(),
     );
-    Line {
+    EndpointRecord {
         name: name.to_string(),
         address,
         zone,
@@ -291,43 +296,46 @@
 
 #[test]
 fn the_agent_lags_holds_falls_silent_and_tells_what_was_missed() {
-    let mut agent = Agent::new(
-        vec![line("c0", Status::Serving), line("c1", Status::Serving)],
+    let mut agent = DiscoveryAgent::new(
+        vec![
+            line("c0", EndpointStatus::Serving),
+            line("c1", EndpointStatus::Serving),
+        ],
         300 * MS,
     );
     let mut actions = Vec::new();
-    agent.call(0, ticket(0), "/api/targets", &mut actions);
+    agent.handle_request(0, ticket(0), "/api/targets", &mut actions);
     assert!(
-        matches!(&actions[0], agent::Action::Answer(_, list) if list.contains("\"snapshot\":true"))
+        matches!(&actions[0], discovery_agent::Action::Answer(_, list) if list.contains("\"snapshot\":true"))
     );
     assert_eq!(actions.len(), 3, "both hosts were told of");
     actions.clear();
-    agent.call(
+    agent.handle_request(
         0,
         ticket(1),
         "/api/targets?from=1&hold_ms=50000",
         &mut actions,
     );
-    agent.change(SECOND, line("c1", Status::Draining));
+    agent.change(SECOND, line("c1", EndpointStatus::Draining));
     agent.advance(SECOND, &mut actions);
     assert!(actions.is_empty(), "not before its lag is over");
     assert_eq!(agent.next_due(), Some(1300 * MS));
     agent.advance(1300 * MS, &mut actions);
-    let told = agent::Action::Told {
+    let told = discovery_agent::Action::Notified {
         name: "c1".to_string(),
-        status: Status::Draining,
+        status: EndpointStatus::Draining,
     };
     assert!(actions.len() == 2 && actions[1] == told, "{actions:?}");
     actions.clear();
     // A call into its silence is answered at its end, with what changed meanwhile.
     agent.set_silent(2 * SECOND, true, &mut actions);
-    agent.call(
+    agent.handle_request(
         2 * SECOND,
         ticket(2),
         "/api/targets?from=2&hold_ms=0",
         &mut actions,
     );
-    agent.change(2 * SECOND, line("c0", Status::Gone));
+    agent.change(2 * SECOND, line("c0", EndpointStatus::Removed));
     agent.advance(4 * SECOND, &mut actions);
     assert!(
         actions.is_empty() && agent.next_due().is_none(),
@@ -335,23 +343,28 @@
     );
     agent.set_silent(5 * SECOND, false, &mut actions);
     assert!(
-        matches!(&actions[0], agent::Action::Answer(_, list) if list.contains("DELETED")),
+        matches!(&actions[0], discovery_agent::Action::Answer(_, list) if list.contains("DELETED")),
         "{actions:?}"
     );
     actions.clear();
     // A list that stands still answers with what it had.
-    agent.set_still(6 * SECOND, true, &mut actions);
-    agent.change(6 * SECOND, line("c1", Status::Serving));
-    agent.call(7 * SECOND, ticket(3), "/api/targets", &mut actions);
-    assert!(matches!(&actions[0], agent::Action::Answer(_, list) if list.contains("DRAINING")));
+    agent.set_frozen(6 * SECOND, true, &mut actions);
+    agent.change(6 * SECOND, line("c1", EndpointStatus::Serving));
+    agent.handle_request(7 * SECOND, ticket(3), "/api/targets", &mut actions);
+    assert!(
+        matches!(&actions[0], discovery_agent::Action::Answer(_, list) if list.contains("DRAINING"))
+    );
     // A version from another agent's life gets the whole list; a call that there is not, its error.
-    agent.call(7 * SECOND, ticket(4), "/api/targets?from=900", &mut actions);
-    agent.call(7 * SECOND, ticket(5), "/other", &mut actions);
+    agent.handle_request(7 * SECOND, ticket(4), "/api/targets?from=900", &mut actions);
+    agent.handle_request(7 * SECOND, ticket(5), "/other", &mut actions);
     let snapshots = actions
         .iter()
-        .filter(|a| matches!(a, agent::Action::Answer(_, list) if list.contains("true")));
+        .filter(|a| matches!(a, discovery_agent::Action::Answer(_, list) if list.contains("true")));
     assert_eq!(snapshots.count(), 2);
-    assert_eq!(actions.last(), Some(&agent::Action::Unknown(ticket(5))));
+    assert_eq!(
+        actions.last(),
+        Some(&discovery_agent::Action::NotFound(ticket(5)))
+    );
 }
 
 proptest! {
@@ -364,22 +377,22 @@
         fetch in any::<bool>(),
     ) {
         let fetch = fetch.then(|| ServiceTime::fixed(25.0));
-        let mut host = CacheHost::new(CacheSettings { fetch, store: 3, ..settings() }, 7, "c", RepeatGroup::shared());
-        host.set_ailments(Ailments { reset, lost, slow: 2.0, ..Ailments::default() });
+        let mut host = CacheHost::new(CacheSettings { fetch, max_keys: 3, ..settings() }, 7, "c", IdempotencyStore::shared());
+        host.set_faults(ServerFaults { reset_chance: reset, drop_chance: lost, slowdown: 2.0, ..ServerFaults::default() });
         let (mut now, mut actions) = (0, Vec::new());
-        let mut owed: HashMap<Ticket, bool> = HashMap::new();
-        host.open(0, ConnId(1));
+        let mut owed: HashMap<ReplySlot, bool> = HashMap::new();
+        host.open(0, ConnectionId(1));
         for (number, (kind, wait, key)) in steps.into_iter().enumerate() {
             now += wait * MS;
             host.advance(now, &mut actions);
             match kind {
-                0 => host.void(0.5),
-                1 => host.hold_up(5 * MS),
+                0 => host.invalidate_fraction(0.5),
+                1 => host.stall(5 * MS),
                 2 => host.drain(key == 0),
                 _ => {
                     owed.insert(ticket(number as u64), false);
                     let command = command(&format!("k{key}"), &format!("id{number}"), kind == 3);
-                    host.command(now, ticket(number as u64), command, &mut actions);
+                    host.handle_command(now, ticket(number as u64), command, &mut actions);
                 }
             }
         }
--- a/crates/stairfront-emulator/tests/traffic.rs
+++ b/crates/stairfront-emulator/tests/traffic.rs
@@ -1,20 +1,22 @@
 //! Arrivals, clients and scripts of faults: as asked for, and the same twice.
 use std::sync::Arc;
 
+use stairfront_common::time::{MS, SECOND};
 use stairfront_emulator::arrivals::{
     Arrival, Arrivals, Burst, HotKey, Popularity, TenantTraffic, Traffic,
 };
-use stairfront_emulator::client::{ClassSettings, Clients, End, Repeats, RetrySettings};
-use stairfront_emulator::faults::{Act, Fault, Script, Stage, TimedFault};
-use stairfront_emulator::time::{MS, SECOND};
+use stairfront_emulator::client::{ClassSettings, Clients, Idempotency, Outcome, RetrySettings};
+use stairfront_emulator::faults::{
+    Fault, FaultAction, FaultScript, HostTarget, ScriptTargets, TimedFault,
+};
 
 fn tenant(name: &str, share: f64, times: f64, over_at_s: f64) -> TenantTraffic {
     TenantTraffic {
         name: name.to_string(),
         share,
-        times,
-        over_at_s,
-        over_s: 1e9,
+        factor: times,
+        overload_at_s: over_at_s,
+        overload_duration_s: 1e9,
     }
 }
 
@@ -25,14 +27,14 @@
         zipf: 1.0,
         bursts: vec![Burst {
             at_s: 10.0,
-            lasts_s: 5.0,
-            times: 3.0,
+            duration_s: 5.0,
+            factor: 3.0,
             ramp: false,
         }],
         hot_keys: vec![HotKey {
             at_s: 0.0,
-            lasts_s: 5.0,
-            part: 0.3,
+            duration_s: 5.0,
+            fraction: 0.3,
         }],
         tenants: vec![
             tenant("fair", 0.5, 1.0, 0.0),
@@ -84,20 +86,20 @@
 fn clients_come_again_as_they_are_told_and_each_try_is_timed_from_when_it_was_due() {
     let class = |aim_ms, deadline_ms| ClassSettings {
         name: "read".into(),
-        aim_ms,
+        latency_objective_ms: aim_ms,
         deadline_ms,
-        repeats: Repeats::Safe,
+        idempotency: Idempotency::Idempotent,
         write: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         value_bytes: 0,
     };
     let popularity = Arc::new(Popularity::new(500, 1.0));
     let arrivals = Arrivals::new(traffic(), popularity, 1, 0, 1);
     let retry = RetrySettings {
-        most: 1,
-        wait_ms: 100.0,
-        advice: true,
-        marked: true,
+        max_retries: 1,
+        backoff_ms: 100.0,
+        honor_retry_after: true,
+        mark_retries: true,
     };
     let mut clients = Clients::new(
         arrivals,
@@ -108,14 +110,20 @@
         20 * SECOND,
     );
     let due = clients.next_due().unwrap();
-    let first = clients.take(SECOND).unwrap();
+    let first = clients.take_due(SECOND).unwrap();
     assert_eq!(
         (first.due, first.deadline, first.retry),
         (due, due + 500 * MS, 0),
         "however late it was taken"
     );
-    assert!(clients.settle(SECOND, &first, End::Refused { after_ms: Some(40) }));
-    let again = std::iter::from_fn(|| clients.take(2 * SECOND))
+    assert!(clients.record_outcome(
+        SECOND,
+        &first,
+        Outcome::Rejected {
+            retry_after_ms: Some(40)
+        }
+    ));
+    let again = std::iter::from_fn(|| clients.take_due(2 * SECOND))
         .find(|ask| ask.retry == 1)
         .unwrap();
     assert_eq!(
@@ -124,18 +132,18 @@
     );
     assert_ne!(again.id, first.id);
     assert!(
-        !clients.settle(2 * SECOND, &again, End::Failed),
+        !clients.record_outcome(2 * SECOND, &again, Outcome::Failed),
         "once is the most"
     );
-    assert!(!clients.settle(2 * SECOND, &first, End::Served));
+    assert!(!clients.record_outcome(2 * SECOND, &first, Outcome::Served));
 }
 
 fn timed(fault: Fault, on: &[&str], part: f64) -> TimedFault {
     TimedFault {
         at_s: 2.0,
-        lasts_s: 3.0,
-        on: on.iter().map(|name| name.to_string()).collect(),
-        part,
+        duration_s: 3.0,
+        targets: on.iter().map(|name| name.to_string()).collect(),
+        fraction: part,
         fault,
     }
 }
@@ -143,13 +151,16 @@
 #[test]
 fn a_script_is_the_same_twice_and_names_what_there_is_not() {
     let hosts = (0..8)
-        .map(|i| (format!("c{i}"), ["a", "b"][i % 2].to_string()))
+        .map(|i| HostTarget {
+            name: format!("c{i}"),
+            zone: ["a", "b"][i % 2].to_string(),
+        })
         .collect();
-    let stage = Stage {
+    let stage = ScriptTargets {
         hosts,
         balancers: 2,
     };
-    let lay = |fault: TimedFault, seed| Script::lay_out(&[fault], &stage, seed);
+    let lay = |fault: TimedFault, seed| FaultScript::build(&[fault], &stage, seed);
     let slow = timed(Fault::Slow { factor: 4.0 }, &[], 0.25);
     let script = lay(slow.clone(), 1).unwrap();
     assert_eq!(script, lay(slow.clone(), 1).unwrap());
@@ -163,9 +174,9 @@
         "a quarter of eight, slow and well again"
     );
     let lost = lay(timed(Fault::ZoneLost, &["b"], 0.0), 1).unwrap();
-    let killed = |script: &Script| {
-        let of = |step: &stairfront_emulator::faults::Step| match step.act {
-            Act::Kill { host } => Some(host),
+    let killed = |script: &FaultScript| {
+        let of = |step: &stairfront_emulator::faults::ScheduledAction| match step.action {
+            FaultAction::Kill { host } => Some(host),
             _ => None,
         };
         script.steps.iter().filter_map(of).collect::<Vec<_>>()
@@ -186,15 +197,17 @@
     .unwrap();
     let mut down = 0;
     for step in &wave.steps {
-        match step.act {
-            Act::Kill { .. } => down += 1,
-            Act::Start { .. } => down -= 1,
+        match step.action {
+            FaultAction::Kill { .. } => down += 1,
+            FaultAction::Start { .. } => down -= 1,
             _ => {}
         }
         assert!(down <= 2);
     }
     assert_eq!(killed(&wave).len(), 8);
-    let unknown = lay(timed(Fault::Killed, &["c9"], 0.0), 1).unwrap_err();
+    let unknown = lay(timed(Fault::Killed, &["c9"], 0.0), 1)
+        .unwrap_err()
+        .to_string();
     assert!(
         unknown.starts_with("faults[0].on: ") && unknown.contains("c9"),
         "{unknown}"
--- a/crates/stairfront-gossip-membership/tests/hard_cases.rs
+++ b/crates/stairfront-gossip-membership/tests/hard_cases.rs
@@ -3,15 +3,15 @@
 
 use sim::{name, whole, LogContent, LogEntry, Sim, HOST};
 use stairfront_common::time::{Micros, MS, SECOND};
-use stairfront_emulator::group::Sign;
-use stairfront_emulator::group_script::{all_links, border, GroupAct};
+use stairfront_emulator::group_observer::GroupEvent;
+use stairfront_emulator::group_script::{all_links, border, GroupAction};
 use stairfront_emulator::links::LinkFault;
 use stairfront_gossip_membership::OrderError;
 use stairfront_gossip_membership::{Event, MemberState, QuorumStatus};
 
 fn lay(sim: &mut Sim, number: u64, pairs: &[(usize, usize)], fault: LinkFault) {
-    sim.act(GroupAct::Lay {
-        number,
+    sim.act(GroupAction::AddLinkFault {
+        id: number,
         pairs: pairs.to_vec(),
         fault,
     });
@@ -101,7 +101,7 @@
     hold_for(&mut sim, 20 * SECOND, |sim| {
         sim.quorum_status(0) == "alone" && nobody_failed(sim, Some(0))
     });
-    sim.act(GroupAct::Lift { number: 1 });
+    sim.act(GroupAction::RemoveLinkFault { id: 1 });
     until(&mut sim, 4 * SECOND, all_whole);
 }
 
@@ -109,16 +109,16 @@
 fn a_stall_of_a_second_is_no_failure_and_one_of_ten_makes_no_other_member_fail() {
     for seed in 0..10 {
         let mut sim = whole(7, seed);
-        sim.act(GroupAct::Pause { who: 3 });
+        sim.act(GroupAction::Pause { member: 3 });
         hold_for(&mut sim, SECOND, |sim| nobody_failed(sim, None));
-        sim.act(GroupAct::Wake { who: 3 });
+        sim.act(GroupAction::Resume { member: 3 });
         hold_for(&mut sim, 3 * SECOND, |sim| nobody_failed(sim, None));
-        sim.act(GroupAct::Pause { who: 3 });
+        sim.act(GroupAction::Pause { member: 3 });
         hold_for(&mut sim, 10 * SECOND, |sim| nobody_failed(sim, Some(3)));
         assert!((0..7)
             .filter(|i| *i != 3)
             .all(|i| sim.state(i, 3) == MemberState::Failed));
-        sim.act(GroupAct::Wake { who: 3 });
+        sim.act(GroupAction::Resume { member: 3 });
         // It must not take its own stall for the silence of the others.
         run_for(&mut sim, 100 * MS);
         assert_eq!(sim.quorum_status(3), "settling", "seed {seed}");
@@ -167,9 +167,9 @@
     let mut sim = whole(7, 5);
     // A twentieth of a core: it runs for 5 ms of each 100.
     for _ in 0..300 {
-        sim.act(GroupAct::Pause { who: 2 });
+        sim.act(GroupAction::Pause { member: 2 });
         run_for(&mut sim, 95 * MS);
-        sim.act(GroupAct::Wake { who: 2 });
+        sim.act(GroupAction::Resume { member: 2 });
         run_for(&mut sim, 5 * MS);
         assert!(nobody_failed(&sim, None));
     }
@@ -194,7 +194,7 @@
         until(&mut sim, 5 * SECOND, right);
         hold_for(&mut sim, 10 * SECOND, right);
         // After the partition each side asserts that the other side's members have failed.
-        sim.act(GroupAct::Lift { number: 1 });
+        sim.act(GroupAction::RemoveLinkFault { id: 1 });
         until(&mut sim, 3 * SECOND, |sim| nobody_failed(sim, None));
         hold_for(&mut sim, 2 * SECOND, |sim| nobody_failed(sim, None));
         until(&mut sim, SECOND, all_whole);
@@ -208,7 +208,7 @@
     for step in 0..12u64 {
         let side: Vec<usize> = (0..3).map(|i| (i + step as usize) % 7).collect();
         lay(&mut sim, step + 1, &border(7, &side), LinkFault::Cut);
-        sim.act(GroupAct::Lift { number: last });
+        sim.act(GroupAction::RemoveLinkFault { id: last });
         last = step + 1;
         run_for(&mut sim, 6 * SECOND);
         for i in 0..7 {
@@ -247,7 +247,7 @@
 #[test]
 fn two_processes_with_one_name_are_detected_at_both_and_no_member_flaps() {
     let mut sim = whole(5, 6);
-    sim.act(GroupAct::StartNamesake { who: 1 });
+    sim.act(GroupAction::StartDuplicate { member: 1 });
     run_for(&mut sim, 5 * SECOND);
     let conflicts = |sim: &Sim| sim.log.iter().filter(|entry| is_conflict(entry)).count();
     assert_eq!(conflicts(&sim), 2);
@@ -271,7 +271,7 @@
     lay(&mut sim, 1, &all_links(5), LinkFault::Loss { chance: 0.1 });
     hold_for(&mut sim, 30 * SECOND, |sim| nobody_failed(sim, None));
     assert_eq!(conflicts(&sim), 2, "a lost notice ended the conflict");
-    sim.act(GroupAct::Lift { number: 1 });
+    sim.act(GroupAction::RemoveLinkFault { id: 1 });
     // The order is not done for the group while one of the two may not have applied it.
     sim.order(0, true);
     run_for(&mut sim, 3 * SECOND);
@@ -279,20 +279,20 @@
         .core(0)
         .progress(1)
         .is_some_and(|progress| !progress.done));
-    sim.act(GroupAct::StopNamesake { who: 1 });
+    sim.act(GroupAction::StopDuplicate { member: 1 });
     until(&mut sim, 6 * SECOND, all_whole);
 }
 
 #[test]
 fn a_restart_after_its_clock_was_set_back_gets_a_higher_incarnation() {
     let mut sim = whole(5, 7);
-    sim.act(GroupAct::Kill {
-        who: 2,
+    sim.act(GroupAction::Kill {
+        member: 2,
         empty: true,
     });
     run_for(&mut sim, 200 * MS);
     sim.step_clocks_back(3600 * SECOND);
-    sim.act(GroupAct::Start { who: 2 });
+    sim.act(GroupAction::Start { member: 2 });
     until(&mut sim, 3 * SECOND, |sim| {
         (0..5).all(|i| sim.quorum_status(i) == "whole")
     });
@@ -325,7 +325,7 @@
     assert!(sim.order(0, false));
     run_for(&mut sim, 2 * SECOND);
     assert!(!sim.is_cordoned(0) && sim.is_cordoned(5) && sim.is_cordoned(6));
-    sim.act(GroupAct::Lift { number: 1 });
+    sim.act(GroupAction::RemoveLinkFault { id: 1 });
     until(&mut sim, 4 * SECOND, |sim| {
         (0..7).all(|i| sim.is_cordoned(i))
     });
@@ -340,14 +340,14 @@
 fn half_of_the_roster_has_no_majority() {
     let mut sim = whole(6, 11);
     for who in 0..6 {
-        sim.act(GroupAct::Kill {
-            who,
+        sim.act(GroupAction::Kill {
+            member: who,
             empty: who % 2 == 0,
         });
     }
     run_for(&mut sim, SECOND);
     for who in [1, 3, 5] {
-        sim.act(GroupAct::Start { who });
+        sim.act(GroupAction::Start { member: who });
     }
     run_for(&mut sim, 8 * SECOND);
     assert!(
@@ -357,7 +357,7 @@
         "half is taken for a majority"
     );
     for who in [0, 2, 4] {
-        sim.act(GroupAct::Start { who });
+        sim.act(GroupAction::Start { member: who });
     }
     until(&mut sim, 6 * SECOND, all_whole);
 }
@@ -383,12 +383,15 @@
         let mut times = Vec::new();
         for kill in 0..kills {
             let who = kill * 7 % members;
-            sim.act(GroupAct::Kill { who, empty: false });
+            sim.act(GroupAction::Kill {
+                member: who,
+                empty: false,
+            });
             let all = |sim: &Sim| {
                 (0..members).all(|i| i == who || sim.state(i, who) == MemberState::Failed)
             };
             times.push(until(&mut sim, 10 * SECOND, all) / MS);
-            sim.act(GroupAct::Start { who });
+            sim.act(GroupAction::Start { member: who });
             run_for(&mut sim, 4 * SECOND);
         }
         times.sort();
@@ -409,17 +412,17 @@
 #[test]
 fn a_cordon_is_not_done_before_a_stalled_member_has_confirmed_it() {
     let mut sim = whole(5, 14);
-    sim.act(GroupAct::Pause { who: 4 });
+    sim.act(GroupAction::Pause { member: 4 });
     assert!(sim.order(0, true));
     run_for(&mut sim, 8 * SECOND);
     assert_eq!(sim.state(0, 4), MemberState::Failed);
     let done = |sim: &Sim| sim.core(0).progress(1).unwrap().done;
     assert!(!done(&sim), "a failed member may still send requests");
-    sim.act(GroupAct::Wake { who: 4 });
+    sim.act(GroupAction::Resume { member: 4 });
     until(&mut sim, 3 * SECOND, done);
-    sim.observer.hear(sim.now, Sign::Quiet);
+    sim.observer.observe(sim.now, GroupEvent::FaultsFinished);
     sim.until_whole(5 * SECOND);
-    assert_eq!(sim.finish().broken, 0);
+    assert_eq!(sim.finish().violations, 0);
 }
 
 /// An order that was lost on its way to one member would never be done, or would be taken for done.
@@ -438,7 +441,7 @@
     assert_eq!(progress(&sim).missing[0].name, name(6));
     run_for(&mut sim, 4 * SECOND);
     assert!(!progress(&sim).done);
-    sim.act(GroupAct::Lift { number: 1 });
+    sim.act(GroupAction::RemoveLinkFault { id: 1 });
     until(&mut sim, 4 * SECOND, |sim| progress(sim).done);
 }
 
@@ -468,11 +471,11 @@
     lay(&mut sim, 1, &deaf, LinkFault::Cut);
     assert!(sim.order(0, true));
     run_for(&mut sim, SECOND);
-    sim.act(GroupAct::Kill {
-        who: 0,
+    sim.act(GroupAction::Kill {
+        member: 0,
         empty: true,
     });
-    sim.act(GroupAct::Lift { number: 1 });
+    sim.act(GroupAction::RemoveLinkFault { id: 1 });
     assert!(sim.is_cordoned(1) && !sim.is_cordoned(6));
     until(&mut sim, 1500 * MS, |sim| sim.is_cordoned(6));
 }
@@ -483,11 +486,11 @@
     let mut sim = whole(7, 18);
     assert!(sim.order(0, true));
     run_for(&mut sim, SECOND);
-    sim.act(GroupAct::Kill {
-        who: 3,
+    sim.act(GroupAction::Kill {
+        member: 3,
         empty: true,
     });
-    sim.act(GroupAct::Start { who: 3 });
+    sim.act(GroupAction::Start { member: 3 });
     assert!(!sim.core(3).is_bootstrapped());
     until(&mut sim, 300 * MS, |sim| sim.core(3).is_bootstrapped());
     assert!(sim.is_cordoned(3));
--- a/crates/stairfront-gossip-membership/tests/scripts.rs
+++ b/crates/stairfront-gossip-membership/tests/scripts.rs
@@ -2,10 +2,10 @@
 mod sim;
 
 use sim::{Sim, HOST};
+use stairfront_common::random::SeededRng;
 use stairfront_common::time::{Micros, SECOND};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::group::{GroupLimits, GroupObserver, GroupReport, Sign};
-use stairfront_emulator::group_script::{Budget, GroupScript, WHOLE_AGAIN};
+use stairfront_emulator::group_observer::{GroupEvent, GroupLimits, GroupObserver, GroupReport};
+use stairfront_emulator::group_script::{FaultBudget, GroupScript, WHOLE_AGAIN};
 
 /// Seeds of the scripts: some in CI, more by `GROUP_SEEDS=1..2000 cargo test --release -p stairfront-gossip-membership --test scripts`.
 fn seeds(usual: std::ops::Range<u64>) -> std::ops::Range<u64> {
@@ -17,14 +17,14 @@
 }
 
 fn play(seed: u64, members: usize) -> (GroupScript, GroupReport, Sim) {
-    let script = GroupScript::draw(seed, members, Budget::default(), 6 * SECOND);
+    let script = GroupScript::draw(seed, members, FaultBudget::default(), 6 * SECOND);
     let mut sim = Sim::new(members, seed);
     sim.start_all();
     sim.play(&script);
-    let mut rng = Dice::new(seed, "operators");
-    while sim.now < script.ends().max(8 * SECOND) {
-        let until = sim.now + 500_000 + rng.below(3_000_000) as Micros;
-        sim.run_until(until.min(script.ends().max(8 * SECOND)));
+    let mut rng = SeededRng::for_part(seed, "operators");
+    while sim.now < script.end().max(8 * SECOND) {
+        let until = sim.now + 500_000 + rng.below(3_000_000_u64) as Micros;
+        sim.run_until(until.min(script.end().max(8 * SECOND)));
         let member = rng.below(members as u64) as usize;
         let cordon = rng.happens(0.6);
         sim.order(member, cordon);
@@ -56,16 +56,16 @@
                 println!("{ms:9.1} b{}: {:?}", entry.member, entry.content);
             }
         }
-        let f = &report.figures;
+        let f = &report.metrics;
         checks.0 += f.judged_alive;
         checks.1 += f.judged_dead;
-        checks.2 += f.judged_standing;
+        checks.2 += f.judged_quorum;
         checks.3 += f.yes;
-        slowest = slowest.max(f.whole_after_ms.unwrap_or(f64::INFINITY));
-        if report.broken > 0 {
+        slowest = slowest.max(f.complete_after_ms.unwrap_or(f64::INFINITY));
+        if report.violations > 0 {
             println!(
                 "seed {seed}, {members} members:\n{}\n{}",
-                script.words().join("\n"),
+                script.describe().join("\n"),
                 report.examples[0]
             );
             failed.push(seed);
@@ -96,13 +96,17 @@
     sim.order(0, true);
     let until = sim.now + 2 * SECOND;
     sim.run_until(until);
-    sim.observer.hear(
+    sim.observer.observe(
         sim.now,
-        Sign::Began {
+        GroupEvent::AttemptStarted {
             host: HOST.into(),
-            who: 3,
+            member: 3,
         },
     );
     let report = sim.finish();
-    assert_eq!((report.figures.yes, report.broken), (1, 1), "{report:?}");
+    assert_eq!(
+        (report.metrics.yes, report.violations),
+        (1, 1),
+        "{report:?}"
+    );
 }
--- a/crates/stairfront-gossip-membership/tests/sim/faults.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/faults.rs
@@ -1,63 +1,73 @@
 //! Starts, ends, pauses and link faults of the simulation.
-use stairfront_emulator::group::Sign;
-use stairfront_emulator::group_script::GroupAct;
+use stairfront_emulator::group_observer::GroupEvent;
+use stairfront_emulator::group_script::GroupAction;
 use stairfront_emulator::links::LinkFault;
 use stairfront_gossip_membership::Membership;
 
 use super::{LaidFault, Node, Process, Sim, HOST};
 
 impl Sim {
-    pub fn act(&mut self, act: GroupAct) {
+    pub fn act(&mut self, act: GroupAction) {
         match act {
-            GroupAct::Lay {
-                number,
+            GroupAction::AddLinkFault {
+                id: number,
                 pairs,
                 fault,
             } => self.lay_fault(number, pairs, fault),
-            GroupAct::Lift { number } => self.lift_fault(number),
-            GroupAct::Kill { who, empty } => self.kill(who, empty),
-            GroupAct::Term { who } => self.terminate(who),
-            GroupAct::Start { who } => self.start(who),
-            GroupAct::Pause { who } => self.pause(who),
-            GroupAct::Wake { who } => self.resume(who),
-            GroupAct::Move { who } => self.nodes[who].moved ^= true,
-            GroupAct::StartNamesake { who } => {
+            GroupAction::RemoveLinkFault { id: number } => self.lift_fault(number),
+            GroupAction::Kill { member: who, empty } => self.kill(who, empty),
+            GroupAction::Term { member: who } => self.terminate(who),
+            GroupAction::Start { member: who } => self.start(who),
+            GroupAction::Pause { member: who } => self.pause(who),
+            GroupAction::Resume { member: who } => self.resume(who),
+            GroupAction::Move { member: who } => self.nodes[who].moved ^= true,
+            GroupAction::StartDuplicate { member: who } => {
                 let settings = self.settings(Process {
                     member: who,
                     is_duplicate: true,
                 });
                 self.nodes[who].duplicate = Some(Membership::new(self.now, settings, &[]));
-                self.observer
-                    .hear(self.now, Sign::Doubled { who, on: true });
+                self.observer.observe(
+                    self.now,
+                    GroupEvent::DuplicateRunning {
+                        member: who,
+                        running: true,
+                    },
+                );
             }
-            GroupAct::StopNamesake { who } => {
+            GroupAction::StopDuplicate { member: who } => {
                 self.nodes[who].duplicate = None;
-                self.observer
-                    .hear(self.now, Sign::Doubled { who, on: false });
+                self.observer.observe(
+                    self.now,
+                    GroupEvent::DuplicateRunning {
+                        member: who,
+                        running: false,
+                    },
+                );
             }
         }
     }
 
     fn lay_fault(&mut self, number: u64, pairs: Vec<(usize, usize)>, fault: LinkFault) {
-        self.links.lay(self.now, number, &pairs, fault);
-        let sign = Sign::Hurt {
+        self.links.add_fault(self.now, number, &pairs, fault);
+        let sign = GroupEvent::LinksFaulted {
             pairs: pairs.clone(),
             cut: fault.cuts(),
             mild: fault.is_mild(),
         };
         self.laid.insert(number, LaidFault { pairs, fault });
-        self.observer.hear(self.now, sign);
+        self.observer.observe(self.now, sign);
     }
 
     fn lift_fault(&mut self, number: u64) {
-        self.links.lift(number);
+        self.links.remove_fault(number);
         if let Some(LaidFault { pairs, fault }) = self.laid.remove(&number) {
-            let sign = Sign::Healed {
+            let sign = GroupEvent::LinksRestored {
                 pairs,
                 cut: fault.cuts(),
                 mild: fault.is_mild(),
             };
-            self.observer.hear(self.now, sign);
+            self.observer.observe(self.now, sign);
         }
     }
 
@@ -72,7 +82,8 @@
     fn pause(&mut self, member: usize) {
         if self.nodes[member].core.is_some() && !self.nodes[member].paused {
             self.nodes[member].paused = true;
-            self.observer.hear(self.now, Sign::Paused { who: member });
+            self.observer
+                .observe(self.now, GroupEvent::Paused { member });
         }
     }
 
@@ -81,7 +92,8 @@
             return;
         }
         self.nodes[member].paused = false;
-        self.observer.hear(self.now, Sign::Woke { who: member });
+        self.observer
+            .observe(self.now, GroupEvent::Resumed { member });
         for bytes in std::mem::take(&mut self.nodes[member].unread) {
             self.handle_datagram(Process::primary(member), &bytes);
         }
@@ -107,7 +119,8 @@
         node.core = Some(core);
         node.starts += 1;
         node.started = self.now;
-        self.observer.hear(self.now, Sign::Up { who: member });
+        self.observer
+            .observe(self.now, GroupEvent::Started { member });
         self.run_actions(Process::primary(member));
     }
 
@@ -128,11 +141,12 @@
             node.disk.clear();
         }
         self.orders.retain(|order| order.member != member);
-        self.observer.hear(self.now, Sign::Down { who: member });
+        self.observer
+            .observe(self.now, GroupEvent::Stopped { member });
         // A cordon that no process and no disk has is lost.
         if empty && !self.nodes.iter().any(knows_cordon) {
             self.observer
-                .hear(self.now, Sign::Freed { host: HOST.into() });
+                .observe(self.now, GroupEvent::Uncordoned { host: HOST.into() });
         }
     }
 }
--- a/crates/stairfront-gossip-membership/tests/sim/mod.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/mod.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
+use stairfront_common::random::SeededRng;
 use stairfront_common::time::{Micros, MS, SECOND};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::group::{GroupLimits, GroupObserver, GroupReport, Sign};
-use stairfront_emulator::group_script::{GroupAct, GroupScript};
+use stairfront_emulator::group_observer::{GroupEvent, GroupLimits, GroupObserver, GroupReport};
+use stairfront_emulator::group_script::{GroupAction, GroupScript};
 use stairfront_emulator::links::{LinkFault, Links};
 use stairfront_gossip_membership::{CordonEntry, Event, MemberState, Membership, Settings, Timing};
 
@@ -64,7 +64,7 @@
         host: String,
     },
     Observe,
-    Act(GroupAct),
+    Act(GroupAction),
 }
 
 #[derive(Default)]
@@ -130,7 +130,7 @@
     pub nodes: Vec<Node>,
     pub links: Links,
     pub observer: GroupObserver,
-    pub rng: Dice,
+    pub rng: SeededRng,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: BTreeMap<usize, SimEvent>,
     next_event: usize,
@@ -161,7 +161,7 @@
             nodes: (0..members).map(|_| Node::default()).collect(),
             links: Links::new(members, seed),
             observer,
-            rng: Dice::new(seed, "sim"),
+            rng: SeededRng::for_part(seed, "sim"),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
@@ -193,7 +193,7 @@
     }
 
     pub fn play(&mut self, script: &GroupScript) {
-        for (at, act) in script.acts() {
+        for (at, act) in script.actions() {
             self.schedule(at, SimEvent::Act(act));
         }
     }
@@ -304,13 +304,13 @@
 
     pub fn begin_quiet(&mut self) {
         self.quiet = Some(self.now);
-        self.observer.hear(self.now, Sign::Quiet);
+        self.observer.observe(self.now, GroupEvent::FaultsFinished);
     }
 
     /// Runs until all members are whole and agree, or the time is over.
     pub fn until_whole(&mut self, max: Micros) {
         let end = self.now + max;
-        while self.now < end && !self.observer.is_whole() {
+        while self.now < end && !self.observer.is_complete() {
             self.run_until(self.now + OBSERVATION_INTERVAL);
         }
     }
--- a/crates/stairfront-gossip-membership/tests/sim/network.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/network.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 
 use stairfront_common::time::{Micros, MS};
-use stairfront_emulator::links::Passage;
+use stairfront_emulator::links::{Delivery, StreamDelivery};
 use stairfront_gossip_membership::Action;
 
 use super::{member_at, LogContent, LogEntry, Process, Sim, SimEvent, SOCKET_BUFFER};
@@ -73,7 +73,8 @@
         let Some(to) = self.process_at(to) else {
             return;
         };
-        for (delay, bytes) in self.links.datagram(self.now, from, to.member, bytes) {
+        for Delivery { delay, bytes } in self.links.send_datagram(self.now, from, to.member, bytes)
+        {
             self.schedule(self.now + delay, SimEvent::Datagram { to, bytes });
         }
     }
@@ -83,8 +84,11 @@
             return;
         };
         let member = from.member;
-        match self.links.stream(self.now, member, to.member, bytes.len()) {
-            Passage::After(delay) => {
+        match self
+            .links
+            .send_stream(self.now, member, to.member, bytes.len())
+        {
+            StreamDelivery::Delayed(delay) => {
                 let request = SimEvent::PushPullRequest { from, to, bytes };
                 self.schedule(self.now + delay * 2, request);
             }
@@ -125,8 +129,8 @@
         let Some(bytes) = reply else {
             return self.schedule(now + PUSH_PULL_TIMEOUT, failure);
         };
-        match self.links.stream(now, to.member, member, bytes.len()) {
-            Passage::After(delay) => {
+        match self.links.send_stream(now, to.member, member, bytes.len()) {
+            StreamDelivery::Delayed(delay) => {
                 let reply = SimEvent::PushPullReply { to: from, bytes };
                 self.schedule(now + delay, reply);
             }
--- a/crates/stairfront-gossip-membership/tests/sim/observation.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/observation.rs
@@ -1,6 +1,6 @@
 //! Reports to the observer: what members say of the group, what they serve, and which orders are done.
 use stairfront_common::time::MS;
-use stairfront_emulator::group::{Account, Sign};
+use stairfront_emulator::group_observer::{GroupEvent, MemberReport};
 
 use super::{LogContent, LogEntry, Process, Sim, SimOrder, HOST};
 
@@ -22,13 +22,13 @@
             return;
         };
         let text = serde_json::to_string(&core.report(now)).unwrap();
-        let account: Account = serde_json::from_str(&text).unwrap();
+        let account: MemberReport = serde_json::from_str(&text).unwrap();
         let is_bootstrapped = core.is_bootstrapped();
-        let said = Sign::Said {
-            who: member,
-            account,
+        let said = GroupEvent::Reported {
+            member,
+            report: account,
         };
-        self.observer.hear(now, said);
+        self.observer.observe(now, said);
         let node = &mut self.nodes[member];
         node.is_uninformed &= !is_bootstrapped;
         // It serves once it has applied what the others told it, or the time for that is over.
@@ -36,11 +36,11 @@
         let is_asking = is_starting && (!is_bootstrapped || !node.pending.is_empty());
         // A member that serves sends requests to a host that it has not cordoned.
         if !is_asking && !node.is_uninformed && !node.cordoned.contains(HOST) {
-            let began = Sign::Began {
+            let began = GroupEvent::AttemptStarted {
                 host: HOST.into(),
-                who: member,
+                member,
             };
-            self.observer.hear(now, began);
+            self.observer.observe(now, began);
         }
     }
 
@@ -55,7 +55,7 @@
             .is_some_and(|progress| progress.done);
         if is_done && order.is_cordon {
             self.observer
-                .hear(self.now, Sign::Barred { host: HOST.into() });
+                .observe(self.now, GroupEvent::Cordoned { host: HOST.into() });
         } else if !is_done {
             self.orders.push(order);
         }
@@ -73,7 +73,7 @@
             }
             // From now on the host may be used, whatever becomes of the order; earlier cordons are not waited for.
             self.observer
-                .hear(self.now, Sign::Freed { host: HOST.into() });
+                .observe(self.now, GroupEvent::Uncordoned { host: HOST.into() });
             self.orders.retain(|order| !order.is_cordon);
         }
         let starts = node.starts;
--- a/crates/stairfront-lab/src/by_hand.rs
+++ b/crates/stairfront-lab/src/by_hand.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
-use stairfront_emulator::time::{from_ms, to_ms, Micros};
+use stairfront_common::time::{from_ms, to_ms, Micros};
 
 use crate::work::{Act, WorkOutcome, WorkPlan, Workers};
 
--- a/crates/stairfront-lab/src/clock.rs
+++ b/crates/stairfront-lab/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of a run: microseconds since its requests begin to come, the same on all threads.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
 
 #[derive(Clone, Copy, Debug)]
 pub struct RunClock {
--- a/crates/stairfront-lab/src/compare.rs
+++ b/crates/stairfront-lab/src/compare.rs
@@ -318,19 +318,19 @@
         let mean = |of: fn(&GroupOutcome) -> f64| {
             runs.iter().map(|(_, group)| of(group)).sum::<f64>() / runs.len() as f64
         };
-        let broken = sum(|group| group.report.broken);
+        let broken = sum(|group| group.report.violations);
         line(format!(
             "\ngroup, {variant}, {} runs: {}; judged {} times alive, {} dead, {} in their standing, of {} accounts",
             runs.len(),
             if broken == 0 { "held".to_string() } else { format!("BROKEN {broken} times") },
-            sum(|group| group.report.figures.judged_alive),
-            sum(|group| group.report.figures.judged_dead),
-            sum(|group| group.report.figures.judged_standing),
-            sum(|group| group.report.figures.accounts),
+            sum(|group| group.report.metrics.judged_alive),
+            sum(|group| group.report.metrics.judged_dead),
+            sum(|group| group.report.metrics.judged_quorum),
+            sum(|group| group.report.metrics.reports),
         ));
         let whole: Vec<f64> = runs
             .iter()
-            .filter_map(|(_, group)| group.report.figures.whole_after_ms)
+            .filter_map(|(_, group)| group.report.metrics.complete_after_ms)
             .collect();
         line(format!(
             "  whole after the last trouble (median, p99, most): {}",
@@ -357,7 +357,7 @@
             mean(|group| group.cpu_us_per_s),
         ));
         work(&runs, line);
-        for (seed, group) in runs.iter().filter(|(_, group)| group.report.broken > 0) {
+        for (seed, group) in runs.iter().filter(|(_, group)| group.report.violations > 0) {
             line(format!("  seed {seed}:"));
             group
                 .script
@@ -445,7 +445,7 @@
         let broken: u64 = results
             .runs
             .iter()
-            .map(|run| run.rules.rules[i].broken)
+            .map(|run| run.rules.rules[i].violations)
             .sum();
         line(format!(
             "rule {name}: {}",
@@ -471,11 +471,11 @@
     line(format!(
         "latest answer {:+.1} ms from its deadline; {:.0} attempts at most, {:.1} ms together at most; \
          latest to a leaving server {:.1} ms; most into a cold one {:.2} of what it bears; origin stopped {:.0} times",
-        most(|run| run.rules.figures.latest_ms),
-        most(|run| run.rules.figures.most_attempts as f64),
-        most(|run| run.rules.figures.longest_overlap_ms),
-        most(|run| run.rules.figures.latest_to_leaving_ms),
+        most(|run| run.rules.metrics.max_lateness_ms),
+        most(|run| run.rules.metrics.max_attempts as f64),
+        most(|run| run.rules.metrics.max_overlap_ms),
+        most(|run| run.rules.metrics.max_after_drain_ms),
         most(|run| run.servers.iter().map(|server| server.counts.worst_cold).fold(0.0, f64::max)),
-        most(|run| run.rules.figures.origin_stops as f64),
+        most(|run| run.rules.metrics.origin_stops as f64),
     ));
 }
--- a/crates/stairfront-lab/src/experiment.rs
+++ b/crates/stairfront-lab/src/experiment.rs
@@ -4,12 +4,16 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
+use stairfront_common::time::{from_ms, Micros};
 use stairfront_emulator::arrivals::Traffic;
 use stairfront_emulator::cache_host::CacheSettings;
-use stairfront_emulator::client::{ClassSettings, Repeats, RetrySettings};
-use stairfront_emulator::faults::{Mark, Script, Stage, Step, TimedFault};
+use stairfront_emulator::client::{ClassSettings, Idempotency, RetrySettings};
+use stairfront_emulator::faults::{
+    FaultInterval, FaultScript, FaultScriptError, HostTarget, ScheduledAction, ScriptTargets,
+    TimedFault,
+};
 use stairfront_emulator::origin::OriginSettings;
-use stairfront_emulator::time::{from_ms, Micros};
+use stairfront_emulator::settings_error::SettingsError;
 
 use crate::fleet::{FleetPlan, HostPlan};
 use crate::load::{self, Habits};
@@ -215,11 +219,11 @@
 fn one_class() -> Vec<ClassSettings> {
     vec![ClassSettings {
         name: "read".into(),
-        aim_ms: 250.0,
+        latency_objective_ms: 250.0,
         deadline_ms: 1000.0,
-        repeats: Repeats::Safe,
+        idempotency: Idempotency::Idempotent,
         write: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         value_bytes: 0,
     }]
 }
@@ -312,7 +316,7 @@
         let touched = self
             .faults
             .iter()
-            .any(|timed| timed.fault.is_of_balancers());
+            .any(|timed| timed.fault.affects_balancers());
         let problem = "balancers of a group are troubled under [group] alone";
         must(self.group.is_none() || !touched, "faults", problem);
         if let Some(group) = &self.group {
@@ -320,7 +324,7 @@
             let known = group
                 .troubles
                 .iter()
-                .all(|timed| timed.trouble.touched().iter().all(|who| *who < count));
+                .all(|timed| timed.fault.touched().iter().all(|who| *who < count));
             must(
                 known,
                 "group.troubles",
@@ -329,7 +333,7 @@
             let good = group
                 .troubles
                 .iter()
-                .all(|timed| timed.at_ms >= 0.0 && timed.lasts_ms >= 0.0);
+                .all(|timed| timed.at_ms >= 0.0 && timed.duration_ms >= 0.0);
             must(
                 good,
                 "group.troubles",
@@ -338,7 +342,7 @@
             let ends = self
                 .seeds
                 .iter()
-                .map(|seed| group.script(*seed, count).ends())
+                .map(|seed| group.script(*seed, count).end())
                 .max()
                 .unwrap_or(0);
             let rest = from_ms(self.seconds * 1e3) - ends;
@@ -371,8 +375,8 @@
             "at least one is needed",
         );
         for (i, class) in self.classes.iter().enumerate() {
-            let good = class.aim_ms > 0.0
-                && class.deadline_ms >= class.aim_ms
+            let good = class.latency_objective_ms > 0.0
+                && class.deadline_ms >= class.latency_objective_ms
                 && class.deadline_ms <= 3_600_000.0;
             must(
                 good,
@@ -416,34 +420,22 @@
             );
         }
         let parts = [
-            (
-                "fleet.cache",
-                self.fleet
-                    .cache
-                    .fault()
-                    .map(|(key, problem)| (key.to_string(), problem)),
-            ),
-            (
-                "fleet.origin",
-                self.fleet
-                    .origin
-                    .fault()
-                    .map(|(key, problem)| (key.to_string(), problem)),
-            ),
-            ("clients.traffic", self.clients.traffic.fault()),
+            ("fleet.cache", self.fleet.cache.validate().err()),
+            ("fleet.origin", self.fleet.origin.validate().err()),
+            ("clients.traffic", self.clients.traffic.validate().err()),
             (
                 "clients.habits",
-                load::fault(&self.clients.habits).map(|(key, p)| (key.to_string(), p)),
+                load::fault(&self.clients.habits).map(|(key, p)| SettingsError::new(key, p)),
             ),
         ];
-        for (place, fault) in parts {
-            found.extend(fault.map(|(key, problem)| format!("{place}.{key}: {problem}")));
+        for (table, error) in parts {
+            found.extend(error.map(|error| format!("{table}.{error}")));
         }
         if self.clients.traffic.classes.len() > self.classes.len() {
             found
                 .push("clients.traffic.classes: has more parts than there are classes".to_string());
         }
-        found.extend(self.script(1).err());
+        found.extend(self.script(1).err().map(|error| error.to_string()));
         found
     }
 
@@ -479,16 +471,19 @@
         }
     }
 
-    pub fn script(&self, seed: u64) -> Result<Script, String> {
+    pub fn script(&self, seed: u64) -> Result<FaultScript, FaultScriptError> {
         let hosts = self
             .fleet_plan(seed)
             .hosts
             .into_iter()
-            .map(|host| (host.name, host.zone))
+            .map(|host| HostTarget {
+                name: host.name,
+                zone: host.zone,
+            })
             .collect();
-        Script::lay_out(
+        FaultScript::build(
             &self.faults,
-            &Stage {
+            &ScriptTargets {
                 hosts,
                 balancers: self.balancers.count,
             },
@@ -496,7 +491,7 @@
         )
     }
 
-    pub fn steps(&self, seed: u64) -> (Vec<Step>, Vec<Mark>) {
+    pub fn steps(&self, seed: u64) -> (Vec<ScheduledAction>, Vec<FaultInterval>) {
         let script = self.script(seed).unwrap_or_default();
         (script.steps, script.marks)
     }
@@ -505,13 +500,13 @@
     pub fn balancer_settings(&self, me: usize, rate: f64) -> Value {
         let (set, cache) = (&self.balancers, &self.fleet.cache);
         let class = |class: &ClassSettings| {
-            let semantics = match class.repeats {
-                Repeats::Safe => "free",
-                Repeats::Keyed => "guarded",
-                Repeats::Unsafe => "single_shot",
+            let semantics = match class.idempotency {
+                Idempotency::Idempotent => "free",
+                Idempotency::Keyed => "guarded",
+                Idempotency::NotIdempotent => "single_shot",
             };
-            json!({"name": class.name, "semantics": semantics, "group": "all", "key_ttl": cache.keyed_ms,
-                   "aim": class.aim_ms, "deadline": class.deadline_ms, "worth": class.worth})
+            json!({"name": class.name, "semantics": semantics, "group": "all", "key_ttl": cache.idempotency_ttl_ms,
+                   "aim": class.latency_objective_ms, "deadline": class.deadline_ms, "worth": class.priority_weight})
         };
         let tenant = |tenant: &stairfront_emulator::arrivals::TenantTraffic| json!({"name": tenant.name, "quota_rps": rate * tenant.share, "share": tenant.share});
         let mode = match cache.fetch {
@@ -527,9 +522,9 @@
             "caps": {"most_tries": set.most_tries, "connect_timeout": set.connect_timeout_ms,
                      "keepalive": cache.idle_ms, "retry_after": set.max_retry_after_ms > 0.0,
                      "max_retry_after": set.max_retry_after_ms, "cancel": set.may_cancel},
-            "report": {"fields": cache.report},
-            "rules": {"answer_slack": 20.0, "stop_sending_within": set.grace_ms, "cold_from": cache.cold_from,
-                      "warm_up": cache.warm_up_ms, "fall_multiple": cache.fall_multiple, "fall": cache.fall_ms}
+            "report": {"fields": cache.report_fields},
+            "rules": {"answer_slack": 20.0, "stop_sending_within": set.grace_ms, "cold_from": cache.cold_capacity,
+                      "warm_up": cache.warm_up_ms, "fall_multiple": cache.overload_multiple, "fall": cache.overload_window_ms}
         })
     }
 }
