--- a/crates/stairfront-lab/src/fleet.rs
+++ b/crates/stairfront-lab/src/fleet.rs
@@ -10,12 +10,12 @@
 
 use rustc_hash::FxHashMap;
 use serde_json::Value;
-use stairfront_emulator::agent::{Agent, Line, Status};
-use stairfront_emulator::cache_host::{Ailments, CacheHost, CacheSettings, RepeatGroup};
-use stairfront_emulator::faults::Act;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{CacheHost, CacheSettings, IdempotencyStore, ServerFaults};
+use stairfront_emulator::discovery_agent::{DiscoveryAgent, EndpointRecord, EndpointStatus};
+use stairfront_emulator::faults::FaultAction;
 use stairfront_emulator::origin::{Origin, OriginSettings};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::Micros;
+use stairfront_emulator::rules::Observation;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
@@ -52,10 +52,10 @@
 
 #[derive(Clone, Debug)]
 enum Order {
-    Act(Act),
+    FaultAction(FaultAction),
     Say(Word),
     /// Discovery's agents: a host is so.
-    List(usize, Status, u64),
+    List(usize, EndpointStatus, u64),
     /// Says what it counted and ends.
     End,
 }
@@ -110,18 +110,19 @@
     }
 
     /// The list as a balancer's agent has it.
-    fn lines(&self, plan: &FleetPlan, balancer: usize, since_ms: u64) -> Vec<Line> {
-        let line = |name: &str, zone: &str, kind: &str, address: &Address, since_ms| Line {
-            name: name.to_string(),
-            address: address.at().to_string(),
-            zone: zone.to_string(),
-            kind: kind.to_string(),
-            group: 0,
-            status: Status::Serving,
-            since_ms,
-        };
+    fn lines(&self, plan: &FleetPlan, balancer: usize, since_ms: u64) -> Vec<EndpointRecord> {
+        let line =
+            |name: &str, zone: &str, kind: &str, address: &Address, since_ms| EndpointRecord {
+                name: name.to_string(),
+                address: address.at().to_string(),
+                zone: zone.to_string(),
+                kind: kind.to_string(),
+                group: 0,
+                status: EndpointStatus::Serving,
+                since_ms,
+            };
         let hosts = plan.hosts.iter().zip(&self.hosts);
-        let mut lines: Vec<Line> = hosts
+        let mut lines: Vec<EndpointRecord> = hosts
             .map(|(host, places)| {
                 line(&host.name, &host.zone, "cache", &places[balancer], since_ms)
             })
@@ -136,7 +137,7 @@
     pub fn start(
         plan: FleetPlan,
         clock: RunClock,
-        tapes: &Sender<Vec<(Micros, Seen)>>,
+        tapes: &Sender<Vec<(Micros, Observation)>>,
     ) -> io::Result<Self> {
         let mut places = Places::reserve(&plan)?;
         let since = if plan.cold {
@@ -144,12 +145,12 @@
         } else {
             0
         };
-        let lists: Vec<Vec<Line>> = (0..plan.balancers)
+        let lists: Vec<Vec<EndpointRecord>> = (0..plan.balancers)
             .map(|b| places.lines(&plan, b, since))
             .collect();
         let known = lists
             .iter()
-            .map(|lines| Agent::new(lines.clone(), 0).snapshot())
+            .map(|lines| DiscoveryAgent::new(lines.clone(), 0).snapshot())
             .collect();
         let hosts = places
             .hosts
@@ -164,7 +165,7 @@
         let threads = plan.threads.max(1);
         let (orders, inboxes): (Vec<_>, Vec<_>) =
             (0..threads).map(|_| mpsc::unbounded_channel()).unzip();
-        let group = RepeatGroup::shared();
+        let group = IdempotencyStore::shared();
         let mut running = Vec::new();
         for (i, inbox) in inboxes.into_iter().enumerate() {
             let mut part = Part::new(
@@ -217,16 +218,22 @@
     }
 
     /// Every change that hosts and lists know of by themselves.
-    pub fn act(&self, act: Act) {
+    pub fn act(&self, act: FaultAction) {
         let now = self.clock.unix_ms(self.clock.now());
         match act {
-            Act::Kill { host } => self.order(Order::List(host, Status::Gone, 0)),
-            Act::Start { host } => self.order(Order::List(host, Status::Serving, now)),
-            Act::ListDraining { host } => self.order(Order::List(host, Status::Draining, 0)),
-            Act::ListServing { host } => self.order(Order::List(host, Status::Serving, 0)),
+            FaultAction::Kill { host } => self.order(Order::List(host, EndpointStatus::Removed, 0)),
+            FaultAction::Start { host } => {
+                self.order(Order::List(host, EndpointStatus::Serving, now))
+            }
+            FaultAction::ListDraining { host } => {
+                self.order(Order::List(host, EndpointStatus::Draining, 0))
+            }
+            FaultAction::ListServing { host } => {
+                self.order(Order::List(host, EndpointStatus::Serving, 0))
+            }
             _ => {}
         }
-        self.order(Order::Act(act));
+        self.order(Order::FaultAction(act));
     }
 
     fn order(&self, order: Order) {
@@ -261,9 +268,9 @@
     clock: RunClock,
     tape: Tape,
     threads: Vec<mpsc::UnboundedSender<Order>>,
-    hosts: Vec<(usize, Vec<Address>, std::sync::Arc<Mutex<RepeatGroup>>)>,
+    hosts: Vec<(usize, Vec<Address>, std::sync::Arc<Mutex<IdempotencyStore>>)>,
     origin: Option<Vec<Address>>,
-    agents: Vec<([Address; 2], Vec<Line>)>,
+    agents: Vec<([Address; 2], Vec<EndpointRecord>)>,
 }
 
 impl Part {
@@ -328,7 +335,7 @@
     hosts: FxHashMap<usize, Rc<Station<CacheService>>>,
     origin: Option<Rc<Station<OriginService>>>,
     agents: Vec<[Rc<Station<AgentService>>; 2]>,
-    lines: Vec<Vec<Line>>,
+    lines: Vec<Vec<EndpointRecord>>,
     plan: FleetPlan,
     moved: bool,
 }
@@ -389,7 +396,7 @@
         names.insert("origin".to_string(), origin_at);
         for (balancer, ([now, later], lines)) in agents.into_iter().enumerate() {
             let station = |address: Address, lag| {
-                let model = Agent::new(lines.clone(), lag);
+                let model = DiscoveryAgent::new(lines.clone(), lag);
                 let service =
                     AgentService::new(model, names.clone(), balancer as u16, Rc::clone(&tape));
                 Station::new(clock, service, vec![address], 0)
@@ -412,7 +419,7 @@
             tokio::select! {
                 order = inbox.recv() => match order {
                     Some(Order::End) | None => return self.reports(),
-                    Some(Order::Act(act)) => self.act(act),
+                    Some(Order::FaultAction(act)) => self.act(act),
                     Some(Order::Say(word)) => self.say(&word),
                     Some(Order::List(host, status, since_ms)) => self.list(host, status, since_ms),
                 },
@@ -437,12 +444,12 @@
         for station in self.hosts.values() {
             station.with(|service, now, _| match word {
                 Word::Filled { id } => service.model.fill(now, id),
-                Word::Written { key } => service.model.drop_key(key),
+                Word::Written { key } => service.model.invalidate(key),
             });
         }
     }
 
-    fn list(&mut self, host: usize, status: Status, since_ms: u64) {
+    fn list(&mut self, host: usize, status: EndpointStatus, since_ms: u64) {
         for (pair, lines) in self.agents.iter().zip(&mut self.lines) {
             let Some(line) = lines.get_mut(host) else {
                 continue;
@@ -461,53 +468,63 @@
         }
     }
 
-    fn ail(&self, host: usize, change: impl FnOnce(&mut Ailments)) {
+    fn ail(&self, host: usize, change: impl FnOnce(&mut ServerFaults)) {
         if let Some(station) = self.hosts.get(&host) {
             station.with(|service, _, _| {
-                let mut ailments = service.model.ailments();
+                let mut ailments = service.model.faults();
                 change(&mut ailments);
-                service.model.set_ailments(ailments);
+                service.model.set_faults(ailments);
             });
         }
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: FaultAction) {
         let of = |host: &usize| self.hosts.get(host);
         match act {
-            Act::Slow { host, factor } => self.ail(host, |ailments| ailments.slow = factor),
-            Act::Lose { host, chance } => self.ail(host, |ailments| ailments.lost = chance),
-            Act::Spoil { host, chance } => self.ail(host, |ailments| ailments.spoilt = chance),
-            Act::Double { host, chance } => self.ail(host, |ailments| ailments.doubled = chance),
-            Act::Reset { host, chance } => self.ail(host, |ailments| ailments.reset = chance),
-            Act::SlowOrigin { factor } => {
+            FaultAction::Slow { host, factor } => {
+                self.ail(host, |ailments| ailments.slowdown = factor)
+            }
+            FaultAction::DropAnswers { host, chance } => {
+                self.ail(host, |ailments| ailments.drop_chance = chance)
+            }
+            FaultAction::CorruptAnswers { host, chance } => {
+                self.ail(host, |ailments| ailments.corrupt_chance = chance)
+            }
+            FaultAction::DuplicateAnswers { host, chance } => {
+                self.ail(host, |ailments| ailments.duplicate_chance = chance)
+            }
+            FaultAction::ResetConnections { host, chance } => {
+                self.ail(host, |ailments| ailments.reset_chance = chance)
+            }
+            FaultAction::SlowOrigin { factor } => {
                 if let Some(origin) = &self.origin {
-                    origin.with(|service, _, _| service.model.set_slow(factor));
+                    origin.with(|service, _, _| service.model.set_slowdown(factor));
                 }
             }
-            Act::Freeze { host } | Act::CutOff { host } => {
+            FaultAction::Freeze { host } | FaultAction::CutOff { host } => {
                 if let Some(station) = of(&host) {
                     station.hold();
                 }
             }
-            Act::Thaw { host } => {
+            FaultAction::Unfreeze { host } => {
                 if let Some(station) = of(&host) {
                     station.release();
                 }
             }
-            Act::Mend { host } => {
+            FaultAction::Reconnect { host } => {
                 // What was open across the cut is reset when the network is back.
                 if let Some(station) = of(&host) {
                     station.reset_all();
                     station.release();
                 }
             }
-            Act::Kill { host } => {
+            FaultAction::Kill { host } => {
                 if let Some(station) = of(&host) {
                     station.with(|service, _, _| service.model.stop());
                     station.die();
                 }
             }
-            Act::Start { host } => {
+            FaultAction::Start { host } => {
                 if let Some(station) = of(&host) {
                     station.with(|service, now, _| service.start_cold(now));
                     if let Err(problem) = station.listen() {
@@ -515,33 +532,33 @@
                     }
                 }
             }
-            Act::Void { host, part } => {
+            FaultAction::InvalidateCache { host, part } => {
                 if let Some(station) = of(&host) {
-                    station.with(|service, _, _| service.model.void(part));
+                    station.with(|service, _, _| service.model.invalidate_fraction(part));
                 }
             }
-            Act::Drain { host, draining } => {
+            FaultAction::Drain { host, draining } => {
                 if let Some(station) = of(&host) {
                     station.with(|service, _, _| service.model.drain(draining));
                 }
             }
-            Act::Silence { on } => self.agents(|agent, now| {
+            FaultAction::SilenceDiscovery { on } => self.agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
                 model.set_silent(now, on, actions);
             }),
-            Act::Stale { on } => self.agents(|agent, now| {
+            FaultAction::FreezeDiscovery { on } => self.agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
-                model.set_still(now, on, actions);
+                model.set_frozen(now, on, actions);
             }),
-            Act::MoveDiscovery => self.move_agents(),
+            FaultAction::MoveDiscovery => self.move_agents(),
             // Theirs who run the balancers, or told by `Order::List`.
-            Act::ListDraining { .. }
-            | Act::ListServing { .. }
-            | Act::KillBalancer { .. }
-            | Act::TermBalancer { .. }
-            | Act::StartBalancer { .. }
-            | Act::FreezeBalancer { .. }
-            | Act::ThawBalancer { .. } => {}
+            FaultAction::ListDraining { .. }
+            | FaultAction::ListServing { .. }
+            | FaultAction::KillBalancer { .. }
+            | FaultAction::TermBalancer { .. }
+            | FaultAction::StartBalancer { .. }
+            | FaultAction::FreezeBalancer { .. }
+            | FaultAction::UnfreezeBalancer { .. } => {}
         }
     }
 
@@ -584,7 +601,7 @@
         }
         if let Some(origin) = &self.origin {
             let (counts, worst_load) =
-                origin.with(|service, _, _| (service.counts, service.model.worst()));
+                origin.with(|service, _, _| (service.counts, service.model.max_load_ratio()));
             reports.push(ServerReport {
                 name: "origin".to_string(),
                 counts,
--- a/crates/stairfront-lab/src/live.rs
+++ b/crates/stairfront-lab/src/live.rs
@@ -1,7 +1,7 @@
 //! Figures of a run while it goes on, for a table that a person watches.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stairfront_emulator::client::End;
+use stairfront_emulator::client::Outcome;
 
 /// Counted since the last look; shared by all threads of a run.
 #[derive(Debug, Default)]
@@ -32,10 +32,10 @@
         }
     }
 
-    pub fn ended(&self, end: End, took_us: u64) {
+    pub fn ended(&self, end: Outcome, took_us: u64) {
         let counter = match end {
-            End::Served => &self.served,
-            End::Refused { .. } => &self.refused,
+            Outcome::Served => &self.served,
+            Outcome::Rejected { .. } => &self.refused,
             _ => &self.other,
         };
         counter.fetch_add(1, Ordering::Relaxed);
--- a/crates/stairfront-lab/src/load.rs
+++ b/crates/stairfront-lab/src/load.rs
@@ -15,12 +15,14 @@
 use serde::{Deserialize, Serialize};
 use stairfront_codec::budget::Budget;
 use stairfront_codec::resp::{put_bulk, put_number, ReplyReader, Value};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::arrivals::{Arrivals, Popularity, Traffic};
-use stairfront_emulator::cache_host::is_made_for;
-use stairfront_emulator::client::{Ask, ClassSettings, Clients, End, Repeats, RetrySettings};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::rules::{Answer, Seen};
-use stairfront_emulator::time::{Micros, MS, SECOND};
+use stairfront_emulator::cache_host::is_value_for;
+use stairfront_emulator::client::{
+    Attempt, ClassSettings, Clients, Idempotency, Outcome, RetrySettings,
+};
+use stairfront_emulator::rules::{ClientAnswer, Observation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -108,7 +110,7 @@
 pub fn run(
     plan: &LoadPlan,
     clock: RunClock,
-    tapes: &Sender<Vec<(Micros, Seen)>>,
+    tapes: &Sender<Vec<(Micros, Observation)>>,
 ) -> io::Result<Tally> {
     let popularity = Arc::new(Popularity::new(plan.traffic.keys, plan.traffic.zipf));
     let (classes, tenants) = (plan.classes.len(), plan.traffic.tenants.len());
@@ -142,7 +144,7 @@
 
 /// A request that has no answer yet.
 struct Owed {
-    ask: Ask,
+    ask: Attempt,
     /// Its last byte has been written.
     sent: bool,
     /// The balancer had ended its side by the time that was written: it cannot be read as a command any more.
@@ -199,9 +201,9 @@
     roads: Vec<Road>,
     turn: Cell<usize>,
     /// Due, and without a connection yet.
-    waiting: RefCell<VecDeque<(Ask, u8)>>,
+    waiting: RefCell<VecDeque<(Attempt, u8)>>,
     open: Cell<usize>,
-    dice: RefCell<Dice>,
+    dice: RefCell<SeededRng>,
     wake: Notify,
     /// Most kept connections to each balancer from this thread.
     most: usize,
@@ -246,7 +248,7 @@
             turn: Cell::new(source),
             waiting: RefCell::default(),
             open: Cell::new(0),
-            dice: RefCell::new(Dice::new(plan.seed, &format!("habits-{source}"))),
+            dice: RefCell::new(SeededRng::for_part(plan.seed, &format!("habits-{source}"))),
             wake: Notify::new(),
             most: plan.habits.connections.div_ceil(threads).max(1),
             plan,
@@ -274,7 +276,7 @@
             let now = self.clock.now();
             // Bound first: settling within the loop would borrow the clients again.
             loop {
-                let ask = self.clients.borrow_mut().take(now);
+                let ask = self.clients.borrow_mut().take_due(now);
                 let Some(ask) = ask else { break };
                 self.place(ask, 0);
             }
@@ -297,17 +299,17 @@
     }
 
     /// Gives a request to a connection, or has it wait for one.
-    fn place(self: &Rc<Self>, ask: Ask, moves: u8) {
+    fn place(self: &Rc<Self>, ask: Attempt, moves: u8) {
         let now = self.clock.now();
         if moves == 0 {
             self.open.set(self.open.get() + 1);
         }
         if moves > MOST_MOVES {
-            return self.settle(now, &ask, End::Lost, true);
+            return self.settle(now, &ask, Outcome::ConnectionLost, true);
         }
         let one_shot = self.dice.borrow_mut().happens(self.plan.habits.one_shot);
         let Some(road) = self.road(now) else {
-            return self.settle(now, &ask, End::Lost, true);
+            return self.settle(now, &ask, Outcome::ConnectionLost, true);
         };
         let line = if one_shot {
             let line = Line::new(road);
@@ -370,7 +372,7 @@
             let first = self.waiting.borrow_mut().pop_front();
             let Some((ask, moves)) = first else { return };
             if ask.deadline <= now {
-                self.settle(now, &ask, End::Unanswered, true);
+                self.settle(now, &ask, Outcome::TimedOut, true);
                 continue;
             }
             let line = (0..self.roads.len())
@@ -382,7 +384,7 @@
         }
     }
 
-    fn write(&self, now: Micros, line: &Line, ask: Ask, moves: u8) {
+    fn write(&self, now: Micros, line: &Line, ask: Attempt, moves: u8) {
         let left_ms = ((ask.deadline - now) / MS).max(1);
         let Some(class) = self.plan.classes.get(usize::from(ask.class)) else {
             return;
@@ -395,10 +397,10 @@
             .map_or("", |tenant| &tenant.name);
         let id = format!("{:016x}", ask.id);
         let mut info = format!("c={},t={tenant},d={left_ms}", class.name);
-        if ask.retry > 0 && self.plan.retries.marked {
+        if ask.retry > 0 && self.plan.retries.mark_retries {
             info.push_str(",r=1");
         }
-        if class.repeats == Repeats::Keyed {
+        if class.idempotency == Idempotency::Keyed {
             info.push_str(&format!(",k={id}"));
         }
         let mut out = line.out.borrow_mut();
@@ -422,16 +424,17 @@
         line.bell.notify_one();
     }
 
-    fn note(&self, at: Micros, seen: Seen) {
+    fn note(&self, at: Micros, seen: Observation) {
         self.tape.borrow_mut().note(at, seen);
     }
 
     /// The end of a try for its client.
-    fn settle(&self, now: Micros, ask: &Ask, end: End, unsent: bool) {
+    fn settle(&self, now: Micros, ask: &Attempt, end: Outcome, unsent: bool) {
         self.open.set(self.open.get().saturating_sub(1));
         let mut clients = self.clients.borrow_mut();
-        let in_time = end == End::Served && now - ask.first_due <= clients.aim(ask.class);
-        clients.settle(now, ask, end);
+        let in_time =
+            end == Outcome::Served && now - ask.first_due <= clients.latency_objective(ask.class);
+        clients.record_outcome(now, ask, end);
         self.tally.borrow_mut().book(now, ask, end, unsent, in_time);
         self.plan.live.ended(end, (now - ask.due).max(0) as u64);
         self.wake.notify_one();
@@ -464,7 +467,7 @@
             }
         }
         over.iter()
-            .for_each(|(ask, unsent)| self.settle(now, ask, End::Unanswered, *unsent));
+            .for_each(|(ask, unsent)| self.settle(now, ask, Outcome::TimedOut, *unsent));
     }
 
     /// The life of one connection.
@@ -501,17 +504,17 @@
                 moves,
             } = owed;
             match ended {
-                _ if given_up => self.note(now, Seen::Left { id: ask.id }),
+                _ if given_up => self.note(now, Observation::ClientClosed { id: ask.id }),
                 // Not read by the balancer, so it goes out once more, as clients of this protocol do.
                 _ if !sent || crossed => self.place(ask, moves + 1),
                 Ended::Unread => self.place(ask, moves + 1),
                 Ended::Left => {
-                    self.note(now, Seen::Left { id: ask.id });
-                    self.settle(now, &ask, End::Unanswered, false);
+                    self.note(now, Observation::ClientClosed { id: ask.id });
+                    self.settle(now, &ask, Outcome::TimedOut, false);
                 }
                 Ended::Closed => {
-                    self.note(now, Seen::Lost { id: ask.id });
-                    self.settle(now, &ask, End::Lost, false);
+                    self.note(now, Observation::ConnectionLost { id: ask.id });
+                    self.settle(now, &ask, Outcome::ConnectionLost, false);
                 }
             }
         }
@@ -587,7 +590,7 @@
         let mut owed = line.owed.borrow_mut();
         for owed in owed.iter_mut().filter(|owed| !owed.sent).take(unsent) {
             (owed.sent, owed.crossed) = (true, crossed);
-            let Ask {
+            let Attempt {
                 id,
                 class,
                 deadline,
@@ -595,7 +598,7 @@
             } = owed.ask;
             self.note(
                 now,
-                Seen::Sent {
+                Observation::RequestSent {
                     id,
                     class,
                     balancer: line.balancer as u16,
@@ -611,13 +614,13 @@
         let Some(Owed { ask, given_up, .. }) = line.owed.borrow_mut().pop_front() else {
             return self.note(
                 now,
-                Seen::Surplus {
+                Observation::UnsolicitedAnswer {
                     balancer: line.balancer as u16,
                 },
             );
         };
         let (answer, end) = read_reply(&reply, ask.id);
-        self.note(now, Seen::Answered { id: ask.id, answer });
+        self.note(now, Observation::Answered { id: ask.id, answer });
         // An answer that came late is the checker's; its client has gone on.
         if !given_up {
             self.settle(now, &ask, end, false);
@@ -673,7 +676,7 @@
                     // Its own slowness is no breach: it waits for ever.
                     self.note(
                         self.clock.now(),
-                        Seen::Sent {
+                        Observation::RequestSent {
                             id,
                             class: 0,
                             balancer: balancer as u16,
@@ -689,7 +692,7 @@
                 }
                 let now = self.clock.now();
                 ids.into_iter()
-                    .for_each(|id| self.note(now, Seen::Left { id }));
+                    .for_each(|id| self.note(now, Observation::ClientClosed { id }));
             }
             sleep(Duration::from_millis(500)).await;
         }
@@ -722,24 +725,29 @@
     }
 }
 
-fn read_reply(reply: &Value, id: u64) -> (Answer, End) {
+fn read_reply(reply: &Value, id: u64) -> (ClientAnswer, Outcome) {
     let value = |value: &Bytes| {
-        let own = is_made_for(value, format!("{id:016x}").as_bytes());
-        (Answer::Value { own }, End::Served)
+        let own = is_value_for(value, format!("{id:016x}").as_bytes());
+        (ClientAnswer::Value { own }, Outcome::Served)
     };
     match reply {
         Value::Bulk(bytes) => value(bytes),
         Value::Array(items) => match items.first() {
             Some(Value::Bulk(bytes)) => value(bytes),
-            _ => (Answer::Failed, End::Failed),
+            _ => (ClientAnswer::Failed, Outcome::Failed),
         },
         Value::Error(line) if line.starts_with(b"BUSY") => {
             let after = std::str::from_utf8(&line[4..])
                 .ok()
                 .and_then(|text| text.trim().parse::<u64>().ok());
-            (Answer::Refused, End::Refused { after_ms: after })
+            (
+                ClientAnswer::Rejected,
+                Outcome::Rejected {
+                    retry_after_ms: after,
+                },
+            )
         }
-        _ => (Answer::Failed, End::Failed),
+        _ => (ClientAnswer::Failed, Outcome::Failed),
     }
 }
 
--- a/crates/stairfront-lab/src/pack.rs
+++ b/crates/stairfront-lab/src/pack.rs
@@ -1,6 +1,6 @@
 //! The processes of a group in an experiment: started, stopped, paused, restarted without their disk, doubled; asked for
 //! their account of the group and, as operators do, for cordons. What they say goes to the observer
-//! (`stairfront_emulator::group`) beside what was really done to them.
+//! (`stairfront_emulator::group_observer`) beside what was really done to them.
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fs;
@@ -14,13 +14,15 @@
 use nix::sys::signal::Signal;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::faults::Act as FleetAct;
-use stairfront_emulator::group::{Account, GroupLimits, GroupObserver, GroupReport, Sign};
-use stairfront_emulator::group_script::{Budget, GroupAct, GroupScript, TimedTrouble};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_emulator::faults::FaultAction as FleetAct;
+use stairfront_emulator::group_observer::{
+    GroupEvent, GroupLimits, GroupObserver, GroupReport, MemberReport,
+};
+use stairfront_emulator::group_script::{FaultBudget, GroupAction, GroupScript, TimedGroupFault};
 use stairfront_emulator::links::LinkFault;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_emulator::rules::Observation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -52,9 +54,9 @@
     /// False: the processes know nothing of each other, and the same befalls them.
     pub knows: bool,
     /// Troubles as they stand here.
-    pub troubles: Vec<TimedTrouble>,
+    pub troubles: Vec<TimedGroupFault>,
     /// Troubles drawn from the run's seed, from `first_s` on.
-    pub drawn: Option<Budget>,
+    pub drawn: Option<FaultBudget>,
     pub first_s: f64,
     /// Time between two orders for the group by operators, on average; 0 for none.
     pub orders_every_s: f64,
@@ -94,10 +96,10 @@
             .map(|budget| GroupScript::draw(seed, members, budget, from_ms(self.first_s * 1e3)));
         let mut script = drawn.unwrap_or(GroupScript {
             members,
-            troubles: Vec::new(),
+            faults: Vec::new(),
         });
-        script.troubles.extend(self.troubles.iter().cloned());
-        script.troubles.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        script.faults.extend(self.troubles.iter().cloned());
+        script.faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         script
     }
 
@@ -199,7 +201,7 @@
     build: Build,
     /// Members' last accounts: when, of which life, what.
     heard: Rc<RefCell<VecDeque<Heard>>>,
-    dice: Dice,
+    dice: SeededRng,
     killed: Vec<(usize, Micros, BTreeMap<usize, f64>)>,
     woken: Vec<(usize, Micros)>,
     outcome: GroupOutcome,
@@ -223,11 +225,11 @@
 type Answer = Option<(u16, Vec<u8>)>;
 
 enum Heard {
-    Account {
+    MemberReport {
         who: usize,
         life: u64,
         at: Micros,
-        account: Account,
+        account: MemberReport,
     },
     Ordered {
         yes: bool,
@@ -316,7 +318,7 @@
         let observer = GroupObserver::new(
             names,
             GroupLimits {
-                whole_again,
+                recovery_time: whole_again,
                 ..GroupLimits::default()
             },
         );
@@ -330,14 +332,14 @@
             observer,
             tape,
             outcome: GroupOutcome {
-                script: script.words(),
+                script: script.describe(),
                 ..GroupOutcome::default()
             },
             script,
             laid: BTreeMap::new(),
             build,
             heard: Rc::default(),
-            dice: Dice::new(seed, "operators"),
+            dice: SeededRng::for_part(seed, "operators"),
             killed: Vec::new(),
             woken: Vec::new(),
             barred: false,
@@ -372,11 +374,12 @@
         member.life += 1;
         member.since = now;
         self.fronts[who].closed.store(false, Ordering::Relaxed);
-        self.observer.hear(now, Sign::Up { who });
+        self.observer
+            .observe(now, GroupEvent::Started { member: who });
         // One that starts where it can ask nobody serves by its own list, as its page says: nothing is held against it
         // before it has been told.
         self.untold.remove(&who);
-        if !self.observer.can_ask(now, who) {
+        if !self.observer.can_reach_majority(now, who) {
             self.untold.insert(who);
             let hosts = self
                 .barred
@@ -386,10 +389,10 @@
             for host in hosts.collect::<Vec<u16>>() {
                 self.tape.note(
                     now,
-                    Seen::Barred {
+                    Observation::Cordoned {
                         host,
                         balancer: Some(who as u16),
-                        on: false,
+                        cordoned: false,
                     },
                 );
             }
@@ -403,8 +406,8 @@
         over: impl Fn() -> bool,
         counted: [Micros; 2],
     ) -> io::Result<()> {
-        let mut acts: VecDeque<(Micros, GroupAct)> = self.script.acts().into();
-        let ends = self.script.ends();
+        let mut acts: VecDeque<(Micros, GroupAction)> = self.script.actions().into();
+        let ends = self.script.end();
         let look = (LOOK.max(LOOK_EACH * self.members.len() as u32)).as_micros() as Micros;
         let mut next_look = self.clock.now();
         let mut next_order = self.next_order(from_ms(self.group.first_s * 1e3));
@@ -420,7 +423,7 @@
             }
             if !quiet && now >= ends && acts.is_empty() && now >= 0 {
                 quiet = true;
-                self.observer.hear(now, Sign::Quiet);
+                self.observer.observe(now, GroupEvent::FaultsFinished);
                 self.crew.iter_mut().for_each(|crew| crew.quiet(now));
             }
             self.work(now).await?;
@@ -496,23 +499,24 @@
                     }
                     self.tape.note(
                         now,
-                        Seen::Barred {
+                        Observation::Cordoned {
                             host: place,
                             balancer: None,
-                            on,
+                            cordoned: on,
                         },
                     );
                     // One that has left on purpose is not waited for. Back where it can still ask nobody, it serves by what
                     // it has, and nobody can tell it.
-                    self.untold.retain(|who| !self.observer.can_ask(now, *who));
+                    self.untold
+                        .retain(|who| !self.observer.can_reach_majority(now, *who));
                     for who in self.untold.iter().filter(|_| on) {
                         let balancer = Some(*who as u16);
                         self.tape.note(
                             now,
-                            Seen::Barred {
+                            Observation::Cordoned {
                                 host: place,
                                 balancer,
-                                on: false,
+                                cordoned: false,
                             },
                         );
                     }
@@ -538,7 +542,7 @@
                     // Danger: one that is held still just now would never be restarted, and its plan never end.
                     match who.filter(|who| up.contains(who)) {
                         Some(who) => {
-                            self.act(GroupAct::Term { who }).await?;
+                            self.act(GroupAction::Term { member: who }).await?;
                             self.again.push((now + RESTART_TAKES, who));
                         }
                         None => self
@@ -557,7 +561,7 @@
             .collect();
         self.again.retain(|(at, _)| *at > now);
         for who in due {
-            self.act(GroupAct::Start { who }).await?;
+            self.act(GroupAction::Start { member: who }).await?;
         }
         Ok(())
     }
@@ -578,83 +582,86 @@
             .then(|| now + from_ms(every * 1e3 * (0.5 + self.dice.unit())))
     }
 
-    async fn act(&mut self, act: GroupAct) -> io::Result<()> {
+    async fn act(&mut self, act: GroupAction) -> io::Result<()> {
         let now = self.clock.now();
         match act {
-            GroupAct::Lay {
-                number,
+            GroupAction::AddLinkFault {
+                id: number,
                 pairs,
                 fault,
             } => {
                 self.relay.lay(number, pairs.clone(), fault);
-                let sign = Sign::Hurt {
+                let sign = GroupEvent::LinksFaulted {
                     pairs: pairs.clone(),
                     cut: fault.cuts(),
                     mild: fault.is_mild(),
                 };
                 self.laid.insert(number, (pairs, fault));
-                self.observer.hear(now, sign);
+                self.observer.observe(now, sign);
             }
-            GroupAct::Lift { number } => {
+            GroupAction::RemoveLinkFault { id: number } => {
                 self.relay.lift(number);
                 if let Some((pairs, fault)) = self.laid.remove(&number) {
-                    let sign = Sign::Healed {
+                    let sign = GroupEvent::LinksRestored {
                         pairs,
                         cut: fault.cuts(),
                         mild: fault.is_mild(),
                     };
-                    self.observer.hear(now, sign);
+                    self.observer.observe(now, sign);
                 }
             }
-            GroupAct::Kill { who, empty } => self.kill(who, empty).await,
-            GroupAct::Term { who } => {
+            GroupAction::Kill { member: who, empty } => self.kill(who, empty).await,
+            GroupAction::Term { member: who } => {
                 self.fronts[who].closed.store(true, Ordering::Relaxed);
                 self.members[who].process.signal(Signal::SIGTERM);
                 self.members[who].process.wanted = false;
                 // Danger: its end is seen a look later than the others hear that it has left.
-                self.observer.hear(now, Sign::Paused { who });
+                self.observer
+                    .observe(now, GroupEvent::Paused { member: who });
             }
-            GroupAct::Start { who } => {
+            GroupAction::Start { member: who } => {
                 if !self.members[who].process.wanted && self.members[who].up {
                     // Told to stop before: by now it has ended, or is ended.
                     self.kill(who, false).await;
                 }
                 self.start_one(who)?;
             }
-            GroupAct::Pause { who } => {
+            GroupAction::Pause { member: who } => {
                 if self.members[who].up && !self.members[who].paused {
                     self.members[who].paused = true;
                     self.fronts[who].closed.store(true, Ordering::Relaxed);
                     self.members[who].process.signal(Signal::SIGSTOP);
                     self.tape.note(
                         now,
-                        Seen::BalancerStill {
+                        Observation::BalancerPaused {
                             balancer: who as u16,
-                            still: true,
+                            paused: true,
                         },
                     );
-                    self.observer.hear(now, Sign::Paused { who });
+                    self.observer
+                        .observe(now, GroupEvent::Paused { member: who });
                 }
             }
-            GroupAct::Wake { who } => {
+            GroupAction::Resume { member: who } => {
                 if self.members[who].paused {
                     self.members[who].paused = false;
                     self.members[who].process.signal(Signal::SIGCONT);
                     self.fronts[who].closed.store(false, Ordering::Relaxed);
                     self.tape.note(
                         now,
-                        Seen::BalancerStill {
+                        Observation::BalancerPaused {
                             balancer: who as u16,
-                            still: false,
+                            paused: false,
                         },
                     );
-                    self.observer.hear(now, Sign::Woke { who });
+                    self.observer
+                        .observe(now, GroupEvent::Resumed { member: who });
                     self.woken.push((who, now));
                 }
             }
             // Without a membership there is no address to move, and no name to share.
-            GroupAct::Move { .. } | GroupAct::StartNamesake { .. } if !self.group.knows => {}
-            GroupAct::Move { who } => {
+            GroupAction::Move { .. } | GroupAction::StartDuplicate { .. } if !self.group.knows => {}
+            GroupAction::Move { member: who } => {
                 let member = &mut self.members[who];
                 member.moved ^= true;
                 let place = who + if member.moved { self.fronts.len() } else { 0 };
@@ -664,11 +671,17 @@
                 text["membership"]["advertise"] = json!(self.relay.advertised(place));
                 member.process.configure(&text)?;
             }
-            GroupAct::StartNamesake { who } => self.start_twin(who)?,
-            GroupAct::StopNamesake { who } => {
+            GroupAction::StartDuplicate { member: who } => self.start_twin(who)?,
+            GroupAction::StopDuplicate { member: who } => {
                 if let Some(mut twin) = self.members[who].twin.take() {
                     twin.kill().await;
-                    self.observer.hear(now, Sign::Doubled { who, on: false });
+                    self.observer.observe(
+                        now,
+                        GroupEvent::DuplicateRunning {
+                            member: who,
+                            running: false,
+                        },
+                    );
                 }
             }
         }
@@ -684,16 +697,16 @@
         let told = !member.process.wanted;
         self.tape.note(
             now,
-            Seen::BalancerGone {
+            Observation::BalancerStopped {
                 balancer: who as u16,
             },
         );
         if member.paused {
             self.tape.note(
                 now,
-                Seen::BalancerStill {
+                Observation::BalancerPaused {
                     balancer: who as u16,
-                    still: false,
+                    paused: false,
                 },
             );
         }
@@ -701,11 +714,12 @@
         (member.up, member.paused) = (false, false);
         self.tape.note(
             self.clock.now(),
-            Seen::BalancerGone {
+            Observation::BalancerStopped {
                 balancer: who as u16,
             },
         );
-        self.observer.hear(now, Sign::Down { who });
+        self.observer
+            .observe(now, GroupEvent::Stopped { member: who });
         if !told {
             self.killed.push((who, now, BTreeMap::new()));
         }
@@ -747,8 +761,13 @@
         twin.configure(&text)?;
         twin.launch()?;
         member.twin = Some(twin);
-        self.observer
-            .hear(self.clock.now(), Sign::Doubled { who, on: true });
+        self.observer.observe(
+            self.clock.now(),
+            GroupEvent::DuplicateRunning {
+                member: who,
+                running: true,
+            },
+        );
         Ok(())
     }
 
@@ -769,11 +788,12 @@
                 (member.up, member.paused) = (false, false);
                 self.tape.note(
                     now,
-                    Seen::BalancerGone {
+                    Observation::BalancerStopped {
                         balancer: who as u16,
                     },
                 );
-                self.observer.hear(now, Sign::Down { who });
+                self.observer
+                    .observe(now, GroupEvent::Stopped { member: who });
                 continue;
             }
             if member.paused || !self.group.knows {
@@ -786,7 +806,7 @@
                     return;
                 };
                 if let Ok(account) = serde_json::from_slice(&body) {
-                    heard.borrow_mut().push_back(Heard::Account {
+                    heard.borrow_mut().push_back(Heard::MemberReport {
                         who,
                         life,
                         at: clock.now(),
@@ -814,7 +834,7 @@
                 return;
             };
             match heard {
-                Heard::Account {
+                Heard::MemberReport {
                     who,
                     life,
                     at,
@@ -829,10 +849,10 @@
                     if self.barred && account.cordons.iter().any(|host| host == HOST.0) {
                         self.tape.note(
                             at,
-                            Seen::Barred {
+                            Observation::Cordoned {
                                 host: HOST.1,
                                 balancer: Some(who as u16),
-                                on: true,
+                                cordoned: true,
                             },
                         );
                     }
@@ -844,15 +864,21 @@
                         if let Some(host) = place(host) {
                             self.tape.note(
                                 at,
-                                Seen::Barred {
+                                Observation::Cordoned {
                                     host,
                                     balancer: Some(who as u16),
-                                    on: true,
+                                    cordoned: true,
                                 },
                             );
                         }
                     }
-                    self.observer.hear(at, Sign::Said { who, account });
+                    self.observer.observe(
+                        at,
+                        GroupEvent::Reported {
+                            member: who,
+                            report: account,
+                        },
+                    );
                 }
                 Heard::Answered { number, answer } => self.answers.push((number, answer)),
                 Heard::Ordered { yes, cordon } => {
@@ -861,18 +887,18 @@
                     if yes && cordon {
                         let now = self.clock.now();
                         self.barred = true;
-                        self.observer.hear(
+                        self.observer.observe(
                             now,
-                            Sign::Barred {
+                            GroupEvent::Cordoned {
                                 host: HOST.0.to_string(),
                             },
                         );
                         self.tape.note(
                             now,
-                            Seen::Barred {
+                            Observation::Cordoned {
                                 host: HOST.1,
                                 balancer: None,
-                                on: true,
+                                cordoned: true,
                             },
                         );
                     }
@@ -881,7 +907,7 @@
         }
     }
 
-    fn measure(&mut self, at: Micros, who: usize, account: &Account) {
+    fn measure(&mut self, at: Micros, who: usize, account: &MemberReport) {
         let since = self.members[who].since;
         let others = |killed_at: Micros| {
             self.members
@@ -967,18 +993,18 @@
     /// From now on the host may be used again, whatever becomes of the order.
     fn free(&mut self, now: Micros) {
         self.barred = false;
-        self.observer.hear(
+        self.observer.observe(
             now,
-            Sign::Freed {
+            GroupEvent::Uncordoned {
                 host: HOST.0.to_string(),
             },
         );
         self.tape.note(
             now,
-            Seen::Barred {
+            Observation::Cordoned {
                 host: HOST.1,
                 balancer: None,
-                on: false,
+                cordoned: false,
             },
         );
     }
@@ -987,8 +1013,10 @@
         let each = (self.group.rubbish_per_s / 100.0).ceil() as usize;
         for who in 0..self.members.len() {
             for _ in 0..each {
-                let length = self.dice.below(1400) as usize;
-                let bytes: Vec<u8> = (0..length).map(|_| self.dice.below(256) as u8).collect();
+                let length = self.dice.below(1400_u64) as usize;
+                let bytes: Vec<u8> = (0..length)
+                    .map(|_| self.dice.below(256_u64) as u8)
+                    .collect();
                 // Straight at its own address: it need not come over the relay.
                 let _ = socket.send_to(&bytes, self.relay.own(who));
             }
--- a/crates/stairfront-lab/src/process.rs
+++ b/crates/stairfront-lab/src/process.rs
@@ -12,7 +12,7 @@
 use nix::unistd::Pid;
 use serde::Serialize;
 use serde_json::Value;
-use stairfront_emulator::dice::Dice;
+use stairfront_common::random::SeededRng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -66,7 +66,7 @@
 
 /// An address on loopback that was free just now, and that this process has not given out before. Danger: of two runs
 /// with one address the clients of both would speak to whichever balancer came first.
-pub fn free_address(dice: &mut Dice) -> io::Result<SocketAddr> {
+pub fn free_address(dice: &mut SeededRng) -> io::Result<SocketAddr> {
     static GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let mut given = GIVEN.lock().unwrap_or_else(PoisonError::into_inner);
     for _ in 0..1000 {
--- a/crates/stairfront-lab/src/relay.rs
+++ b/crates/stairfront-lab/src/relay.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::links::{LinkFault, Links, Passage};
+use stairfront_common::random::SeededRng;
+use stairfront_emulator::links::{Delivery, LinkFault, Links, StreamDelivery};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
@@ -63,8 +63,8 @@
 
 /// A row of loopback addresses by chance. Another run on this machine may have it, which the relay's own sockets tell:
 /// all addresses of a run are taken by them first.
-fn addresses(count: usize, dice: &mut Dice) -> Vec<Ipv4Addr> {
-    let (second, third) = (64 + dice.below(180) as u8, dice.below(250) as u8);
+fn addresses(count: usize, dice: &mut SeededRng) -> Vec<Ipv4Addr> {
+    let (second, third) = (64 + dice.below(180_u64) as u8, dice.below(250_u64) as u8);
     let one = |i: usize| {
         Ipv4Addr::new(
             127,
@@ -83,7 +83,7 @@
         let count = members * 2;
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let mut dice = Dice::new(u64::from(std::process::id()) << 20 ^ run, "loopback");
+        let mut dice = SeededRng::for_part(u64::from(std::process::id()) << 20 ^ run, "loopback");
         let mut tried = Self::start_at(addresses(count, &mut dice), seed, clock);
         for _ in 0..MOST_TRIES {
             match tried {
@@ -226,8 +226,8 @@
                 number,
                 pairs,
                 fault,
-            } => hub.links.borrow_mut().lay(now, number, &pairs, fault),
-            Word::Lift { number } => hub.links.borrow_mut().lift(number),
+            } => hub.links.borrow_mut().add_fault(now, number, &pairs, fault),
+            Word::Lift { number } => hub.links.borrow_mut().remove_fault(number),
             Word::End => break,
         }
     }
@@ -256,8 +256,12 @@
             let arrivals =
                 self.links
                     .borrow_mut()
-                    .datagram(now, link_from, link_to, &buffer[..length]);
-            for (after, bytes) in arrivals {
+                    .send_datagram(now, link_from, link_to, &buffer[..length]);
+            for Delivery {
+                delay: after,
+                bytes,
+            } in arrivals
+            {
                 let hub = Rc::clone(&self);
                 spawn_local(async move {
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
@@ -314,13 +318,13 @@
             let passage =
                 self.links
                     .borrow_mut()
-                    .stream(self.clock.now(), link_from, link_to, bytes);
+                    .send_stream(self.clock.now(), link_from, link_to, bytes);
             match passage {
-                Passage::After(after) => {
+                StreamDelivery::Delayed(after) => {
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
                     return true;
                 }
-                Passage::Silent => sleep(LOOK_AGAIN).await,
+                StreamDelivery::Blocked => sleep(LOOK_AGAIN).await,
             }
         }
         false
--- a/crates/stairfront-lab/src/run.rs
+++ b/crates/stairfront-lab/src/run.rs
@@ -14,11 +14,11 @@
 use nix::sys::signal::Signal;
 use serde::Serialize;
 use serde_json::{json, Value};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, to_ms, Micros, SECOND};
 use stairfront_emulator::arrivals::TenantTraffic;
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::faults::{Act, Mark, Step};
-use stairfront_emulator::rules::{Limits, Report, Seen};
-use stairfront_emulator::time::{from_ms, to_ms, Micros, SECOND};
+use stairfront_emulator::faults::{FaultAction, FaultInterval, ScheduledAction};
+use stairfront_emulator::rules::{Observation, RuleLimits, RuleReport};
 use tokio::task::LocalSet;
 use tokio::time::{sleep, sleep_until};
 
@@ -118,7 +118,7 @@
     pub memory_mb: f64,
     pub descriptors: u64,
     pub ready_ms: f64,
-    pub rules: Report,
+    pub rules: RuleReport,
     /// Where the balancers are a group.
     pub group: Option<GroupOutcome>,
     pub servers: Vec<ServerReport>,
@@ -128,7 +128,7 @@
     #[serde(skip)]
     pub loads: Vec<Vec<f64>>,
     #[serde(skip)]
-    pub marks: Vec<Mark>,
+    pub marks: Vec<FaultInterval>,
 }
 
 fn latency(histogram: &hdrhistogram::Histogram<u64>) -> Latency {
@@ -150,7 +150,7 @@
             && self
                 .group
                 .as_ref()
-                .is_none_or(|group| group.report.broken == 0 && work(group))
+                .is_none_or(|group| group.report.violations == 0 && work(group))
     }
 }
 
@@ -253,7 +253,7 @@
         let count = self.plan.balancers.count;
         let clock = RunClock::starting_in(LEAD + LEAD_EACH * count as u32);
         let fleet = Fleet::start(self.plan.fleet_plan(self.seed), clock, &tapes)?;
-        let mut dice = Dice::new(self.seed ^ u64::from(std::process::id()), "ports");
+        let mut dice = SeededRng::for_part(self.seed ^ u64::from(std::process::id()), "ports");
         let mut balancers = Vec::new();
         let group = self.plan.group.as_ref().map(|group| Group {
             knows: group.knows && !self.variant.apart && !self.variant.by_hand,
@@ -384,18 +384,18 @@
         })
     }
 
-    fn limits(&self) -> Limits {
-        Limits {
+    fn limits(&self) -> RuleLimits {
+        RuleLimits {
             grace: from_ms(self.plan.balancers.grace_ms),
-            most_attempts: usize::from(self.plan.balancers.most_tries),
+            max_attempts: usize::from(self.plan.balancers.most_tries),
             classes: self
                 .plan
                 .classes
                 .iter()
-                .map(|class| class.repeats)
+                .map(|class| class.idempotency)
                 .collect(),
             origin: self.plan.fleet.caches as u16,
-            ..Limits::default()
+            ..RuleLimits::default()
         }
     }
 
@@ -439,7 +439,7 @@
         };
         let sum = |of: fn(&ServerReport) -> u64| servers[..caches].iter().map(of).sum::<u64>();
         let (hits, misses) = (sum(|s| s.counts.hits), sum(|s| s.counts.misses));
-        let attempts = recorded.rules.figures.attempts;
+        let attempts = recorded.rules.metrics.attempts;
         let ready: Vec<f64> = balancers
             .iter()
             .flat_map(|b| b.ready_ms.iter().copied())
@@ -468,7 +468,7 @@
             latency: latency(&tally.latency),
             served_latency: latency(&tally.served),
             attempts,
-            retries: recorded.rules.figures.repeats,
+            retries: recorded.rules.metrics.retries,
             fetches: servers.last().map_or(0, |origin| origin.counts.commands),
             hit_ratio: hits as f64 / (hits + misses).max(1) as f64,
             worst_over_median: worst_over_median(&recorded.begun[..caches], self.plan),
@@ -543,7 +543,7 @@
     fronts: Vec<Front>,
     tape: Tape,
     /// What becomes of stand-ins that people work at.
-    worked_at: Rc<RefCell<VecDeque<Act>>>,
+    worked_at: Rc<RefCell<VecDeque<FaultAction>>>,
     /// Discovery's agents have moved.
     moved: bool,
     /// Processor time of all balancers when counting begins and ends.
@@ -555,14 +555,14 @@
     /// Has the faults come in their time, until all clients are through.
     async fn conduct(&mut self, over: impl Fn() -> bool) -> io::Result<()> {
         let (steps, _) = self.run.plan.steps(self.run.seed);
-        let mut steps: VecDeque<Step> = steps.into();
+        let mut steps: VecDeque<ScheduledAction> = steps.into();
         let marks = [self.run.plan.count_from(), self.run.plan.end()];
         let mut told = -1;
         while !over() {
             let now = self.clock.now();
             while steps.front().is_some_and(|step| step.at <= now) {
                 if let Some(step) = steps.pop_front() {
-                    self.act(step.act).await?;
+                    self.act(step.action).await?;
                 }
             }
             let worked_at = std::mem::take(&mut *self.worked_at.borrow_mut());
@@ -657,20 +657,24 @@
         eprintln!("{second:>4}{served:>8}{refused:>9}{other:>8}{slowest:>12.1}  {caches}{origin:>8}{notes}");
     }
 
-    async fn act(&mut self, act: Act) -> io::Result<()> {
+    async fn act(&mut self, act: FaultAction) -> io::Result<()> {
         match act {
-            Act::KillBalancer { balancer } => {
+            FaultAction::KillBalancer { balancer } => {
                 self.gone(balancer);
                 let one = &mut self.balancers[balancer];
                 one.wanted = false;
                 one.kill().await;
                 self.gone(balancer);
             }
-            Act::StartBalancer { balancer } => self.balancers[balancer].start().await?,
-            Act::TermBalancer { balancer } => return self.restart(balancer).await,
-            Act::FreezeBalancer { balancer } => self.balancers[balancer].signal(Signal::SIGSTOP),
-            Act::ThawBalancer { balancer } => self.balancers[balancer].signal(Signal::SIGCONT),
-            Act::MoveDiscovery => {
+            FaultAction::StartBalancer { balancer } => self.balancers[balancer].start().await?,
+            FaultAction::TermBalancer { balancer } => return self.restart(balancer).await,
+            FaultAction::FreezeBalancer { balancer } => {
+                self.balancers[balancer].signal(Signal::SIGSTOP)
+            }
+            FaultAction::UnfreezeBalancer { balancer } => {
+                self.balancers[balancer].signal(Signal::SIGCONT)
+            }
+            FaultAction::MoveDiscovery => {
                 self.moved = true;
                 self.fleet.act(act);
                 for (i, balancer) in self.balancers.iter().enumerate() {
@@ -687,7 +691,7 @@
         let now = self.clock.now();
         self.tape.note(
             now,
-            Seen::BalancerGone {
+            Observation::BalancerStopped {
                 balancer: balancer as u16,
             },
         );
--- a/crates/stairfront-lab/src/services.rs
+++ b/crates/stairfront-lab/src/services.rs
@@ -8,11 +8,11 @@
 use stairfront_codec::budget::Budget;
 use stairfront_codec::http_server::{HttpServerCodec, Received, Reply as HttpReply};
 use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandReader};
-use stairfront_emulator::agent::{self, Agent, Status};
-use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnId, Reply, Ticket};
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnectionId, Reply, ReplySlot};
+use stairfront_emulator::discovery_agent::{self, DiscoveryAgent, EndpointStatus};
 use stairfront_emulator::origin::{self, Origin};
-use stairfront_emulator::rules::{Seen, Told};
-use stairfront_emulator::time::Micros;
+use stairfront_emulator::rules::{AnnouncedState, Observation};
 use tokio_util::codec::Encoder;
 
 use crate::station::{Post, Service};
@@ -52,7 +52,7 @@
 struct Attempts {
     host: u16,
     tape: SharedTape,
-    out: FxHashMap<Ticket, (u64, u64)>,
+    out: FxHashMap<ReplySlot, (u64, u64)>,
     next: u64,
 }
 
@@ -67,16 +67,16 @@
         }
     }
 
-    fn note(&self, at: Micros, seen: Seen) {
+    fn note(&self, at: Micros, seen: Observation) {
         self.tape.borrow_mut().note(at, seen);
     }
 
-    fn begin(&mut self, at: Micros, ticket: Ticket, id: u64, balancer: u16) {
+    fn begin(&mut self, at: Micros, ticket: ReplySlot, id: u64, balancer: u16) {
         self.next += 1;
         self.out.insert(ticket, (self.next, id));
         self.note(
             at,
-            Seen::Began {
+            Observation::AttemptStarted {
                 attempt: self.next,
                 id,
                 host: self.host,
@@ -85,14 +85,21 @@
         );
     }
 
-    fn end(&mut self, at: Micros, ticket: Ticket, ran: bool) {
+    fn end(&mut self, at: Micros, ticket: ReplySlot, ran: bool) {
         if let Some((attempt, id)) = self.out.remove(&ticket) {
-            self.note(at, Seen::Ended { attempt, id, ran });
+            self.note(
+                at,
+                Observation::AttemptEnded {
+                    attempt,
+                    id,
+                    executed: ran,
+                },
+            );
         }
     }
 
-    fn end_connection(&mut self, at: Micros, connection: ConnId) {
-        let of: Vec<Ticket> = self
+    fn end_connection(&mut self, at: Micros, connection: ConnectionId) {
+        let of: Vec<ReplySlot> = self
             .out
             .keys()
             .filter(|t| t.connection == connection)
@@ -139,7 +146,7 @@
 
     pub fn counts(&self) -> ServerCounts {
         ServerCounts {
-            worst_cold: self.model.worst_cold(),
+            worst_cold: self.model.max_cold_load_ratio(),
             ..self.counts
         }
     }
@@ -161,17 +168,17 @@
                 cache_host::Action::Reply(ticket, reply) => {
                     let ran = matches!(
                         reply,
-                        Reply::Value { .. } | Reply::Doubled { .. } | Reply::Spoilt(_)
+                        Reply::Value { .. } | Reply::Duplicated { .. } | Reply::Malformed(_)
                     );
                     match &reply {
-                        Reply::Value { note: "hit", .. } | Reply::Doubled { .. } => {
+                        Reply::Value { note: "hit", .. } | Reply::Duplicated { .. } => {
                             self.counts.hits += 1
                         }
                         Reply::Value { .. } | Reply::Miss { .. } => self.counts.misses += 1,
                         Reply::Busy => self.counts.turned_away += 1,
                         _ => {}
                     }
-                    if reply == Reply::Silence {
+                    if reply == Reply::Dropped {
                         // Out until its connection ends.
                         posts.push(Post::Skip(ticket));
                         continue;
@@ -181,15 +188,16 @@
                 }
                 cache_host::Action::Close(connection) => posts.push(Post::Reset(connection)),
                 cache_host::Action::Effect { id, .. } => {
-                    self.attempts.note(now, Seen::Effect { id: id_number(&id) });
+                    self.attempts
+                        .note(now, Observation::EffectApplied { id: id_number(&id) });
                 }
                 cache_host::Action::ColdMiss { id } => {
                     self.attempts
-                        .note(now, Seen::ColdMiss { id: id_number(&id) });
+                        .note(now, Observation::ColdMiss { id: id_number(&id) });
                 }
-                cache_host::Action::FellOver => {
+                cache_host::Action::Crashed => {
                     let host = self.attempts.host;
-                    self.attempts.note(now, Seen::FellOver { host });
+                    self.attempts.note(now, Observation::HostCrashed { host });
                 }
             }
         }
@@ -219,9 +227,9 @@
         Reply::Miss { report } => array(to, None, "miss", report.as_ref()),
         Reply::Failed => put_line(to, b'-', b"ERR failed"),
         Reply::Busy => put_line(to, b'-', b"BUSY"),
-        Reply::Spoilt(bytes) => to.put_slice(bytes),
-        Reply::Doubled { value } => (0..2).for_each(|_| array(to, Some(value), "hit", None)),
-        Reply::Silence => {}
+        Reply::Malformed(bytes) => to.put_slice(bytes),
+        Reply::Duplicated { value } => (0..2).for_each(|_| array(to, Some(value), "hit", None)),
+        Reply::Dropped => {}
     }
     to.to_vec()
 }
@@ -233,7 +241,7 @@
         CommandReader::new(&Budget::new(PLENTY), &Budget::new(PLENTY))
     }
 
-    fn opened(&mut self, now: Micros, connection: ConnId) -> bool {
+    fn opened(&mut self, now: Micros, connection: ConnectionId) -> bool {
         let taken = self.model.open(now, connection);
         self.connections += u64::from(taken);
         self.counts.most_connections = self.counts.most_connections.max(self.connections);
@@ -243,7 +251,7 @@
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         balancer: u16,
         words: Vec<Bytes>,
         posts: &mut Vec<Post>,
@@ -263,7 +271,7 @@
                 let argument = words.get(1).cloned().unwrap_or_default();
                 match &name[9..] {
                     b"FILL" => self.model.fill(now, &argument),
-                    _ => self.model.drop_key(&argument),
+                    _ => self.model.invalidate(&argument),
                 }
                 return plain(b"+OK\r\n");
             }
@@ -284,11 +292,12 @@
         self.counts.commands += 1;
         self.attempts
             .begin(now, ticket, id_number(&command.id), balancer);
-        self.model.command(now, ticket, command, &mut self.actions);
+        self.model
+            .handle_command(now, ticket, command, &mut self.actions);
         self.carry_out(now, posts);
     }
 
-    fn closed(&mut self, now: Micros, connection: ConnId) {
+    fn closed(&mut self, now: Micros, connection: ConnectionId) {
         self.connections = self.connections.saturating_sub(1);
         self.model.close(connection);
         self.attempts.end_connection(now, connection);
@@ -304,7 +313,7 @@
     }
 
     fn held_up(&mut self, by: Micros) {
-        self.model.hold_up(by);
+        self.model.stall(by);
     }
 }
 
@@ -329,7 +338,7 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, status: u16, body: Bytes) -> Post {
+    fn answer(&mut self, ticket: ReplySlot, status: u16, body: Bytes) -> Post {
         let (reason, not_started) = match status {
             200 => ("OK", None),
             503 => (
@@ -366,16 +375,17 @@
                 }
                 origin::Action::Filled { id } => (self.tell)(Word::Filled { id }),
                 origin::Action::Written { id, key } => {
-                    self.attempts.note(now, Seen::Effect { id: id_number(&id) });
+                    self.attempts
+                        .note(now, Observation::EffectApplied { id: id_number(&id) });
                     (self.tell)(Word::Written { key });
                 }
-                origin::Action::Stopped => self.attempts.note(now, Seen::OriginStopped),
+                origin::Action::Stopped => self.attempts.note(now, Observation::OriginStopped),
             }
         }
     }
 }
 
-fn http_answer(scratch: &mut BytesMut, ticket: Ticket, reply: HttpReply) -> Post {
+fn http_answer(scratch: &mut BytesMut, ticket: ReplySlot, reply: HttpReply) -> Post {
     scratch.clear();
     let mut codec = HttpServerCodec::new(0, &Budget::new(0));
     match codec.encode(reply, scratch) {
@@ -420,14 +430,14 @@
         HttpServerCodec::new(LARGEST_BODY, &Budget::new(PLENTY))
     }
 
-    fn opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn opened(&mut self, _: Micros, _: ConnectionId) -> bool {
         true
     }
 
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         balancer: u16,
         request: Received,
         posts: &mut Vec<Post>,
@@ -455,11 +465,12 @@
             key: key_of(&request.target),
             id,
         };
-        self.model.request(now, ticket, request, &mut self.actions);
+        self.model
+            .handle_request(now, ticket, request, &mut self.actions);
         self.carry_out(now, posts);
     }
 
-    fn closed(&mut self, now: Micros, connection: ConnId) {
+    fn closed(&mut self, now: Micros, connection: ConnectionId) {
         self.attempts.end_connection(now, connection);
     }
 
@@ -476,18 +487,18 @@
 }
 
 pub struct AgentService {
-    pub model: Agent,
+    pub model: DiscoveryAgent,
     /// Positions of the hosts by name, and of the balancer whose agent it is.
     hosts: FxHashMap<String, u16>,
     balancer: u16,
     tape: SharedTape,
-    pub actions: Vec<agent::Action>,
+    pub actions: Vec<discovery_agent::Action>,
     scratch: BytesMut,
 }
 
 impl AgentService {
     pub fn new(
-        model: Agent,
+        model: DiscoveryAgent,
         hosts: FxHashMap<String, u16>,
         balancer: u16,
         tape: SharedTape,
@@ -505,7 +516,7 @@
     pub fn carry_out(&mut self, now: Micros, posts: &mut Vec<Post>) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                agent::Action::Answer(ticket, list) => {
+                discovery_agent::Action::Answer(ticket, list) => {
                     let headers = vec![("Content-Type", "application/json".to_string())];
                     let reply = HttpReply {
                         status: 200,
@@ -515,7 +526,7 @@
                     };
                     posts.push(http_answer(&mut self.scratch, ticket, reply));
                 }
-                agent::Action::Unknown(ticket) => {
+                discovery_agent::Action::NotFound(ticket) => {
                     let reply = HttpReply {
                         status: 404,
                         reason: "Not Found",
@@ -524,21 +535,21 @@
                     };
                     posts.push(http_answer(&mut self.scratch, ticket, reply));
                 }
-                agent::Action::Told { name, status } => {
+                discovery_agent::Action::Notified { name, status } => {
                     let Some(host) = self.hosts.get(&name).copied() else {
                         continue;
                     };
-                    let told = if status == Status::Serving {
-                        Told::Serving
+                    let told = if status == EndpointStatus::Serving {
+                        AnnouncedState::Serving
                     } else {
-                        Told::Leaving
+                        AnnouncedState::Draining
                     };
                     self.tape.borrow_mut().note(
                         now,
-                        Seen::Said {
+                        Observation::Notified {
                             balancer: self.balancer,
                             host,
-                            told,
+                            state: told,
                         },
                     );
                 }
@@ -554,27 +565,27 @@
         HttpServerCodec::new(0, &Budget::new(PLENTY))
     }
 
-    fn opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn opened(&mut self, _: Micros, _: ConnectionId) -> bool {
         true
     }
 
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         _: u16,
         request: Received,
         posts: &mut Vec<Post>,
     ) {
         self.model
-            .call(now, ticket, &request.target, &mut self.actions);
+            .handle_request(now, ticket, &request.target, &mut self.actions);
         self.carry_out(now, posts);
     }
 
-    fn closed(&mut self, _: Micros, connection: ConnId) {
-        self.model.forget(Ticket {
+    fn closed(&mut self, _: Micros, connection: ConnectionId) {
+        self.model.forget_connection(ReplySlot {
             connection,
-            number: 0,
+            sequence: 0,
         });
     }
 
--- a/crates/stairfront-lab/src/stand_in.rs
+++ b/crates/stairfront-lab/src/stand_in.rs
@@ -8,10 +8,10 @@
 use bytes::BytesMut;
 use rustc_hash::FxHashMap;
 use stairfront_codec::resp::{put_bulk, put_number};
-use stairfront_emulator::agent::{Agent, Line, Status};
-use stairfront_emulator::cache_host::{CacheHost, CacheSettings, RepeatGroup};
+use stairfront_common::time::from_ms;
+use stairfront_emulator::cache_host::{CacheHost, CacheSettings, IdempotencyStore};
+use stairfront_emulator::discovery_agent::{DiscoveryAgent, EndpointRecord, EndpointStatus};
 use stairfront_emulator::origin::{Origin, OriginSettings};
-use stairfront_emulator::time::from_ms;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -30,23 +30,20 @@
 /// What is to stand in.
 pub enum StandIn {
     /// A cache host; `cold` for one that has just started.
-    Cache {
-        settings: CacheSettings,
-        cold: bool,
-    },
+    Cache { settings: CacheSettings, cold: bool },
     /// The origin, and the caches that it fills.
     Origin {
         settings: OriginSettings,
         caches: Vec<SocketAddr>,
     },
     Discovery {
-        lines: Vec<Line>,
+        lines: Vec<EndpointRecord>,
         lag_ms: f64,
     },
 }
 
 /// A server of a list, from `name=address`; the one called `origin` is the origin.
-pub fn line(text: &str) -> Result<Line, String> {
+pub fn line(text: &str) -> Result<EndpointRecord, String> {
     let (name, address) = text
         .split_once('=')
         .ok_or(format!("{text:?} is not name=address"))?;
@@ -54,13 +51,13 @@
         .parse()
         .map_err(|_| format!("{address:?} is not an address and a port"))?;
     let kind = if name == "origin" { "origin" } else { "cache" };
-    Ok(Line {
+    Ok(EndpointRecord {
         name: name.to_string(),
         address: address.to_string(),
         zone: "a".to_string(),
         kind: kind.to_string(),
         group: 0,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         since_ms: 0,
     })
 }
@@ -78,8 +75,12 @@
         let tape: SharedTape = Rc::new(RefCell::new(Tape::new(clock, to)));
         match what {
             StandIn::Cache { settings, cold } => {
-                let mut model =
-                    CacheHost::new(settings, seed, &listen.to_string(), RepeatGroup::shared());
+                let mut model = CacheHost::new(
+                    settings,
+                    seed,
+                    &listen.to_string(),
+                    IdempotencyStore::shared(),
+                );
                 if cold {
                     model.start_cold(clock.now());
                 }
@@ -95,7 +96,7 @@
                 .await
             }
             StandIn::Discovery { lines, lag_ms } => {
-                let agent = Agent::new(lines, from_ms(lag_ms));
+                let agent = DiscoveryAgent::new(lines, from_ms(lag_ms));
                 until_stopped(
                     clock,
                     AgentService::new(agent, FxHashMap::default(), 0, tape),
--- a/crates/stairfront-lab/src/station.rs
+++ b/crates/stairfront-lab/src/station.rs
@@ -10,8 +10,8 @@
 use bytes::BytesMut;
 use rustc_hash::FxHashMap;
 use socket2::{Domain, SockRef, Socket, Type};
-use stairfront_emulator::cache_host::{ConnId, Ticket};
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{ConnectionId, ReplySlot};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -28,11 +28,11 @@
 /// What a model says is to be sent.
 pub enum Post {
     /// The answer to a command.
-    Answer(Ticket, Vec<u8>),
+    Answer(ReplySlot, Vec<u8>),
     /// None will come, and those behind it need not wait.
-    Skip(Ticket),
+    Skip(ReplySlot),
     /// The connection is reset.
-    Reset(ConnId),
+    Reset(ConnectionId),
 }
 
 /// A model behind sockets. `balancer` says by which of the station's addresses a connection came.
@@ -40,16 +40,16 @@
     type Codec: Decoder;
     fn codec(&self) -> Self::Codec;
     /// False turns the connection away.
-    fn opened(&mut self, now: Micros, connection: ConnId) -> bool;
+    fn opened(&mut self, now: Micros, connection: ConnectionId) -> bool;
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        ticket: ReplySlot,
         balancer: u16,
         item: <Self::Codec as Decoder>::Item,
         posts: &mut Vec<Post>,
     );
-    fn closed(&mut self, now: Micros, connection: ConnId);
+    fn closed(&mut self, now: Micros, connection: ConnectionId);
     fn advance(&mut self, now: Micros, posts: &mut Vec<Post>);
     fn next_due(&self) -> Option<Micros>;
     /// Nothing was done for so long.
@@ -141,7 +141,7 @@
 
 struct Inner<S> {
     service: S,
-    lanes: FxHashMap<ConnId, Rc<Lane>>,
+    lanes: FxHashMap<ConnectionId, Rc<Lane>>,
     posts: Vec<Post>,
 }
 
@@ -157,8 +157,8 @@
                 continue;
             };
             match post {
-                Post::Answer(ticket, answer) => lane.put(ticket.number, answer),
-                Post::Skip(ticket) => lane.put(ticket.number, Vec::new()),
+                Post::Answer(ticket, answer) => lane.put(ticket.sequence, answer),
+                Post::Skip(ticket) => lane.put(ticket.sequence, Vec::new()),
                 Post::Reset(_) => lane.reset.set(true),
             }
             lane.bell.notify_one();
@@ -300,7 +300,7 @@
                 continue;
             };
             self.while_held().await;
-            let id = ConnId(self.next.get());
+            let id = ConnectionId(self.next.get());
             self.next.set(id.0 + 1);
             let lane = Rc::new(Lane::default());
             let taken = {
@@ -322,7 +322,7 @@
     async fn serve(
         self: Rc<Self>,
         mut socket: TcpStream,
-        id: ConnId,
+        id: ConnectionId,
         lane: Rc<Lane>,
         balancer: u16,
     ) {
@@ -337,7 +337,13 @@
         inner.service.closed(self.clock.now(), id);
     }
 
-    async fn talk(&self, socket: &mut TcpStream, id: ConnId, lane: &Lane, balancer: u16) -> Ending {
+    async fn talk(
+        &self,
+        socket: &mut TcpStream,
+        id: ConnectionId,
+        lane: &Lane,
+        balancer: u16,
+    ) -> Ending {
         let mut codec = self.inner.borrow().service.codec();
         let mut input = BytesMut::with_capacity(READ_BUFFER);
         let mut number = 0;
@@ -379,7 +385,7 @@
         &self,
         codec: &mut S::Codec,
         input: &mut BytesMut,
-        id: ConnId,
+        id: ConnectionId,
         number: &mut u64,
         balancer: u16,
     ) -> bool {
@@ -389,9 +395,9 @@
         let readable = loop {
             match codec.decode(input) {
                 Ok(Some(item)) => {
-                    let ticket = Ticket {
+                    let ticket = ReplySlot {
                         connection: id,
-                        number: *number,
+                        sequence: *number,
                     };
                     *number += 1;
                     service.received(self.clock.now(), ticket, balancer, item, posts);
--- a/crates/stairfront-lab/src/tally.rs
+++ b/crates/stairfront-lab/src/tally.rs
@@ -1,8 +1,8 @@
 //! What clients got: counts by class and tenant, latencies from when a request was to be sent, and both over time.
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use stairfront_emulator::client::{Ask, End};
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::client::{Attempt, Outcome};
 
 use crate::tape::INTERVAL;
 
@@ -108,7 +108,7 @@
     }
 
     /// Books the end of a try; `unsent` where it never went out, `in_time` where it was served within its aim.
-    pub fn book(&mut self, now: Micros, ask: &Ask, end: End, unsent: bool, in_time: bool) {
+    pub fn book(&mut self, now: Micros, ask: &Attempt, end: Outcome, unsent: bool, in_time: bool) {
         let took = (now - ask.due).clamp(1, LONGEST as Micros) as u64;
         let i = (ask.due.max(0) / INTERVAL) as usize;
         if self.over_time.len() <= i {
@@ -116,8 +116,8 @@
         }
         let interval = &mut self.over_time[i];
         match end {
-            End::Served => interval.served += 1,
-            End::Refused { .. } => interval.refused += 1,
+            Outcome::Served => interval.served += 1,
+            Outcome::Rejected { .. } => interval.refused += 1,
             _ => interval.other += 1,
         }
         interval.latency.saturating_record(took);
@@ -134,14 +134,14 @@
         counts.in_time += u64::from(in_time);
         match end {
             _ if unsent => counts.unsent += 1,
-            End::Served => {
+            Outcome::Served => {
                 counts.served += 1;
                 self.served.saturating_record(took);
             }
-            End::Refused { .. } => counts.refused += 1,
-            End::Failed => counts.failed += 1,
-            End::Lost => counts.lost += 1,
-            End::Unanswered => counts.unanswered += 1,
+            Outcome::Rejected { .. } => counts.refused += 1,
+            Outcome::Failed => counts.failed += 1,
+            Outcome::ConnectionLost => counts.lost += 1,
+            Outcome::TimedOut => counts.unanswered += 1,
         }
     }
 
--- a/crates/stairfront-lab/src/tape.rs
+++ b/crates/stairfront-lab/src/tape.rs
@@ -2,8 +2,8 @@
 use std::sync::mpsc::{Receiver, Sender};
 
 use serde::Serialize;
-use stairfront_emulator::rules::{Checker, Limits, Report, Seen};
-use stairfront_emulator::time::{Micros, SECOND};
+use stairfront_common::time::{Micros, SECOND};
+use stairfront_emulator::rules::{Observation, RuleChecker, RuleLimits, RuleReport};
 
 use crate::clock::RunClock;
 use crate::live::Live;
@@ -14,7 +14,7 @@
 /// Sightings between two looks for requests that can be judged.
 const SETTLE_EVERY: usize = 100_000;
 
-type Batch = Vec<(Micros, Seen)>;
+type Batch = Vec<(Micros, Observation)>;
 
 /// One thread's end: sightings are gathered and handed over in batches.
 pub struct Tape {
@@ -34,7 +34,7 @@
         }
     }
 
-    pub fn note(&mut self, at: Micros, seen: Seen) {
+    pub fn note(&mut self, at: Micros, seen: Observation) {
         if self.batch.is_empty() {
             self.since = at;
         }
@@ -69,7 +69,7 @@
 /// Attempts by host and interval, and what the checker decided.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Recorded {
-    pub rules: Report,
+    pub rules: RuleReport,
     /// Attempts begun at each host in each interval; the origin last.
     pub begun: Vec<Vec<u32>>,
 }
@@ -78,24 +78,24 @@
 pub const INTERVAL: Micros = SECOND / 4;
 
 /// Hears all tapes until the last one ends.
-pub fn record(from: Receiver<Batch>, limits: Limits, hosts: usize, live: &Live) -> Recorded {
-    let mut checker = Checker::new(limits);
+pub fn record(from: Receiver<Batch>, limits: RuleLimits, hosts: usize, live: &Live) -> Recorded {
+    let mut checker = RuleChecker::new(limits);
     let mut begun = vec![Vec::new(); hosts];
     let mut heard = 0;
     for batch in from {
         heard += batch.len();
         for (at, seen) in batch {
-            if let Seen::Began { host, .. } = seen {
+            if let Observation::AttemptStarted { host, .. } = seen {
                 live.began(usize::from(host));
                 if let Some(series) = begun.get_mut(usize::from(host)) {
                     count(series, at);
                 }
             }
-            checker.hear(at, seen);
+            checker.observe(at, seen);
         }
         if heard > SETTLE_EVERY {
             heard = 0;
-            checker.settle();
+            checker.judge_finished();
         }
     }
     Recorded {
--- a/crates/stairfront-lab/src/work.rs
+++ b/crates/stairfront-lab/src/work.rs
@@ -6,7 +6,7 @@
 use crate::by_hand::HandPlan;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use stairfront_emulator::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_common::time::{from_ms, to_ms, Micros, MS, SECOND};
 
 /// Between two looks at what is out.
 const LOOK: Micros = 150 * MS;
--- a/crates/stairfront-lab/tests/crossed_ends.rs
+++ b/crates/stairfront-lab/tests/crossed_ends.rs
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use stairfront_common::time::SECOND;
 use stairfront_emulator::arrivals::Traffic;
 use stairfront_emulator::client::{ClassSettings, RetrySettings};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::SECOND;
+use stairfront_emulator::rules::Observation;
 use stairfront_lab::clock::RunClock;
 use stairfront_lab::live::Live;
 use stairfront_lab::load::{run, Front, Habits, LoadPlan};
@@ -55,11 +55,11 @@
     let closed = Arc::new(AtomicBool::new(false));
     let class = ClassSettings {
         name: "read".to_string(),
-        aim_ms: 500.0,
+        latency_objective_ms: 500.0,
         deadline_ms: 2_000.0,
-        repeats: Default::default(),
+        idempotency: Default::default(),
         write: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         value_bytes: 64,
     };
     let end = 3 * SECOND;
@@ -100,7 +100,7 @@
         lost += seen
             .iter()
             .flatten()
-            .filter(|(_, seen)| matches!(seen, Seen::Lost { .. }))
+            .filter(|(_, seen)| matches!(seen, Observation::ConnectionLost { .. }))
             .count() as u64;
     }
     lost
--- a/crates/stairfront-maintenance/tests/network.rs
+++ b/crates/stairfront-maintenance/tests/network.rs
@@ -6,7 +6,7 @@
 //! `PLANS_SEEDS=1..10001 cargo test --release -p stairfront-maintenance --test network` plays more.
 use std::collections::{BTreeMap, BTreeSet};
 
-use stairfront_emulator::dice::Dice;
+use stairfront_common::random::SeededRng;
 use stairfront_maintenance::{
     AvailabilityBudget, Balancer, Command, CommandKind, CompletedBy, Fleet, Host,
     LeaderObservation, MachineKey, Maintenance, Plan, Stage,
@@ -64,7 +64,7 @@
 struct World {
     seed: u64,
     now: Micros,
-    dice: Dice,
+    dice: SeededRng,
     places: Vec<Place>,
     road: BTreeMap<(Micros, u64), (usize, usize, Parcel)>,
     sent: u64,
@@ -94,7 +94,7 @@
         let mut world = World {
             seed,
             now: 0,
-            dice: Dice::new(seed, "plans on a network"),
+            dice: SeededRng::for_part(seed, "plans on a network"),
             places: (0..MEMBERS).map(|_| Place::default()).collect(),
             road: BTreeMap::new(),
             sent: 0,
@@ -114,7 +114,7 @@
     }
 
     fn start(&mut self, at: usize) {
-        let (now, seed) = (self.now, self.dice.below(1 << 40));
+        let (now, seed) = (self.now, self.dice.below(1_u64 << 40));
         let names: Vec<String> = (0..VOTERS).map(name).collect();
         // Danger: one that starts with nothing would send to what the others hold out. It asks before it serves.
         let can_ask: Vec<usize> = (0..MEMBERS)
@@ -210,7 +210,7 @@
 
     fn say(&mut self, from: usize, to: usize, parcel: Parcel) {
         if !self.cut.contains(&(from, to)) && !self.dice.happens(self.loss) {
-            let most = if self.dice.happens(0.05) { 200 } else { 8 };
+            let most = if self.dice.happens(0.05) { 200_u64 } else { 8 };
             let delay = MS + self.dice.below(most) as Micros * MS;
             self.sent += 1;
             self.road
@@ -335,7 +335,12 @@
                 .retain(|key| key.1 > applied || held.contains(key));
             place.ledger.extend(held);
             let send = std::mem::take(&mut ready.messages);
-            let wait = if slow { 700 } else { 1 + self.dice.below(8) } as Micros * MS;
+            let wait = if slow {
+                700
+            } else {
+                1 + self.dice.below(8_u64)
+            } as Micros
+                * MS;
             place.writing = Some((now + wait, ready, send));
         }
         for sent in out {
@@ -376,7 +381,7 @@
     fn order(&mut self, at: usize, term: u64, what: CommandKind) {
         self.ids += 1;
         // Clocks step as they like: nothing may be decided by them.
-        let (via, author, at_ms) = (name(at), name(at), self.dice.below(1 << 41));
+        let (via, author, at_ms) = (name(at), name(at), self.dice.below(1_u64 << 41));
         let command = Command {
             id: self.ids,
             at_ms,
@@ -463,7 +468,7 @@
     fn serve(&mut self) {
         for at in 0..MEMBERS {
             let (now, host) = (self.now, format!("c{}", self.dice.below(HOSTS as u64)));
-            let lasts = self.dice.below(300) as Micros * MS;
+            let lasts = self.dice.below(300_u64) as Micros * MS;
             let place = &mut self.places[at];
             if place.council.is_none() || place.asleep {
                 continue;
@@ -582,9 +587,9 @@
     fn fault(&mut self, ends: &mut Vec<(Micros, usize, u8)>) {
         let (at, kind) = (
             self.dice.below(MEMBERS as u64) as usize,
-            self.dice.below(6) as u8,
+            self.dice.below(6_u64) as u8,
         );
-        let lasts = (500 + self.dice.below(6000)) as Micros * MS;
+        let lasts = (500 + self.dice.below(6000_u64)) as Micros * MS;
         if self.places[at].council.is_none() || self.places[at].asleep {
             return;
         }
@@ -641,7 +646,7 @@
         loop {
             self.now += STEP;
             if self.now >= next_fault && self.now < FAULTS_TO {
-                next_fault = self.now + (1 + self.dice.below(7)) as Micros * SECOND;
+                next_fault = self.now + (1 + self.dice.below(7_u64)) as Micros * SECOND;
                 self.fault(&mut ends);
             }
             let over: Vec<_> = ends
--- a/crates/stairfront-raft/tests/simulation/faults.rs
+++ b/crates/stairfront-raft/tests/simulation/faults.rs
@@ -46,11 +46,12 @@
     }
 
     fn lay(&mut self, links: &[(usize, usize)], fault: LinkFault) {
-        self.links.lay(self.now, self.last_fault, links, fault);
+        self.links
+            .add_fault(self.now, self.last_fault, links, fault);
     }
 
     pub fn lift_link_faults(&mut self) {
-        (0..=self.last_fault).for_each(|number| self.links.lift(number));
+        (0..=self.last_fault).for_each(|number| self.links.remove_fault(number));
     }
 
     fn crash(&mut self, target: usize) {
--- a/crates/stairfront-raft/tests/simulation/world.rs
+++ b/crates/stairfront-raft/tests/simulation/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use stairfront_common::random::SeededRng;
-use stairfront_emulator::links::Links;
+use stairfront_emulator::links::{Delivery, Links};
 use stairfront_raft::{
     Entry, HardState, Log, LogIndex, Message, Micros, Node, OutgoingMessage, Payload, Ready,
     Settings, Snapshot, Voter, MS, SECOND,
@@ -231,7 +231,7 @@
                 continue;
             };
             let boots = self.servers[to].boots;
-            for (after, _) in self.links.datagram(self.now, from, to, &[]) {
+            for Delivery { delay: after, .. } in self.links.send_datagram(self.now, from, to, &[]) {
                 let event = Event::Message {
                     from: sender.clone(),
                     to,
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -2,7 +2,7 @@
 use std::process::ExitCode;
 
 use stairfront_emulator::cache_host::CacheSettings;
-use stairfront_emulator::dice::ServiceTime;
+use stairfront_emulator::distributions::ServiceTime;
 use stairfront_emulator::origin::OriginSettings;
 use stairfront_lab::stand_in::{line, serve, StandIn};
 
@@ -27,15 +27,15 @@
             let settings = CacheSettings {
                 hit,
                 cores,
-                queue,
-                store,
+                max_queue: queue,
+                max_keys: store,
                 ..usual
             };
-            let fault = settings
-                .fault()
-                .map(|(key, problem)| format!("{key}: {problem}"));
             (
-                fault.map_or(Ok(StandIn::Cache { settings, cold }), Err),
+                settings
+                    .validate()
+                    .map(|()| StandIn::Cache { settings, cold })
+                    .map_err(|error| error.to_string()),
                 listen,
                 seed,
             )
@@ -58,17 +58,14 @@
                 cores,
                 ..usual
             };
-            let fault = settings
-                .fault()
-                .map(|(key, problem)| format!("{key}: {problem}"));
             (
-                fault.map_or(
-                    Ok(StandIn::Origin {
+                settings
+                    .validate()
+                    .map(|()| StandIn::Origin {
                         settings,
                         caches: fills,
-                    }),
-                    Err,
-                ),
+                    })
+                    .map_err(|error| error.to_string()),
                 listen,
                 seed,
             )
--- a/crates/stairfront/tests/group_scripts.rs
+++ b/crates/stairfront/tests/group_scripts.rs
@@ -50,18 +50,18 @@
         outcome.rules
     );
     assert_eq!(
-        group.report.broken,
+        group.report.violations,
         0,
         "seed {seed}: {}\n{}",
         group.script.join("\n"),
         group.report.examples.join("\n")
     );
-    let figures = &group.report.figures;
+    let figures = &group.report.metrics;
     assert!(
-        figures.judged_alive > 100 && figures.judged_standing > 20,
+        figures.judged_alive > 100 && figures.judged_quorum > 20,
         "{figures:?}"
     );
-    assert!(figures.whole_after_ms.is_some(), "{figures:?}");
+    assert!(figures.complete_after_ms.is_some(), "{figures:?}");
     outcome
 }
 
@@ -106,20 +106,20 @@
     let group = outcome.group.as_ref().unwrap();
     assert!(outcome.rules.holds(), "{:?}", outcome.rules);
     assert_eq!(
-        group.report.broken,
+        group.report.violations,
         0,
         "{}",
         group.report.examples.join("\n")
     );
-    let figures = &group.report.figures;
+    let figures = &group.report.metrics;
     assert!(
         group.detected_ms.len() >= 5 && figures.judged_dead > 0,
         "{:?} {figures:?}",
         group.detected_ms
     );
-    assert!(figures.judged_standing > 50, "{figures:?}");
+    assert!(figures.judged_quorum > 50, "{figures:?}");
     assert!(
-        figures.whole_after_ms.is_some_and(|ms| ms < 4000.0),
+        figures.complete_after_ms.is_some_and(|ms| ms < 4000.0),
         "{figures:?}"
     );
 }
--- a/crates/stairfront/tests/lab.rs
+++ b/crates/stairfront/tests/lab.rs
@@ -90,7 +90,9 @@
         "{counts:?}"
     );
     assert!(counts.asked > 800 && outcome.on_time > 0.8, "{counts:?}");
-    assert!(outcome.rules.figures.notices > 0 && outcome.hit_ratio > 0.3 && outcome.fetches > 0);
+    assert!(
+        outcome.rules.metrics.drain_notices > 0 && outcome.hit_ratio > 0.3 && outcome.fetches > 0
+    );
     assert_eq!(outcome.servers.len(), 5);
 }
 
@@ -111,7 +113,7 @@
         .rules
         .rules
         .iter()
-        .map(|rule| rule.broken > 0)
+        .map(|rule| rule.violations > 0)
         .collect();
     assert_eq!(broken, [false, true, false, false], "{:?}", outcome.rules);
 }
