--- a/crates/stairfront-emulator/src/client.rs
+++ b/crates/stairfront-emulator/src/client.rs
@@ -1,14 +1,14 @@
-//! Clients by themselves: what is asked when, how long each try waits, and whether there is another.
+//! Clients: when each request is sent, how long an attempt waits for its answer, and whether it is retried.
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use serde::{Deserialize, Serialize};
-
-use crate::arrivals::{Arrival, Arrivals};
 use stairfront_common::random::SeededRng;
 use stairfront_common::time::{from_ms, Micros};
 
-/// What repeating a request of a class may do.
+use crate::arrivals::{Arrival, Arrivals};
+
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Idempotency {
@@ -23,50 +23,53 @@
     NotIdempotent,
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSettings {
+    /// Its name.
     pub name: String,
-    /// An answer after this is worth nothing, in milliseconds.
+    /// Time from the first attempt after which an answer is of no use, in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// A client waits no longer, in milliseconds.
+    /// Longest time that a client waits for an attempt's answer, in milliseconds.
     pub deadline_ms: f64,
-    #[serde(default)]
-    #[serde(rename = "repeats")]
+    /// Whether its requests may be repeated.
+    #[serde(default, rename = "repeats")]
     pub idempotency: Idempotency,
+    /// Whether its requests are writes.
     #[serde(default)]
     pub write: bool,
-    #[serde(default = "full")]
-    #[serde(rename = "worth")]
+    /// Its priority when load is shed, between 0 and 1.
+    #[serde(default = "default_priority_weight", rename = "worth")]
     pub priority_weight: f64,
-    /// Bytes of a write's value.
-    #[serde(default = "some_bytes")]
+    /// Size of a write's value, in bytes.
+    #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
 }
 
-fn full() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
-fn some_bytes() -> usize {
+fn default_value_bytes() -> usize {
     64
 }
 
-/// How clients try again by themselves.
+/// How clients retry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetrySettings {
-    /// Further tries after a refusal or a failure.
+    /// Most retries after a rejection or a failure.
     #[serde(rename = "most")]
     pub max_retries: u32,
-    /// Wait before one, in milliseconds, drawn between half and one and a half of it.
+    /// Mean wait before a retry, in milliseconds; each is drawn between half and one and a half of it.
     #[serde(rename = "wait_ms")]
     pub backoff_ms: f64,
-    /// Keeps to the advice of a refusal, where there is any.
+    /// Whether the Retry-After of a rejection replaces the backoff.
     #[serde(rename = "advice")]
     pub honor_retry_after: bool,
-    /// Marks retries as such (`r=1`).
+    /// Whether retries are marked as such (`r=1`).
     #[serde(rename = "marked")]
     pub mark_retries: bool,
 }
@@ -82,167 +85,176 @@
     }
 }
 
-/// One try of a client.
+/// One attempt of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
-    /// When it was to be sent. Danger: timed from when a busy tool got round to it, a stall would vanish.
+    /// When it is to be sent. Latency counts from here and not from when a busy driver sends it: otherwise a stall of
+    /// the driver would not show in the latencies.
     pub due: Micros,
-    /// When the first try was to be sent.
+    /// When the first attempt of its request was to be sent.
     pub first_due: Micros,
-    /// New for each try.
+    /// Its id, which no other attempt has.
     pub id: u64,
+    /// Number of its key.
     pub key: u64,
+    /// Position of its class.
     pub class: u8,
+    /// Position of its tenant.
     pub tenant: u16,
-    /// 0 for the first try.
+    /// Number of attempts of its request before it.
     pub retry: u32,
     /// Until when the client waits.
     pub deadline: Micros,
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// With a value.
     Served,
-    /// Turned away, with advice in milliseconds where there was any.
+    /// Rejected.
     Rejected {
+        /// The Retry-After of the rejection, in milliseconds, where it had one.
         retry_after_ms: Option<u64>,
     },
+    /// With an error.
     Failed,
     /// The connection ended without an answer.
     ConnectionLost,
-    /// No answer while the client waited.
+    /// No answer until the deadline.
     TimedOut,
 }
 
+/// The times of a class.
+#[derive(Clone, Copy, Debug, Default)]
+struct ClassTimes {
+    latency_objective: Micros,
+    deadline: Micros,
+}
+
 /// All clients of one source: its arrivals and their retries, in the order in which they are due.
 pub struct Clients {
     arrivals: Arrivals,
-    next: Option<Arrival>,
+    next_arrival: Option<Arrival>,
     end: Micros,
-    retries: BinaryHeap<Reverse<(Micros, Attempt)>>,
-    classes: Vec<(Micros, Micros)>,
-    retry: RetrySettings,
-    dice: SeededRng,
-    next_id: u64,
+    retries: BinaryHeap<Reverse<Attempt>>,
+    classes: Vec<ClassTimes>,
+    settings: RetrySettings,
+    random: SeededRng,
+    last_id: u64,
+}
+
+/// What the clients of one source need beside their arrivals.
+#[derive(Clone, Debug)]
+pub struct ClientSettings<'a> {
+    /// The classes of requests, in the order that the arrivals count them.
+    pub classes: &'a [ClassSettings],
+    /// How they retry.
+    pub retry: RetrySettings,
+    /// The seed of the run.
+    pub seed: u64,
+    /// Position of the source, which keeps the ids of several sources apart.
+    pub source: usize,
+    /// Nothing is due at this time or later.
+    pub end: Micros,
 }
 
 impl Clients {
-    /// `source` keeps the ids of several sources apart; nothing is due after `end`.
-    pub fn new(
-        mut arrivals: Arrivals,
-        classes: &[ClassSettings],
-        retry: RetrySettings,
-        seed: u64,
-        source: usize,
-        end: Micros,
-    ) -> Self {
-        let next = arrivals.next_before(end);
+    /// The clients of one source.
+    pub fn new(mut arrivals: Arrivals, settings: ClientSettings) -> Self {
+        let classes = settings
+            .classes
+            .iter()
+            .map(|class| ClassTimes {
+                latency_objective: from_ms(class.latency_objective_ms),
+                deadline: from_ms(class.deadline_ms),
+            })
+            .collect();
+        let part = format!("clients-{}", settings.source);
         Clients {
+            next_arrival: arrivals.next_before(settings.end),
             arrivals,
-            next,
-            end,
+            end: settings.end,
             retries: BinaryHeap::new(),
-            classes: classes
-                .iter()
-                .map(|class| {
-                    (
-                        from_ms(class.latency_objective_ms),
-                        from_ms(class.deadline_ms),
-                    )
-                })
-                .collect(),
-            retry,
-            dice: SeededRng::for_part(seed, &format!("clients-{source}")),
-            next_id: (source as u64 + 1) << 40,
+            classes,
+            settings: settings.retry,
+            random: SeededRng::for_part(settings.seed, &part),
+            last_id: (settings.source as u64 + 1) << 40,
         }
     }
 
+    /// When the next attempt is due.
     pub fn next_due(&self) -> Option<Micros> {
-        let retry = self.retries.peek().map(|Reverse((due, _))| *due);
-        self.next
-            .map(|arrival| arrival.at)
-            .into_iter()
-            .chain(retry)
-            .min()
+        let arrival = self.next_arrival.map(|arrival| arrival.at);
+        let retry = self.retries.peek().map(|Reverse(attempt)| attempt.due);
+        arrival.into_iter().chain(retry).min()
     }
 
-    /// The next try that is due by now.
+    /// The next attempt that is due by now.
     pub fn take_due(&mut self, now: Micros) -> Option<Attempt> {
         let due = self.next_due().filter(|due| *due <= now)?;
-        if self
-            .retries
-            .peek()
-            .is_some_and(|Reverse((at, _))| *at == due)
-        {
-            return self.retries.pop().map(|Reverse((_, ask))| ask);
+        if let Some(Reverse(retry)) = self.retries.peek().copied() {
+            if retry.due == due {
+                self.retries.pop();
+                return Some(retry);
+            }
         }
-        let Arrival {
-            at,
-            key,
-            class,
-            tenant,
-        } = self.next.take()?;
-        self.next = self.arrivals.next_before(self.end);
-        let (_, deadline) = self
-            .classes
-            .get(usize::from(class))
-            .copied()
-            .unwrap_or((0, 0));
-        let id = self.new_id();
+        let arrival = self.next_arrival.take()?;
+        self.next_arrival = self.arrivals.next_before(self.end);
         Some(Attempt {
-            due: at,
-            first_due: at,
-            id,
-            key,
-            class,
-            tenant,
+            due: arrival.at,
+            first_due: arrival.at,
+            id: self.next_id(),
+            key: arrival.key,
+            class: arrival.class,
+            tenant: arrival.tenant,
             retry: 0,
-            deadline: at + deadline,
+            deadline: arrival.at + self.class(arrival.class).deadline,
         })
     }
 
-    fn new_id(&mut self) -> u64 {
-        self.next_id += 1;
-        self.next_id
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// Books the end of a try; true if the client comes again with another.
-    pub fn record_outcome(&mut self, now: Micros, ask: &Attempt, end: Outcome) -> bool {
-        if end == Outcome::Served || ask.retry >= self.retry.max_retries {
+    /// Notes how an attempt ended, and whether the client retries.
+    pub fn record_outcome(&mut self, now: Micros, attempt: &Attempt, outcome: Outcome) -> bool {
+        if outcome == Outcome::Served || attempt.retry >= self.settings.max_retries {
             return false;
         }
-        let usual = from_ms(self.retry.backoff_ms * (0.5 + self.dice.unit()));
-        let wait = match end {
+        // Drawn even where a Retry-After replaces it, so that the draws that follow do not depend on the answers' form.
+        let backoff = from_ms(self.settings.backoff_ms * (0.5 + self.random.unit()));
+        let wait = match outcome {
             Outcome::Rejected {
                 retry_after_ms: Some(ms),
-            } if self.retry.honor_retry_after => from_ms(ms as f64),
-            _ => usual,
+            } if self.settings.honor_retry_after => from_ms(ms as f64),
+            _ => backoff,
         };
         let due = now + wait;
         if due >= self.end {
             return false;
         }
-        let (_, deadline) = self
-            .classes
-            .get(usize::from(ask.class))
-            .copied()
-            .unwrap_or((0, 0));
-        let again = Attempt {
+        let retry = Attempt {
             due,
-            id: self.new_id(),
-            retry: ask.retry + 1,
-            deadline: due + deadline,
-            ..*ask
+            id: self.next_id(),
+            retry: attempt.retry + 1,
+            deadline: due + self.class(attempt.class).deadline,
+            ..*attempt
         };
-        self.retries.push(Reverse((due, again)));
+        self.retries.push(Reverse(retry));
         true
     }
 
-    /// The aim of a class: counted from its first try.
+    /// The latency objective of a class, counted from the first attempt.
     pub fn latency_objective(&self, class: u8) -> Micros {
+        self.class(class).latency_objective
+    }
+
+    fn class(&self, class: u8) -> ClassTimes {
         self.classes
             .get(usize::from(class))
-            .map_or(0, |(aim, _)| *aim)
+            .copied()
+            .unwrap_or_default()
     }
 }
--- a/crates/stairfront-emulator/src/discovery_agent.rs
+++ b/crates/stairfront-emulator/src/discovery_agent.rs
@@ -1,21 +1,25 @@
-//! Discovery's agent on one balancer's machine: the list of servers in versions, watches that wait for news, and what
-//! goes wrong with it: lag, silence, lists that stand still.
+//! Discovery's agent on one balancer's machine: the endpoint list in versions, watches that wait for changes, and its
+//! faults: lag, silence and a list that does not change any more.
 use std::collections::{BTreeMap, VecDeque};
 
 use serde_json::{json, Value};
+use stairfront_common::time::{from_ms, Micros, MS};
 
 use crate::cache_host::ReplySlot;
-use stairfront_common::time::{from_ms, Micros, MS};
 
-/// Changes kept for watches; who is further behind gets the whole list.
-const CHANGES_KEPT: usize = 1024;
-/// The longest hold that a watch may ask for.
-const LONGEST_HOLD: Micros = 60_000 * MS;
+/// Changes kept for watches; a client that is further behind gets the whole list.
+const MAX_CHANGES: usize = 1024;
+/// Longest time that a watch may ask to be held.
+const MAX_HOLD: Micros = 60_000 * MS;
 
+/// State of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
+    /// Takes requests.
     Serving,
+    /// Is about to leave and takes no new requests.
     Draining,
+    /// Is not in the list any more.
     Removed,
 }
 
@@ -29,221 +33,269 @@
     }
 }
 
-/// One server as the list has it.
+/// An endpoint as the list has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
+    /// Its name.
     pub name: String,
+    /// Where it listens, as host and port.
     pub address: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// What kind of server it is, such as `cache`.
     pub kind: String,
+    /// Its group of servers that share idempotency keys.
     pub group: u16,
+    /// Its state.
     pub status: EndpointStatus,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Since when it has been in this state, as Unix time in milliseconds; 0 for a time long ago.
     pub since_ms: u64,
 }
 
 impl EndpointRecord {
+    /// The record in the form of the list's JSON.
     pub fn to_json(&self) -> Value {
-        json!({"name": self.name, "address": self.address, "zone": self.zone, "type": self.kind, "group": self.group,
-               "status": self.status.as_str(), "weight": 1.0, "since_ms": self.since_ms})
+        json!({
+            "name": self.name,
+            "address": self.address,
+            "zone": self.zone,
+            "type": self.kind,
+            "group": self.group,
+            "status": self.status.as_str(),
+            "weight": 1.0,
+            "since_ms": self.since_ms,
+        })
     }
 }
 
+/// What the agent does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// 200 with this list.
+    /// Answers 200 with this list.
     Answer(ReplySlot, String),
-    /// 404: not a call that there is.
+    /// Answers 404, because it has no such path.
     NotFound(ReplySlot),
-    /// The balancer has been told this of a server.
+    /// Has told the balancer this about an endpoint.
     Notified {
+        /// The endpoint's name.
         name: String,
+        /// Its state.
         status: EndpointStatus,
     },
 }
 
 struct Watch {
-    ticket: ReplySlot,
+    slot: ReplySlot,
+    /// The version that the client has.
     from: u64,
     until: Micros,
 }
 
+/// A change that the agent learns of after its lag.
+struct PendingChange {
+    due: Micros,
+    record: EndpointRecord,
+}
+
+struct Change {
+    version: u64,
+    record: EndpointRecord,
+}
+
+/// The agent: the list as it knows it, and who waits for a change.
 #[derive(Default)]
 pub struct DiscoveryAgent {
-    lines: BTreeMap<String, EndpointRecord>,
-    index: u64,
-    changes: VecDeque<(u64, EndpointRecord)>,
-    /// Changes under way to the agent, and when each arrives.
-    coming: VecDeque<(Micros, EndpointRecord)>,
+    records: BTreeMap<String, EndpointRecord>,
+    version: u64,
+    changes: VecDeque<Change>,
+    pending: VecDeque<PendingChange>,
     lag: Micros,
     silent: bool,
-    still: bool,
+    frozen: bool,
     watches: Vec<Watch>,
-    /// Calls that came while it was silent.
-    unheard: Vec<(ReplySlot, String)>,
+    /// Requests that came while it was silent, by their targets.
+    unanswered: Vec<(ReplySlot, String)>,
 }
 
 impl DiscoveryAgent {
-    /// `lag`: how long a change is under way, in microseconds.
-    pub fn new(lines: Vec<EndpointRecord>, lag: Micros) -> Self {
-        let lines = lines
+    /// An agent with this list, which learns of changes after `lag`.
+    pub fn new(records: Vec<EndpointRecord>, lag: Micros) -> Self {
+        let records = records
             .into_iter()
-            .map(|line| (line.name.clone(), line))
+            .map(|record| (record.name.clone(), record))
             .collect();
         DiscoveryAgent {
-            lines,
-            index: 1,
+            records,
+            version: 1,
             lag,
             ..DiscoveryAgent::default()
         }
     }
 
-    /// A server is so from now on; the agent hears of it after the lag.
-    pub fn change(&mut self, now: Micros, line: EndpointRecord) {
-        self.coming.push_back((now + self.lag, line));
+    /// An endpoint changes now; the agent learns of it after its lag.
+    pub fn change(&mut self, now: Micros, record: EndpointRecord) {
+        self.pending.push_back(PendingChange {
+            due: now + self.lag,
+            record,
+        });
     }
 
-    /// While silent it answers nothing, but takes calls.
+    /// Begins or ends a silence, in which it answers nothing; requests that come meanwhile are answered at its end.
     pub fn set_silent(&mut self, now: Micros, silent: bool, actions: &mut Vec<Action>) {
         self.silent = silent;
         if !silent {
-            for (ticket, target) in std::mem::take(&mut self.unheard) {
-                self.handle_request(now, ticket, &target, actions);
+            for (slot, target) in std::mem::take(&mut self.unanswered) {
+                self.handle_request(now, slot, &target, actions);
             }
             self.advance(now, actions);
         }
     }
 
-    /// While its list stands still it answers with what it had, and changes wait.
-    pub fn set_frozen(&mut self, now: Micros, still: bool, actions: &mut Vec<Action>) {
-        self.still = still;
+    /// Freezes or unfreezes the list: while frozen, the agent answers with what it had and changes wait.
+    pub fn set_frozen(&mut self, now: Micros, frozen: bool, actions: &mut Vec<Action>) {
+        self.frozen = frozen;
         self.advance(now, actions);
     }
 
     /// The list as of now, in the form of a snapshot.
     pub fn snapshot(&self) -> Value {
-        let lines = self
-            .lines
+        let endpoints: Vec<Value> = self
+            .records
             .values()
-            .filter(|line| line.status != EndpointStatus::Removed)
-            .map(EndpointRecord::to_json);
-        json!({"index": self.index, "snapshot": true, "endpoints": lines.collect::<Vec<_>>()})
+            .filter(|record| record.status != EndpointStatus::Removed)
+            .map(EndpointRecord::to_json)
+            .collect();
+        json!({"index": self.version, "snapshot": true, "endpoints": endpoints})
     }
 
+    /// When `advance` has something to do.
     pub fn next_due(&self) -> Option<Micros> {
         if self.silent {
             return None;
         }
-        let coming = self
-            .coming
+        let change = self
+            .pending
             .iter()
-            .map(|(at, _)| *at)
+            .map(|change| change.due)
             .min()
-            .filter(|_| !self.still);
-        let held = self.watches.iter().map(|watch| watch.until).min();
-        coming.into_iter().chain(held).min()
+            .filter(|_| !self.frozen);
+        let hold = self.watches.iter().map(|watch| watch.until).min();
+        change.into_iter().chain(hold).min()
     }
 
-    /// A call, by its target; answered now, or when there is news or its hold is over.
+    /// Takes a request, by its target. It is answered now, or when there is a change or its hold has passed.
     pub fn handle_request(
         &mut self,
         now: Micros,
-        ticket: ReplySlot,
+        slot: ReplySlot,
         target: &str,
         actions: &mut Vec<Action>,
     ) {
         if self.silent {
-            self.unheard.push((ticket, target.to_string()));
+            self.unanswered.push((slot, target.to_string()));
             return;
         }
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if path != "/api/targets" {
-            return actions.push(Action::NotFound(ticket));
+            actions.push(Action::NotFound(slot));
+            return;
         }
-        let named = |name: &str| {
-            let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-            pairs
-                .filter(|(known, _)| *known == name)
-                .find_map(|(_, value)| value.parse::<u64>().ok())
-        };
-        let Some(from) = named("from") else {
-            return self.answer_all(ticket, actions);
+        let Some(from) = query_number(query, "from") else {
+            self.answer_all(slot, actions);
+            return;
         };
-        let hold = from_ms(named("hold_ms").unwrap_or(0) as f64).min(LONGEST_HOLD);
+        let hold_ms = query_number(query, "hold_ms").unwrap_or(0);
+        let hold = from_ms(hold_ms as f64).min(MAX_HOLD);
         self.watches.push(Watch {
-            ticket,
+            slot,
             from,
             until: now + hold,
         });
         self.advance(now, actions);
     }
 
-    /// Its connection has ended.
-    pub fn forget_connection(&mut self, ticket: ReplySlot) {
+    /// Drops what waits on the connection of this slot, which has ended.
+    pub fn forget_connection(&mut self, slot: ReplySlot) {
         self.watches
-            .retain(|watch| watch.ticket.connection != ticket.connection);
-        self.unheard
-            .retain(|(other, _)| other.connection != ticket.connection);
+            .retain(|watch| watch.slot.connection != slot.connection);
+        self.unanswered
+            .retain(|(other, _)| other.connection != slot.connection);
     }
 
+    /// Learns of changes that are due, and answers the watches that wait for them or whose hold has passed.
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.still {
-            let all = std::mem::take(&mut self.coming);
-            let (due, coming): (VecDeque<_>, VecDeque<_>) =
-                all.into_iter().partition(|(at, _)| *at <= now);
-            self.coming = coming;
-            due.into_iter().for_each(|(_, line)| self.take_in(line));
+        if !self.frozen {
+            let (due, pending): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.pending)
+                .into_iter()
+                .partition(|change| change.due <= now);
+            self.pending = pending;
+            due.into_iter().for_each(|change| self.apply(change.record));
         }
         if self.silent {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
-            if watch.from < self.index || watch.until <= now {
-                self.answer_since(watch, actions);
+            if watch.from < self.version || watch.until <= now {
+                self.answer_since(&watch, actions);
             } else {
                 self.watches.push(watch);
             }
         }
     }
 
-    fn take_in(&mut self, line: EndpointRecord) {
-        self.index += 1;
-        self.changes.push_back((self.index, line.clone()));
-        if self.changes.len() > CHANGES_KEPT {
+    fn apply(&mut self, record: EndpointRecord) {
+        self.version += 1;
+        self.changes.push_back(Change {
+            version: self.version,
+            record: record.clone(),
+        });
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
-        self.lines.insert(line.name.clone(), line);
+        self.records.insert(record.name.clone(), record);
     }
 
-    fn answer_all(&self, ticket: ReplySlot, actions: &mut Vec<Action>) {
-        actions.push(Action::Answer(ticket, self.snapshot().to_string()));
-        let told = |line: &EndpointRecord| Action::Notified {
-            name: line.name.clone(),
-            status: line.status,
-        };
-        actions.extend(self.lines.values().map(told));
+    fn answer_all(&self, slot: ReplySlot, actions: &mut Vec<Action>) {
+        actions.push(Action::Answer(slot, self.snapshot().to_string()));
+        actions.extend(self.records.values().map(notification));
     }
 
-    fn answer_since(&self, watch: Watch, actions: &mut Vec<Action>) {
-        let first = self
+    fn answer_since(&self, watch: &Watch, actions: &mut Vec<Action>) {
+        let oldest = self
             .changes
             .front()
-            .map_or(self.index + 1, |(index, _)| *index);
-        // Behind what is kept, or ahead of it: an agent that has started anew.
-        if watch.from + 1 < first && watch.from != self.index || watch.from > self.index {
-            return self.answer_all(watch.ticket, actions);
+            .map_or(self.version + 1, |change| change.version);
+        let too_old = watch.from + 1 < oldest && watch.from != self.version;
+        // A version ahead of this one is from before a restart of the agent.
+        if too_old || watch.from > self.version {
+            self.answer_all(watch.slot, actions);
+            return;
         }
-        let mut news: BTreeMap<&str, &EndpointRecord> = BTreeMap::new();
-        for (_, line) in self.changes.iter().filter(|(index, _)| *index > watch.from) {
-            news.insert(&line.name, line);
+        let mut latest: BTreeMap<&str, &EndpointRecord> = BTreeMap::new();
+        for change in &self.changes {
+            if change.version > watch.from {
+                latest.insert(&change.record.name, &change.record);
+            }
         }
-        let endpoints: Vec<Value> = news.values().map(|line| line.to_json()).collect();
-        let list = json!({"index": self.index, "snapshot": false, "endpoints": endpoints});
-        actions.push(Action::Answer(watch.ticket, list.to_string()));
-        let told = |line: &&EndpointRecord| Action::Notified {
-            name: line.name.clone(),
-            status: line.status,
-        };
-        actions.extend(news.values().map(told));
+        let endpoints: Vec<Value> = latest.values().map(|record| record.to_json()).collect();
+        let list = json!({"index": self.version, "snapshot": false, "endpoints": endpoints});
+        actions.push(Action::Answer(watch.slot, list.to_string()));
+        actions.extend(latest.values().copied().map(notification));
     }
 }
+
+fn notification(record: &EndpointRecord) -> Action {
+    Action::Notified {
+        name: record.name.clone(),
+        status: record.status,
+    }
+}
+
+/// The first value of this name in a query that is a number.
+fn query_number(query: &str, name: &str) -> Option<u64> {
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .filter(|(known, _)| *known == name)
+        .find_map(|(_, value)| value.parse().ok())
+}
--- a/crates/stairfront-emulator/src/lib.rs
+++ b/crates/stairfront-emulator/src/lib.rs
@@ -16,4 +16,5 @@
 pub mod origin;
 pub mod rules;
 pub mod settings_error;
+mod work_window;
 pub mod worker_pool;
--- a/crates/stairfront-emulator/src/links.rs
+++ b/crates/stairfront-emulator/src/links.rs
@@ -1,64 +1,97 @@
-//! Links between the processes of a group, as a model: what becomes of each datagram, and whether a stream's bytes go
-//! on. It knows nothing of what they carry. Faults are laid over each other; a link without one only takes its time.
+//! The links between the processes of a group: what happens to each datagram, and whether a stream's bytes are
+//! delivered. The model does not know what they carry. Several faults of a link apply together.
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-
-use crate::distributions::exponential;
 use stairfront_common::random::SeededRng;
 use stairfront_common::time::{from_ms, Micros, MS, SECOND};
 
-/// What a link does to what goes one way over it.
+use crate::distributions::exponential;
+
+/// Delay of a link without a fault.
+const LATENCY: Micros = 300;
+/// Range of the random delay that a link without a fault adds.
+const JITTER: Micros = 200;
+/// Longest delay of a datagram that is reordered.
+const MAX_REORDER_DELAY: Micros = 80 * MS;
+/// Longest queue of a link with a limited rate; a datagram beyond it is lost, as in a router.
+const MAX_QUEUE: Micros = 500 * MS;
+/// Range of the random delay between a datagram and its duplicate.
+const DUPLICATE_JITTER: Micros = 20 * MS;
+/// Delay of a stream's bytes that are lost once and sent again.
+const RETRANSMIT_DELAY: Micros = 200 * MS;
+/// Delay of a stream's bytes that are lost in a burst.
+const BURST_RETRANSMIT_DELAY: Micros = 400 * MS;
+
+/// The two ends of a link in one direction, as positions of processes: from the first to the second.
+pub type DirectedLink = (usize, usize);
+
+/// A fault of a link in one direction. Chances are probabilities per datagram, between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "link", rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// Nothing goes through.
+    /// Nothing is delivered.
     Cut,
-    /// Cut for half of each period.
+    /// Nothing is delivered during the first half of each period.
     Flap {
+        /// Length of the period, in milliseconds.
         period_ms: f64,
     },
+    /// Datagrams are lost independently of each other.
     Loss {
+        /// Probability of loss.
         chance: f64,
     },
-    /// Bursts in which all is lost, begun with this chance at a datagram, so many of them long on average.
+    /// Datagrams are lost in bursts.
     Bursts {
+        /// Probability that a burst begins.
         chance: f64,
+        /// Mean number of datagrams of a burst.
         datagrams: f64,
     },
+    /// The delay is longer.
     Slow {
+        /// Additional delay, in milliseconds.
         latency_ms: f64,
+        /// Range of the additional random delay, in milliseconds.
         jitter_ms: f64,
     },
+    /// Datagrams are delivered twice.
     Double {
+        /// Probability of a duplicate.
         chance: f64,
     },
-    /// Held back, so that later ones come first.
+    /// Datagrams are delayed so that later ones overtake them.
     Reorder {
+        /// Probability of a delay.
         chance: f64,
     },
-    /// One byte is another.
+    /// One byte is corrupted.
     Spoil {
+        /// Probability of corruption.
         chance: f64,
     },
-    /// The tail is cut off.
+    /// The end of a datagram is cut off.
     Truncate {
+        /// Probability of truncation.
         chance: f64,
     },
+    /// The rate is limited.
     Rate {
+        /// Bytes per second.
         bytes_per_s: f64,
     },
-    /// Streams come up, and nothing comes on them; datagrams pass.
+    /// Streams can be opened but deliver nothing; datagrams are delivered.
     HalfOpen,
 }
 
 impl LinkFault {
-    /// Whether nothing at all gets through while it lasts.
+    /// Whether nothing at all is delivered while it lasts.
     pub fn cuts(self) -> bool {
         matches!(self, LinkFault::Cut)
     }
 
-    /// Whether a group has to bear it without calling anybody failed who lives: up to 10% loss and 50 ms of jitter.
+    /// Whether a group has to tolerate it without reporting a live member as failed: up to 10% loss and 50 ms of jitter.
     pub fn is_mild(self) -> bool {
         match self {
             LinkFault::Loss { chance } => chance <= 0.1,
@@ -73,29 +106,36 @@
     }
 }
 
-/// What a link without a fault takes, and how far that scatters.
-const LATENCY: Micros = 300;
-const SCATTER: Micros = 200;
-/// The longest that a datagram is held back so that others overtake it.
-const HELD_BACK: Micros = 80 * MS;
-/// What waits for a slow link at most; what comes beyond is lost, as in a router.
-const LONGEST_QUEUE: Micros = 500 * MS;
+/// A fault that a link has now.
+#[derive(Clone, Copy, Debug)]
+struct ActiveFault {
+    fault: LinkFault,
+    since: Micros,
+}
 
+/// What a link remembers between two datagrams.
+#[derive(Clone, Copy, Debug, Default)]
+struct LinkState {
+    /// Datagrams of the present burst that are still to be lost.
+    burst_remaining: u64,
+    /// Until when a link with a limited rate is busy.
+    busy_until: Micros,
+}
+
+/// A link in one direction.
 #[derive(Clone, Debug, Default)]
 struct Link {
-    faults: BTreeMap<u64, (LinkFault, Micros)>,
-    /// Datagrams of a burst still to be lost.
-    burst: u64,
-    /// A limited link is busy until then.
-    busy_until: Micros,
+    faults: BTreeMap<u64, ActiveFault>,
+    state: LinkState,
 }
 
-/// All links between so many processes, by source and destination.
+/// All links between a number of processes.
 #[derive(Clone, Debug)]
 pub struct Links {
     count: usize,
+    /// By sender and receiver.
     links: Vec<Link>,
-    dice: SeededRng,
+    random: SeededRng,
 }
 
 /// A datagram that arrives.
@@ -107,51 +147,54 @@
     pub bytes: Vec<u8>,
 }
 
-/// What becomes of a stream's bytes at a moment.
+/// What happens to bytes of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamDelivery {
-    /// They go on after so long.
+    /// They are delivered after this time.
     Delayed(Micros),
-    /// Neither bytes nor an end go on: the link is silent.
+    /// Neither bytes nor the end of the stream are delivered now.
     Blocked,
 }
 
+/// A datagram on its way through the faults of a link.
+struct InTransit {
+    delay: Micros,
+    bytes: Vec<u8>,
+    duplicated: bool,
+}
+
 impl Links {
+    /// Links without faults between `count` processes.
     pub fn new(count: usize, seed: u64) -> Self {
         Links {
             count,
             links: vec![Link::default(); count * count],
-            dice: SeededRng::for_part(seed, "links"),
+            random: SeededRng::for_part(seed, "links"),
         }
     }
 
-    /// Lays a fault over links, under a number by which it is lifted.
-    pub fn add_fault(
-        &mut self,
-        now: Micros,
-        number: u64,
-        pairs: &[(usize, usize)],
-        fault: LinkFault,
-    ) {
-        for (from, to) in pairs
-            .iter()
-            .filter(|(from, to)| *from < self.count && *to < self.count)
-        {
-            self.links[from * self.count + to]
-                .faults
-                .insert(number, (fault, now));
+    /// Adds a fault to links, under an id by which it is removed.
+    pub fn add_fault(&mut self, now: Micros, id: u64, pairs: &[DirectedLink], fault: LinkFault) {
+        let active = ActiveFault { fault, since: now };
+        for (from, to) in pairs {
+            if *from < self.count && *to < self.count {
+                let link = &mut self.links[from * self.count + to];
+                link.faults.insert(id, active);
+            }
         }
     }
 
-    pub fn remove_fault(&mut self, number: u64) {
+    /// Removes the fault of this id from all links.
+    pub fn remove_fault(&mut self, id: u64) {
         for link in &mut self.links {
-            link.faults.remove(&number);
+            link.faults.remove(&id);
             if link.faults.is_empty() {
-                (link.burst, link.busy_until) = (0, 0);
+                link.state = LinkState::default();
             }
         }
     }
 
+    /// Sends a datagram, and returns what arrives: nothing, the datagram, or the datagram and a duplicate.
     pub fn send_datagram(
         &mut self,
         now: Micros,
@@ -162,65 +205,30 @@
         let Some(link) = self.links.get_mut(from * self.count + to) else {
             return Vec::new();
         };
-        let dice = &mut self.dice;
-        let mut delay = LATENCY + dice.below(SCATTER as u64) as Micros;
-        let mut bytes = bytes.to_vec();
-        let mut twice = false;
-        for (fault, since) in link.faults.values() {
-            match *fault {
-                LinkFault::Cut => return Vec::new(),
-                LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => {
-                    return Vec::new()
-                }
-                LinkFault::Loss { chance } if dice.happens(chance) => return Vec::new(),
-                LinkFault::Bursts { chance, datagrams } => {
-                    if link.burst == 0 && dice.happens(chance) {
-                        link.burst = (datagrams * exponential(dice)).ceil() as u64;
-                    }
-                    if link.burst > 0 {
-                        link.burst -= 1;
-                        return Vec::new();
-                    }
-                }
-                LinkFault::Slow {
-                    latency_ms,
-                    jitter_ms,
-                } => {
-                    delay += from_ms(latency_ms + jitter_ms * dice.unit());
-                }
-                LinkFault::Double { chance } => twice |= dice.happens(chance),
-                LinkFault::Reorder { chance } if dice.happens(chance) => {
-                    delay += dice.below(HELD_BACK as u64) as Micros;
-                }
-                LinkFault::Spoil { chance } if !bytes.is_empty() && dice.happens(chance) => {
-                    let at = dice.below(bytes.len() as u64) as usize;
-                    bytes[at] ^= 1 + dice.below(255_u64) as u8;
-                }
-                LinkFault::Truncate { chance } if dice.happens(chance) => {
-                    bytes.truncate(dice.below(bytes.len() as u64) as usize);
-                }
-                LinkFault::Rate { bytes_per_s } => {
-                    let free = link.busy_until.max(now);
-                    if free - now > LONGEST_QUEUE {
-                        return Vec::new();
-                    }
-                    link.busy_until = free
-                        + (bytes.len() as f64 / bytes_per_s.max(1.0) * SECOND as f64) as Micros;
-                    delay += link.busy_until - now;
-                }
-                _ => {}
+        let random = &mut self.random;
+        let mut datagram = InTransit {
+            delay: LATENCY + random.below(JITTER as u64) as Micros,
+            bytes: bytes.to_vec(),
+            duplicated: false,
+        };
+        for active in link.faults.values() {
+            if !link.state.passes(active, now, &mut datagram, random) {
+                return Vec::new();
             }
         }
-        let mut arrivals = vec![Delivery { delay, bytes }];
-        if twice {
-            let mut duplicate = arrivals[0].clone();
-            duplicate.delay += dice.below(20 * MS as u64) as Micros;
-            arrivals.push(duplicate);
+        let delivery = Delivery {
+            delay: datagram.delay,
+            bytes: datagram.bytes,
+        };
+        if !datagram.duplicated {
+            return vec![delivery];
         }
-        arrivals
+        let mut duplicate = delivery.clone();
+        duplicate.delay += random.below(DUPLICATE_JITTER as u64) as Micros;
+        vec![delivery, duplicate]
     }
 
-    /// What becomes now of so many bytes of a stream. A stream is not lossy: what loses datagrams only slows it.
+    /// Sends this number of bytes on a stream. A stream loses nothing: faults that lose datagrams only delay it.
     pub fn send_stream(
         &mut self,
         now: Micros,
@@ -232,22 +240,23 @@
             return StreamDelivery::Blocked;
         };
         let mut delay = LATENCY;
-        for (fault, since) in link.faults.values() {
+        for ActiveFault { fault, since } in link.faults.values() {
             match *fault {
                 LinkFault::Cut | LinkFault::HalfOpen => return StreamDelivery::Blocked,
                 LinkFault::Flap { period_ms } if is_down(now - since, period_ms) => {
-                    return StreamDelivery::Blocked
+                    return StreamDelivery::Blocked;
                 }
                 LinkFault::Slow {
                     latency_ms,
                     jitter_ms,
                 } => delay += from_ms(latency_ms + jitter_ms / 2.0),
-                // Sent again after a round trip, each time that it is lost.
-                LinkFault::Loss { chance } if self.dice.happens(chance) => delay += 200 * MS,
-                LinkFault::Bursts { chance, .. } if self.dice.happens(chance) => delay += 400 * MS,
-                LinkFault::Rate { bytes_per_s } => {
-                    delay += (bytes as f64 / bytes_per_s.max(1.0) * SECOND as f64) as Micros;
+                LinkFault::Loss { chance } if self.random.happens(chance) => {
+                    delay += RETRANSMIT_DELAY;
                 }
+                LinkFault::Bursts { chance, .. } if self.random.happens(chance) => {
+                    delay += BURST_RETRANSMIT_DELAY;
+                }
+                LinkFault::Rate { bytes_per_s } => delay += transfer_time(bytes, bytes_per_s),
                 _ => {}
             }
         }
@@ -255,7 +264,88 @@
     }
 }
 
-fn is_down(since: Micros, period_ms: f64) -> bool {
+impl LinkState {
+    /// Applies a fault to a datagram; false if the datagram is lost.
+    fn passes(
+        &mut self,
+        active: &ActiveFault,
+        now: Micros,
+        datagram: &mut InTransit,
+        random: &mut SeededRng,
+    ) -> bool {
+        match active.fault {
+            LinkFault::Cut => return false,
+            LinkFault::Flap { period_ms } => return !is_down(now - active.since, period_ms),
+            LinkFault::Loss { chance } => return !random.happens(chance),
+            LinkFault::Bursts { chance, datagrams } => {
+                return !self.is_lost_in_burst(chance, datagrams, random);
+            }
+            LinkFault::Rate { bytes_per_s } => {
+                return self.passes_rate_limit(now, bytes_per_s, datagram);
+            }
+            LinkFault::HalfOpen => {}
+            LinkFault::Slow {
+                latency_ms,
+                jitter_ms,
+            } => datagram.delay += from_ms(latency_ms + jitter_ms * random.unit()),
+            LinkFault::Double { chance } => datagram.duplicated |= random.happens(chance),
+            LinkFault::Reorder { chance } => {
+                if random.happens(chance) {
+                    datagram.delay += random.below(MAX_REORDER_DELAY as u64) as Micros;
+                }
+            }
+            LinkFault::Spoil { chance } => datagram.corrupt(chance, random),
+            LinkFault::Truncate { chance } => datagram.truncate(chance, random),
+        }
+        true
+    }
+
+    fn is_lost_in_burst(&mut self, chance: f64, mean_length: f64, random: &mut SeededRng) -> bool {
+        if self.burst_remaining == 0 && random.happens(chance) {
+            self.burst_remaining = (mean_length * exponential(random)).ceil() as u64;
+        }
+        let is_lost = self.burst_remaining > 0;
+        self.burst_remaining = self.burst_remaining.saturating_sub(1);
+        is_lost
+    }
+
+    fn passes_rate_limit(
+        &mut self,
+        now: Micros,
+        bytes_per_s: f64,
+        datagram: &mut InTransit,
+    ) -> bool {
+        let free_at = self.busy_until.max(now);
+        if free_at - now > MAX_QUEUE {
+            return false;
+        }
+        self.busy_until = free_at + transfer_time(datagram.bytes.len(), bytes_per_s);
+        datagram.delay += self.busy_until - now;
+        true
+    }
+}
+
+impl InTransit {
+    fn corrupt(&mut self, chance: f64, random: &mut SeededRng) {
+        if !self.bytes.is_empty() && random.happens(chance) {
+            let position = random.below(self.bytes.len() as u64) as usize;
+            self.bytes[position] ^= 1 + random.below(255_u64) as u8;
+        }
+    }
+
+    fn truncate(&mut self, chance: f64, random: &mut SeededRng) {
+        if random.happens(chance) {
+            let length = random.below(self.bytes.len() as u64) as usize;
+            self.bytes.truncate(length);
+        }
+    }
+}
+
+fn transfer_time(bytes: usize, bytes_per_s: f64) -> Micros {
+    (bytes as f64 / bytes_per_s.max(1.0) * SECOND as f64) as Micros
+}
+
+fn is_down(elapsed: Micros, period_ms: f64) -> bool {
     let period = from_ms(period_ms).max(2);
-    since % period < period / 2
+    elapsed % period < period / 2
 }
--- a/crates/stairfront-emulator/src/origin.rs
+++ b/crates/stairfront-emulator/src/origin.rs
@@ -1,52 +1,52 @@
-//! The origin: what it has is slow to get, it can take far less than all requests, and it stops when pushed over.
-use std::collections::VecDeque;
-
+//! The origin: a slow server that can take far fewer requests than the caches, and that stops when it is overloaded.
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, Micros, MS};
 
 use crate::cache_host::{value_for, ReplySlot};
-use crate::distributions::ServiceTime;
+use crate::distributions::{Distribution, ServiceTime};
 use crate::settings_error::{validate_times, SettingsError};
+use crate::work_window::{WorkWindow, BUCKET_WIDTH};
 use crate::worker_pool::WorkerPool;
-use stairfront_common::random::SeededRng;
-use stairfront_common::time::{from_ms, Micros, MS};
-
-/// Grain of the window in which the work sent is added up.
-const WINDOW_PART: Micros = 50 * MS;
 
+/// Settings of an origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OriginSettings {
+    /// Number of cores.
     pub cores: usize,
+    /// Work of a read.
     pub read: ServiceTime,
+    /// Work of a write.
     pub write: ServiceTime,
-    /// Most requests that wait for a core; more are turned away with 503 and `Not-Started`.
+    /// Most requests that wait for a core; more are rejected with 503 and `Not-Started`.
     #[serde(rename = "queue")]
     pub max_queue: usize,
-    /// Chance that a request fails with 500 after its work.
+    /// Probability that a request fails with 500 after its work.
     #[serde(rename = "errors")]
     pub error_rate: f64,
-    /// Sent so many times its capacity for so long, it stops for a while; 0 for never. Milliseconds.
+    /// Multiple of its capacity at which it stops, when that much is sent for `stop_window_ms`; 0 for never.
     pub stop_multiple: f64,
+    /// The window in which what is sent is added up, in milliseconds.
     pub stop_window_ms: f64,
+    /// How long it is stopped, in milliseconds.
     pub stopped_ms: f64,
+    /// Size of a value beside its request's id and key, in bytes.
     pub value_bytes: usize,
 }
 
 impl Default for OriginSettings {
     fn default() -> Self {
+        let service = ServiceTime {
+            mean_ms: 40.0,
+            distribution: Distribution::Lognormal,
+            spread: 0.4,
+        };
         OriginSettings {
             cores: 8,
-            read: ServiceTime {
-                mean_ms: 40.0,
-                distribution: crate::distributions::Distribution::Lognormal,
-                spread: 0.4,
-            },
-            write: ServiceTime {
-                mean_ms: 40.0,
-                distribution: crate::distributions::Distribution::Lognormal,
-                spread: 0.4,
-            },
+            read: service,
+            write: service,
             max_queue: 100,
             error_rate: 0.0,
             stop_multiple: 2.5,
@@ -83,152 +83,168 @@
         Ok(())
     }
 
-    /// Reads a second that all its cores can do.
+    /// Reads per second that all its cores can do.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 * 1_000.0 / self.read.mean_ms.max(1e-3)
     }
 }
 
+/// A request to the origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// Whether it is a write.
     pub write: bool,
+    /// Its key.
     pub key: Bytes,
+    /// Its id.
     pub id: Bytes,
 }
 
+/// What the origin does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// 200 with this body.
+    /// Answers 200 with this body.
     Value(ReplySlot, Bytes),
-    /// 500: it may have run.
+    /// Answers 500; the request may have been executed.
     Failed(ReplySlot),
-    /// 503 with `Not-Started`.
+    /// Answers 503 with `Not-Started`.
     NotStarted(ReplySlot),
-    /// The value goes to the caches that missed for this request.
-    Filled { id: Bytes },
-    /// A write has taken effect; the copies of its key are void.
-    Written { id: Bytes, key: Bytes },
-    /// It was pushed over.
+    /// A value goes to the caches that missed for this request.
+    Filled {
+        /// The request's id.
+        id: Bytes,
+    },
+    /// A write has taken effect, so that cached values of its key are not valid any more.
+    Written {
+        /// The request's id.
+        id: Bytes,
+        /// The key that was written.
+        key: Bytes,
+    },
+    /// It stops because it is overloaded.
     Stopped,
 }
 
+/// The origin.
 #[derive(Debug)]
 pub struct Origin {
-    set: OriginSettings,
-    dice: SeededRng,
+    settings: OriginSettings,
+    random: SeededRng,
     workers: WorkerPool<(ReplySlot, Request)>,
-    slow: f64,
-    sent: VecDeque<(Micros, f64)>,
-    sum: f64,
+    slowdown: f64,
+    received: WorkWindow,
     stopped_until: Micros,
-    /// The most that it was sent within a window, over its capacity.
-    worst: f64,
+    max_load_ratio: f64,
     filler: Bytes,
 }
 
 impl Origin {
-    pub fn new(set: OriginSettings, seed: u64) -> Self {
+    /// An idle origin.
+    pub fn new(settings: OriginSettings, seed: u64) -> Self {
         Origin {
-            dice: SeededRng::for_part(seed, "origin"),
-            workers: WorkerPool::new(set.cores, set.max_queue),
-            slow: 1.0,
-            sent: VecDeque::new(),
-            sum: 0.0,
+            random: SeededRng::for_part(seed, "origin"),
+            workers: WorkerPool::new(settings.cores, settings.max_queue),
+            slowdown: 1.0,
+            received: WorkWindow::default(),
             stopped_until: Micros::MIN,
-            worst: 0.0,
-            filler: Bytes::from(vec![b'.'; set.value_bytes]),
-            set,
+            max_load_ratio: 0.0,
+            filler: Bytes::from(vec![b'.'; settings.value_bytes]),
+            settings,
         }
     }
 
+    /// Multiplies the time of work that starts from now on by this factor.
     pub fn set_slowdown(&mut self, factor: f64) {
-        self.slow = factor.max(1e-3);
+        self.slowdown = factor.max(1e-3);
     }
 
-    /// The most that it was sent within its window, over its capacity.
+    fn speed(&self) -> f64 {
+        1.0 / self.slowdown
+    }
+
+    /// The most work that it was sent within its window, over its capacity.
     pub fn max_load_ratio(&self) -> f64 {
-        self.worst
+        self.max_load_ratio
     }
 
+    /// Number of requests that run or wait.
     pub fn outstanding(&self) -> usize {
-        self.workers.running() + self.workers.waiting()
+        self.workers.outstanding()
     }
 
+    /// Takes a request.
     pub fn handle_request(
         &mut self,
         now: Micros,
-        ticket: ReplySlot,
+        slot: ReplySlot,
         request: Request,
         actions: &mut Vec<Action>,
     ) {
         let service = if request.write {
-            self.set.write
+            self.settings.write
         } else {
-            self.set.read
+            self.settings.read
         };
-        if self.count(now, service.mean_ms * MS as f64) && now >= self.stopped_until {
-            self.stopped_until = now + from_ms(self.set.stopped_ms);
-            actions.push(Action::Stopped);
-            // What was under way may have run.
-            actions.extend(
-                self.workers
-                    .clear()
-                    .into_iter()
-                    .map(|(ticket, _)| Action::Failed(ticket)),
-            );
-            (self.sum, self.sent) = (0.0, VecDeque::new());
+        let overloaded = self.count_work(now, service.mean_ms * MS as f64);
+        if overloaded && now >= self.stopped_until {
+            self.stop(now, actions);
         }
         if now < self.stopped_until {
-            return actions.push(Action::NotStarted(ticket));
+            actions.push(Action::NotStarted(slot));
+            return;
         }
-        let work = service.draw(&mut self.dice);
-        if let Err((ticket, _)) = self
-            .workers
-            .offer(now, work, 1.0 / self.slow, (ticket, request))
-        {
-            actions.push(Action::NotStarted(ticket));
+        let work = service.draw(&mut self.random);
+        let speed = self.speed();
+        let offered = self.workers.offer(now, work, speed, (slot, request));
+        if let Err((slot, _)) = offered {
+            actions.push(Action::NotStarted(slot));
         }
     }
 
-    /// Adds up what is sent; true when it is more than it can bear for a whole window.
-    fn count(&mut self, now: Micros, work: f64) -> bool {
-        if self.set.stop_multiple <= 0.0 {
+    fn stop(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.stopped_until = now + from_ms(self.settings.stopped_ms);
+        actions.push(Action::Stopped);
+        // A request in flight may have been executed, so that its answer may not say `Not-Started`.
+        let in_flight = self.workers.clear();
+        actions.extend(in_flight.into_iter().map(|(slot, _)| Action::Failed(slot)));
+        self.received = WorkWindow::default();
+    }
+
+    /// Adds up what is sent; true when it is more than the origin can bear for a whole window.
+    fn count_work(&mut self, now: Micros, work: f64) -> bool {
+        if self.settings.stop_multiple <= 0.0 {
             return false;
         }
-        let span = from_ms(self.set.stop_window_ms).max(WINDOW_PART);
-        let part = now - now.rem_euclid(WINDOW_PART);
-        match self.sent.back_mut() {
-            Some((at, sum)) if *at == part => *sum += work,
-            _ => self.sent.push_back((part, work)),
-        }
-        self.sum += work;
-        while self.sent.front().is_some_and(|(at, _)| *at <= now - span) {
-            self.sum -= self.sent.pop_front().map_or(0.0, |(_, sum)| sum);
-        }
-        let ratio = self.sum / (self.set.cores as f64 * span as f64);
-        self.worst = self.worst.max(ratio);
-        ratio > self.set.stop_multiple
+        let window = from_ms(self.settings.stop_window_ms).max(BUCKET_WIDTH);
+        let received = self.received.add(now, work, window);
+        let ratio = received / (self.settings.cores as f64 * window as f64);
+        self.max_load_ratio = self.max_load_ratio.max(ratio);
+        ratio > self.settings.stop_multiple
     }
 
+    /// When `advance` has something to do.
     pub fn next_due(&self) -> Option<Micros> {
         self.workers.next_due()
     }
 
+    /// Answers the requests whose work is finished.
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        while let Some((_, (ticket, request))) = self.workers.take_finished(now, 1.0 / self.slow) {
-            if self.dice.happens(self.set.error_rate) {
-                actions.push(Action::Failed(ticket));
+        let speed = self.speed();
+        while let Some((_, (slot, request))) = self.workers.take_finished(now, speed) {
+            if self.random.happens(self.settings.error_rate) {
+                actions.push(Action::Failed(slot));
                 continue;
             }
             let value = value_for(&request.id, &request.key, &self.filler);
-            actions.push(match request.write {
-                true => Action::Written {
+            actions.push(if request.write {
+                Action::Written {
                     id: request.id,
                     key: request.key,
-                },
-                false => Action::Filled { id: request.id },
+                }
+            } else {
+                Action::Filled { id: request.id }
             });
-            actions.push(Action::Value(ticket, value));
+            actions.push(Action::Value(slot, value));
         }
     }
 }
--- a/crates/stairfront-emulator/src/worker_pool.rs
+++ b/crates/stairfront-emulator/src/worker_pool.rs
@@ -1,127 +1,155 @@
-//! Cores with a bounded queue before them: what cache hosts and the origin do their work with.
+//! A pool of cores with a bounded queue before them: what cache hosts and the origin do their work with.
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use stairfront_common::time::Micros;
 
-/// Work that has found a core, or waits for one.
+/// A job that runs, or waits for a core.
 #[derive(Debug)]
 struct Job<T> {
+    /// Its time on a core of speed 1.
     work: Micros,
-    what: T,
+    payload: T,
 }
 
-/// So many cores at a speed that may change; a job that runs keeps the speed that it began with.
+/// A running job in the order of completion; of two that finish together the one started first comes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Running {
+    finish: Micros,
+    start_order: u64,
+    slot: usize,
+}
+
+/// A fixed number of cores at a speed that may change; a running job keeps the speed that it was started with.
 #[derive(Debug)]
 pub struct WorkerPool<T> {
     cores: usize,
-    most_waiting: usize,
-    /// When each running job is done, by slot.
-    running: BinaryHeap<Reverse<(Micros, u64, usize)>>,
+    max_waiting: usize,
+    running: BinaryHeap<Reverse<Running>>,
     slots: Vec<Option<Job<T>>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     waiting: VecDeque<Job<T>>,
-    begun: u64,
-    /// Time of cores in use, for `busy`.
+    started: u64,
+    /// Core time given to work and not yet counted by `utilization_since_last_call`.
     busy: Micros,
-    looked_at: Micros,
+    last_utilization_at: Micros,
 }
 
 impl<T> WorkerPool<T> {
-    pub fn new(cores: usize, most_waiting: usize) -> Self {
+    /// A pool of at least one core, with at most `max_waiting` jobs in its queue.
+    pub fn new(cores: usize, max_waiting: usize) -> Self {
         WorkerPool {
             cores: cores.max(1),
-            most_waiting,
+            max_waiting,
             running: BinaryHeap::new(),
             slots: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             waiting: VecDeque::new(),
-            begun: 0,
+            started: 0,
             busy: 0,
-            looked_at: 0,
+            last_utilization_at: 0,
         }
     }
 
-    /// Takes work on, which is so long on a core of speed 1; given back where the queue is full.
-    pub fn offer(&mut self, now: Micros, work: Micros, speed: f64, what: T) -> Result<(), T> {
-        let job = Job { work, what };
+    /// Starts or queues a job, which takes `work` on a core of speed 1.
+    ///
+    /// # Errors
+    ///
+    /// Gives the payload back where the queue is full.
+    pub fn offer(&mut self, now: Micros, work: Micros, speed: f64, payload: T) -> Result<(), T> {
+        let job = Job { work, payload };
         if self.running.len() < self.cores {
-            self.begin(now, speed, job);
-        } else if self.waiting.len() < self.most_waiting {
+            self.start(now, speed, job);
+        } else if self.waiting.len() < self.max_waiting {
             self.waiting.push_back(job);
         } else {
-            return Err(job.what);
+            return Err(job.payload);
         }
         Ok(())
     }
 
-    fn begin(&mut self, at: Micros, speed: f64, job: Job<T>) {
-        let took = (job.work as f64 / speed.max(1e-6)).min(1e15) as Micros;
-        let slot = self.free.pop().unwrap_or(self.slots.len());
+    fn start(&mut self, at: Micros, speed: f64, job: Job<T>) {
+        let duration = (job.work as f64 / speed.max(1e-6)).min(1e15) as Micros;
+        let slot = self.free_slots.pop().unwrap_or(self.slots.len());
         if slot == self.slots.len() {
             self.slots.push(None);
         }
         self.slots[slot] = Some(job);
-        self.busy += took;
-        self.running.push(Reverse((at + took, self.begun, slot)));
-        self.begun += 1;
+        self.busy += duration;
+        self.running.push(Reverse(Running {
+            finish: at + duration,
+            start_order: self.started,
+            slot,
+        }));
+        self.started += 1;
     }
 
+    /// When the next job finishes.
     pub fn next_due(&self) -> Option<Micros> {
-        self.running.peek().map(|Reverse((due, ..))| *due)
+        self.running.peek().map(|Reverse(running)| running.finish)
     }
 
-    /// The next job done by now, with the time it was done; the one first in the queue takes over its core.
+    /// The next job finished by now, with the time at which it did; the first job in the queue takes over its core.
     pub fn take_finished(&mut self, now: Micros, speed: f64) -> Option<(Micros, T)> {
         if self.next_due()? > now {
             return None;
         }
-        let Reverse((due, _, slot)) = self.running.pop()?;
-        let done = self.slots[slot].take()?;
-        self.free.push(slot);
+        let Reverse(Running { finish, slot, .. }) = self.running.pop()?;
+        let finished = self.slots[slot].take()?;
+        self.free_slots.push(slot);
         if let Some(next) = self.waiting.pop_front() {
-            self.begin(due, speed, next);
+            self.start(finish, speed, next);
         }
-        Some((due, done.what))
+        Some((finish, finished.payload))
     }
 
-    /// Ends everything at once: what ran and what waited.
+    /// Aborts all jobs and returns them: those that ran, then those that waited.
     pub fn clear(&mut self) -> Vec<T> {
         self.running.clear();
-        self.free.clear();
+        self.free_slots.clear();
         let jobs = std::mem::take(&mut self.slots)
             .into_iter()
             .flatten()
             .chain(self.waiting.drain(..));
-        jobs.map(|job| job.what).collect()
+        jobs.map(|job| job.payload).collect()
     }
 
-    /// Time passes in which no core does anything: all running work is done so much later.
-    pub fn stall(&mut self, by: Micros) {
-        let later = |Reverse((due, order, slot)): Reverse<(Micros, u64, usize)>| {
-            Reverse((due + by, order, slot))
+    /// Delays all running jobs, as when the machine stands still for a while.
+    pub fn stall(&mut self, duration: Micros) {
+        let delay = |Reverse(running): Reverse<Running>| {
+            Reverse(Running {
+                finish: running.finish + duration,
+                ..running
+            })
         };
         self.running = std::mem::take(&mut self.running)
             .into_iter()
-            .map(later)
+            .map(delay)
             .collect();
     }
 
+    /// Number of running jobs.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
+    /// Number of jobs in the queue.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Part of the cores' time since the last look that was given to work, at most 1.
+    /// Number of jobs that run or wait.
+    pub fn outstanding(&self) -> usize {
+        self.running() + self.waiting()
+    }
+
+    /// Fraction of the cores' time since the last call that was given to work, at most 1.
     pub fn utilization_since_last_call(&mut self, now: Micros) -> f64 {
-        let span = (now - self.looked_at).max(1) * self.cores as Micros;
-        let part = (self.busy as f64 / span as f64).min(1.0);
-        // What was begun and runs on counts for the next span too.
+        let span = (now - self.last_utilization_at).max(1) * self.cores as Micros;
+        let fraction = (self.busy as f64 / span as f64).min(1.0);
+        // A job that runs on beyond this call counts for the next span too.
         self.busy = (self.busy - span).clamp(0, span);
-        self.looked_at = now;
-        part
+        self.last_utilization_at = now;
+        fraction
     }
 }
--- a/crates/stairfront-emulator/tests/traffic.rs
+++ b/crates/stairfront-emulator/tests/traffic.rs
@@ -5,7 +5,9 @@
 use stairfront_emulator::arrivals::{
     Arrival, Arrivals, Burst, HotKey, Popularity, TenantTraffic, Traffic,
 };
-use stairfront_emulator::client::{ClassSettings, Clients, Idempotency, Outcome, RetrySettings};
+use stairfront_emulator::client::{
+    ClassSettings, ClientSettings, Clients, Idempotency, Outcome, RetrySettings,
+};
 use stairfront_emulator::faults::{
     Fault, FaultAction, FaultScript, HostTarget, ScriptTargets, TimedFault,
 };
@@ -103,11 +105,13 @@
     };
     let mut clients = Clients::new(
         arrivals,
-        &[class(50.0, 500.0), class(50.0, 500.0)],
-        retry,
-        1,
-        0,
-        20 * SECOND,
+        ClientSettings {
+            classes: &[class(50.0, 500.0), class(50.0, 500.0)],
+            retry,
+            seed: 1,
+            source: 0,
+            end: 20 * SECOND,
+        },
     );
     let due = clients.next_due().unwrap();
     let first = clients.take_due(SECOND).unwrap();
--- a/crates/stairfront-lab/src/load.rs
+++ b/crates/stairfront-lab/src/load.rs
@@ -20,7 +20,7 @@
 use stairfront_emulator::arrivals::{Arrivals, Popularity, Traffic};
 use stairfront_emulator::cache_host::is_value_for;
 use stairfront_emulator::client::{
-    Attempt, ClassSettings, Clients, Idempotency, Outcome, RetrySettings,
+    Attempt, ClassSettings, ClientSettings, Clients, Idempotency, Outcome, RetrySettings,
 };
 use stairfront_emulator::rules::{ClientAnswer, Observation};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -221,11 +221,13 @@
         let arrivals = Arrivals::new(plan.traffic.clone(), popularity, plan.seed, source, threads);
         let clients = Clients::new(
             arrivals,
-            &plan.classes,
-            plan.retries.clone(),
-            plan.seed,
-            source,
-            plan.end,
+            ClientSettings {
+                classes: &plan.classes,
+                retry: plan.retries.clone(),
+                seed: plan.seed,
+                source,
+                end: plan.end,
+            },
         );
         let tally = Tally::new(
             plan.classes.len(),
