--- a/crates/stairfront-gossip-membership/tests/hard_cases.rs
+++ b/crates/stairfront-gossip-membership/tests/hard_cases.rs
@@ -4,7 +4,7 @@
 use sim::{name, whole, LogContent, LogEntry, Sim, HOST};
 use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::group_observer::GroupEvent;
-use stairfront_emulator::group_script::{all_links, border, GroupAction};
+use stairfront_emulator::group_script::{all_links, links_across, GroupAction};
 use stairfront_emulator::links::LinkFault;
 use stairfront_gossip_membership::OrderError;
 use stairfront_gossip_membership::{Event, MemberState, QuorumStatus};
@@ -180,7 +180,7 @@
     for seed in 0..6 {
         let mut sim = whole(7, seed);
         let side = [0, 2, 5];
-        lay(&mut sim, 1, &border(7, &side), LinkFault::Cut);
+        lay(&mut sim, 1, &links_across(7, &side), LinkFault::Cut);
         let right = |sim: &Sim| {
             (0..7).all(|i| {
                 sim.quorum_status(i)
@@ -207,7 +207,7 @@
     let mut last = 0;
     for step in 0..12u64 {
         let side: Vec<usize> = (0..3).map(|i| (i + step as usize) % 7).collect();
-        lay(&mut sim, step + 1, &border(7, &side), LinkFault::Cut);
+        lay(&mut sim, step + 1, &links_across(7, &side), LinkFault::Cut);
         sim.act(GroupAction::RemoveLinkFault { id: last });
         last = step + 1;
         run_for(&mut sim, 6 * SECOND);
@@ -229,7 +229,7 @@
     lay(
         &mut sim,
         1,
-        &border(5, &[4]),
+        &links_across(5, &[4]),
         LinkFault::Flap { period_ms: 600.0 },
     );
     let before = sim.log.len();
@@ -309,7 +309,7 @@
     let mut sim = whole(7, 8);
     assert!(sim.order(0, true));
     run_for(&mut sim, SECOND);
-    lay(&mut sim, 1, &border(7, &[5, 6]), LinkFault::Cut);
+    lay(&mut sim, 1, &links_across(7, &[5, 6]), LinkFault::Cut);
     until(&mut sim, 6 * SECOND, |sim| {
         sim.quorum_status(6) == "minority" && sim.quorum_status(0) == "majority"
     });
@@ -433,7 +433,7 @@
         chance: 0.07,
         datagrams: 6.0,
     };
-    lay(&mut sim, 1, &border(7, &[6]), LinkFault::Cut);
+    lay(&mut sim, 1, &links_across(7, &[6]), LinkFault::Cut);
     lay(&mut sim, 2, &all_links(7), bursts);
     assert!(sim.order(0, true));
     let progress = |sim: &Sim| sim.core(0).progress(1).unwrap();
@@ -453,7 +453,7 @@
         latency_ms: 255.0,
         jitter_ms: 10.0,
     };
-    lay(&mut sim, 1, &border(7, &[0]), late);
+    lay(&mut sim, 1, &links_across(7, &[0]), late);
     run_for(&mut sim, 60 * SECOND);
     let counters = sim.core(0).counters();
     assert!(
--- a/crates/stairfront-gossip-membership/tests/scripts.rs
+++ b/crates/stairfront-gossip-membership/tests/scripts.rs
@@ -5,7 +5,7 @@
 use stairfront_common::random::SeededRng;
 use stairfront_common::time::{Micros, SECOND};
 use stairfront_emulator::group_observer::{GroupEvent, GroupLimits, GroupObserver, GroupReport};
-use stairfront_emulator::group_script::{FaultBudget, GroupScript, WHOLE_AGAIN};
+use stairfront_emulator::group_script::{FaultBudget, GroupScript, RECOVERY_TIMEOUT};
 
 /// Seeds of the scripts: some in CI, more by `GROUP_SEEDS=1..2000 cargo test --release -p stairfront-gossip-membership --test scripts`.
 fn seeds(usual: std::ops::Range<u64>) -> std::ops::Range<u64> {
@@ -30,7 +30,7 @@
         sim.order(member, cordon);
     }
     sim.begin_quiet();
-    sim.until_whole(WHOLE_AGAIN + SECOND);
+    sim.until_whole(RECOVERY_TIMEOUT + SECOND);
     let observer = std::mem::replace(
         &mut sim.observer,
         GroupObserver::new(Vec::new(), GroupLimits::default()),
--- a/crates/stairfront-gossip-membership/tests/sim/mod.rs
+++ b/crates/stairfront-gossip-membership/tests/sim/mod.rs
@@ -12,7 +12,7 @@
 use stairfront_common::random::SeededRng;
 use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::group_observer::{GroupEvent, GroupLimits, GroupObserver, GroupReport};
-use stairfront_emulator::group_script::{GroupAction, GroupScript};
+use stairfront_emulator::group_script::{GroupAction, GroupScript, ScheduledGroupAction};
 use stairfront_emulator::links::{LinkFault, Links};
 use stairfront_gossip_membership::{CordonEntry, Event, MemberState, Membership, Settings, Timing};
 
@@ -193,8 +193,8 @@
     }
 
     pub fn play(&mut self, script: &GroupScript) {
-        for (at, act) in script.actions() {
-            self.schedule(at, SimEvent::Act(act));
+        for ScheduledGroupAction { at, action } in script.actions() {
+            self.schedule(at, SimEvent::Act(action));
         }
     }
 
--- a/crates/stairfront-lab/src/experiment.rs
+++ b/crates/stairfront-lab/src/experiment.rs
@@ -321,10 +321,13 @@
         must(self.group.is_none() || !touched, "faults", problem);
         if let Some(group) = &self.group {
             let count = self.balancers.count;
-            let known = group
-                .troubles
-                .iter()
-                .all(|timed| timed.fault.touched().iter().all(|who| *who < count));
+            let known = group.troubles.iter().all(|timed| {
+                timed
+                    .fault
+                    .affected_members()
+                    .iter()
+                    .all(|who| *who < count)
+            });
             must(
                 known,
                 "group.troubles",
--- a/crates/stairfront-lab/src/fleet.rs
+++ b/crates/stairfront-lab/src/fleet.rs
@@ -532,9 +532,9 @@
                     }
                 }
             }
-            FaultAction::InvalidateCache { host, part } => {
+            FaultAction::InvalidateCache { host, fraction } => {
                 if let Some(station) = of(&host) {
-                    station.with(|service, _, _| service.model.invalidate_fraction(part));
+                    station.with(|service, _, _| service.model.invalidate_fraction(fraction));
                 }
             }
             FaultAction::Drain { host, draining } => {
@@ -542,13 +542,13 @@
                     station.with(|service, _, _| service.model.drain(draining));
                 }
             }
-            FaultAction::SilenceDiscovery { on } => self.agents(|agent, now| {
+            FaultAction::SilenceDiscovery { silent } => self.agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
-                model.set_silent(now, on, actions);
+                model.set_silent(now, silent, actions);
             }),
-            FaultAction::FreezeDiscovery { on } => self.agents(|agent, now| {
+            FaultAction::FreezeDiscovery { frozen } => self.agents(|agent, now| {
                 let AgentService { model, actions, .. } = agent;
-                model.set_frozen(now, on, actions);
+                model.set_frozen(now, frozen, actions);
             }),
             FaultAction::MoveDiscovery => self.move_agents(),
             // Theirs who run the balancers, or told by `Order::List`.
--- a/crates/stairfront-lab/src/pack.rs
+++ b/crates/stairfront-lab/src/pack.rs
@@ -20,7 +20,9 @@
 use stairfront_emulator::group_observer::{
     GroupEvent, GroupLimits, GroupObserver, GroupReport, MemberReport,
 };
-use stairfront_emulator::group_script::{FaultBudget, GroupAction, GroupScript, TimedGroupFault};
+use stairfront_emulator::group_script::{
+    FaultBudget, GroupAction, GroupScript, ScheduledGroupAction, TimedGroupFault,
+};
 use stairfront_emulator::links::LinkFault;
 use stairfront_emulator::rules::Observation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -406,7 +408,7 @@
         over: impl Fn() -> bool,
         counted: [Micros; 2],
     ) -> io::Result<()> {
-        let mut acts: VecDeque<(Micros, GroupAction)> = self.script.actions().into();
+        let mut acts: VecDeque<ScheduledGroupAction> = self.script.actions().into();
         let ends = self.script.end();
         let look = (LOOK.max(LOOK_EACH * self.members.len() as u32)).as_micros() as Micros;
         let mut next_look = self.clock.now();
@@ -416,9 +418,9 @@
         let rubbish = std::net::UdpSocket::bind((std::net::Ipv4Addr::LOCALHOST, 0))?;
         while !over() {
             let now = self.clock.now();
-            while acts.front().is_some_and(|(at, _)| *at <= now) {
-                if let Some((_, act)) = acts.pop_front() {
-                    self.act(act).await?;
+            while acts.front().is_some_and(|next| next.at <= now) {
+                if let Some(next) = acts.pop_front() {
+                    self.act(next.action).await?;
                 }
             }
             if !quiet && now >= ends && acts.is_empty() && now >= 0 {
@@ -443,7 +445,7 @@
             self.tape.tick();
             let next = acts
                 .front()
-                .map_or(Micros::MAX, |(at, _)| *at)
+                .map_or(Micros::MAX, |next| next.at)
                 .min(next_look);
             let next = next
                 .min(next_order.unwrap_or(Micros::MAX))
--- a/crates/stairfront-raft/tests/simulation/faults.rs
+++ b/crates/stairfront-raft/tests/simulation/faults.rs
@@ -1,5 +1,5 @@
 //! The faults that are drawn.
-use stairfront_emulator::group_script::border;
+use stairfront_emulator::group_script::links_across;
 use stairfront_emulator::links::LinkFault;
 use stairfront_raft::{Micros, Voter, MS};
 
@@ -20,7 +20,7 @@
         match self.rng.below(10_u64) {
             0..=2 => self.crash(target),
             3 | 4 => (0..count).for_each(|server| self.boot(server)),
-            5 => self.lay(&border(count, &side), LinkFault::Cut),
+            5 => self.lay(&links_across(count, &side), LinkFault::Cut),
             6 => {
                 let outward: Vec<(usize, usize)> = (0..count)
                     .filter(|to| *to != target)
@@ -38,7 +38,7 @@
                     LinkFault::Double { chance: 0.5 },
                 ];
                 let fault = faults[self.rng.below(3_u64) as usize];
-                self.lay(&border(count, &[target]), fault);
+                self.lay(&links_across(count, &[target]), fault);
             }
             8 => self.lose_disk(target),
             _ => self.lift_link_faults(),
