--- a/crates/stairfront-emulator/src/cache_host/cold_start.rs
+++ b/crates/stairfront-emulator/src/cache_host/cold_start.rs
@@ -4,7 +4,7 @@
 use super::CacheSettings;
 use crate::work_window::{WorkWindow, BUCKET_WIDTH};
 
-/// What a host knows of its cold start.
+/// The cold start of a host.
 #[derive(Debug, Default)]
 pub(super) struct ColdStart {
     /// When the host started, where it started cold.
--- a/crates/stairfront-emulator/src/cache_host/protocol.rs
+++ b/crates/stairfront-emulator/src/cache_host/protocol.rs
@@ -1,4 +1,4 @@
-//! What a cache host receives and sends, without the form that it has on the wire.
+//! The commands and replies of a cache host, without the form that it has on the wire.
 use bytes::Bytes;
 
 /// Id of a connection to a server.
@@ -70,7 +70,7 @@
     Dropped,
 }
 
-/// What a cache host does.
+/// An action of a cache host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Replies to a command.
--- a/crates/stairfront-emulator/src/client.rs
+++ b/crates/stairfront-emulator/src/client.rs
@@ -144,7 +144,7 @@
     last_id: u64,
 }
 
-/// What the clients of one source need beside their arrivals.
+/// Settings of the clients of one source, beside their arrivals.
 #[derive(Clone, Debug)]
 pub struct ClientSettings<'a> {
     /// The classes of requests, in the order that the arrivals count them.
--- a/crates/stairfront-emulator/src/discovery_agent.rs
+++ b/crates/stairfront-emulator/src/discovery_agent.rs
@@ -42,7 +42,7 @@
     pub address: String,
     /// The zone that it is in.
     pub zone: String,
-    /// What kind of server it is, such as `cache`.
+    /// The kind of server, such as `cache`.
     pub kind: String,
     /// Its group of servers that share idempotency keys.
     pub group: u16,
@@ -68,7 +68,7 @@
     }
 }
 
-/// What the agent does.
+/// An action of the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Answers 200 with this list.
@@ -84,7 +84,8 @@
     },
 }
 
-struct Watch {
+/// A request that is held until there is a change.
+struct HeldRequest {
     slot: ReplySlot,
     /// The version that the client has.
     from: u64,
@@ -112,7 +113,7 @@
     lag: Micros,
     silent: bool,
     frozen: bool,
-    watches: Vec<Watch>,
+    watches: Vec<HeldRequest>,
     /// Requests that came while it was silent, by their targets.
     unanswered: Vec<(ReplySlot, String)>,
 }
@@ -206,7 +207,7 @@
         };
         let hold_ms = query_number(query, "hold_ms").unwrap_or(0);
         let hold = from_ms(hold_ms as f64).min(MAX_HOLD);
-        self.watches.push(Watch {
+        self.watches.push(HeldRequest {
             slot,
             from,
             until: now + hold,
@@ -215,7 +216,7 @@
     }
 
     /// Drops what waits on the connection of this slot, which has ended.
-    pub fn forget_connection(&mut self, slot: ReplySlot) {
+    pub fn remove_connection(&mut self, slot: ReplySlot) {
         self.watches
             .retain(|watch| watch.slot.connection != slot.connection);
         self.unanswered
@@ -260,7 +261,7 @@
         actions.extend(self.records.values().map(notification));
     }
 
-    fn answer_since(&self, watch: &Watch, actions: &mut Vec<Action>) {
+    fn answer_since(&self, watch: &HeldRequest, actions: &mut Vec<Action>) {
         let oldest = self
             .changes
             .front()
--- a/crates/stairfront-emulator/src/faults/script.rs
+++ b/crates/stairfront-emulator/src/faults/script.rs
@@ -173,7 +173,7 @@
     pub zone: String,
 }
 
-/// What the faults of an experiment may be aimed at.
+/// The possible targets of an experiment's faults.
 #[derive(Clone, Debug)]
 pub struct ScriptTargets {
     /// The cache hosts, in order.
--- a/crates/stairfront-emulator/src/links.rs
+++ b/crates/stairfront-emulator/src/links.rs
@@ -113,7 +113,7 @@
     since: Micros,
 }
 
-/// What a link remembers between two datagrams.
+/// The state of a link between two datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 struct LinkState {
     /// Datagrams of the present burst that are still to be lost.
@@ -143,11 +143,11 @@
 pub struct Delivery {
     /// Time from the moment that it was sent.
     pub delay: Micros,
-    /// What arrives, which a fault may have changed.
+    /// Its content, which a fault may have changed.
     pub bytes: Vec<u8>,
 }
 
-/// What happens to bytes of a stream.
+/// The delivery of bytes of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamDelivery {
     /// They are delivered after this time.
--- a/crates/stairfront-emulator/src/origin.rs
+++ b/crates/stairfront-emulator/src/origin.rs
@@ -100,7 +100,7 @@
     pub id: Bytes,
 }
 
-/// What the origin does.
+/// An action of the origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Answers 200 with this body.
--- a/crates/stairfront-emulator/src/settings_error.rs
+++ b/crates/stairfront-emulator/src/settings_error.rs
@@ -7,7 +7,7 @@
 pub struct SettingsError {
     /// The key within its table of the experiment file.
     pub key: String,
-    /// What is wrong with its value.
+    /// The error of its value.
     pub reason: String,
 }
 
--- a/crates/stairfront-gossip-membership/tests/scripts.rs
+++ b/crates/stairfront-gossip-membership/tests/scripts.rs
@@ -60,7 +60,7 @@
         checks.0 += f.judged_alive;
         checks.1 += f.judged_dead;
         checks.2 += f.judged_quorum;
-        checks.3 += f.yes;
+        checks.3 += f.confirmed_cordons;
         slowest = slowest.max(f.complete_after_ms.unwrap_or(f64::INFINITY));
         if report.violations > 0 {
             println!(
@@ -105,7 +105,7 @@
     );
     let report = sim.finish();
     assert_eq!(
-        (report.metrics.yes, report.violations),
+        (report.metrics.confirmed_cordons, report.violations),
         (1, 1),
         "{report:?}"
     );
--- a/crates/stairfront-lab/src/services.rs
+++ b/crates/stairfront-lab/src/services.rs
@@ -583,7 +583,7 @@
     }
 
     fn closed(&mut self, _: Micros, connection: ConnectionId) {
-        self.model.forget_connection(ReplySlot {
+        self.model.remove_connection(ReplySlot {
             connection,
             sequence: 0,
         });
