--- a/crates/stairfront-emulator/tests/rules.rs
+++ b/crates/stairfront-emulator/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checker must see each breach: one good trace that holds, and the same doctored in one place for each.
+//! The checker finds each violation: one trace that holds, and the same trace changed in one place for each violation.
 use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::client::Idempotency;
 use stairfront_emulator::rules::{
@@ -24,8 +24,8 @@
 
 fn judge(trace: &[(Micros, Observation)]) -> RuleReport {
     let mut checker = RuleChecker::new(limits());
-    for (at, seen) in trace {
-        checker.observe(*at, *seen);
+    for (at, observation) in trace {
+        checker.observe(*at, *observation);
         checker.judge_finished();
     }
     checker.finish()
@@ -42,7 +42,7 @@
     }
 }
 
-fn later(id: u64, class: u8) -> Observation {
+fn sent_late(id: u64, class: u8) -> Observation {
     Observation::RequestSent {
         id,
         class,
@@ -51,7 +51,7 @@
     }
 }
 
-fn began(attempt: u64, id: u64, host: u16) -> Observation {
+fn started(attempt: u64, id: u64, host: u16) -> Observation {
     Observation::AttemptStarted {
         attempt,
         id,
@@ -68,7 +68,7 @@
     }
 }
 
-fn said(host: u16, told: AnnouncedState) -> Observation {
+fn notified(host: u16, told: AnnouncedState) -> Observation {
     Observation::Notified {
         balancer: 0,
         host,
@@ -77,24 +77,24 @@
 }
 
 /// A miss that is fetched, a keyed write whose first attempt was lost, and a host that drains in time.
-fn good() -> Trace {
+fn valid() -> Trace {
     vec![
         (10 * MS, sent(1, 0)),
-        (11 * MS, began(1, 1, 3)),
+        (11 * MS, started(1, 1, 3)),
         (20 * MS, ended(1, 1, false)),
-        (21 * MS, began(2, 1, ORIGIN)),
+        (21 * MS, started(2, 1, ORIGIN)),
         (60 * MS, ended(2, 1, true)),
         (61 * MS, Observation::Answered { id: 1, answer: OWN }),
         (100 * MS, sent(2, 1)),
-        (101 * MS, began(3, 2, 4)),
+        (101 * MS, started(3, 2, 4)),
         (110 * MS, Observation::EffectApplied { id: 2 }),
         (200 * MS, ended(3, 2, false)),
-        (201 * MS, began(4, 2, 4)),
+        (201 * MS, started(4, 2, 4)),
         (220 * MS, ended(4, 2, true)),
         (221 * MS, Observation::Answered { id: 2, answer: OWN }),
-        (300 * MS, said(3, AnnouncedState::Draining)),
+        (300 * MS, notified(3, AnnouncedState::Draining)),
         (310 * MS, sent(3, 2)),
-        (500 * MS, began(5, 3, 3)),
+        (500 * MS, started(5, 3, 3)),
         (510 * MS, ended(5, 3, true)),
         (510 * MS, Observation::EffectApplied { id: 3 }),
         (511 * MS, Observation::Answered { id: 3, answer: OWN }),
@@ -102,167 +102,187 @@
 }
 
 #[test]
-fn a_good_trace_holds_in_any_order_within_the_horizon() {
-    let report = judge(&good());
+fn a_valid_trace_holds_in_any_order_within_the_horizon() {
+    let report = judge(&valid());
     assert!(report.holds(), "{report:?}");
-    let figures = &report.metrics;
+    let metrics = &report.metrics;
     assert_eq!(
         (
-            figures.requests,
-            figures.answered,
-            figures.attempts,
-            figures.late
+            metrics.requests,
+            metrics.answered,
+            metrics.attempts,
+            metrics.late
         ),
         (3, 3, 5, 0)
     );
-    assert_eq!(figures.max_after_drain_ms, 200.0);
-    let mut backwards = good();
+    assert_eq!(metrics.max_after_drain_ms, 200.0);
+    let mut backwards = valid();
     backwards.reverse();
     assert!(judge(&backwards).holds(), "{:?}", judge(&backwards));
 }
 
-#[test]
-fn each_breach_is_seen_and_only_its_rule_breaks() {
-    let with = |more: &[(Micros, Observation)]| [good(), more.to_vec()].concat();
-    let without = |gone: Observation| {
-        good()
-            .into_iter()
-            .filter(|(_, seen)| *seen != gone)
-            .collect::<Vec<_>>()
-    };
-    let unsafe_twice = [
-        (520 * MS, began(6, 3, 5)),
-        (530 * MS, ended(6, 3, true)),
-        (530 * MS, Observation::EffectApplied { id: 3 }),
-    ];
-    let refused = [
-        (600 * MS, later(4, 2)),
-        (601 * MS, began(6, 4, 5)),
-        (610 * MS, ended(6, 4, true)),
-        (
-            611 * MS,
-            Observation::Answered {
-                id: 4,
-                answer: ClientAnswer::Rejected,
-            },
-        ),
-    ];
-    let four: Vec<_> = (6..9)
-        .flat_map(|n| {
-            [
-                (n as Micros * 50 * MS, began(n, 1, 4)),
-                (n as Micros * 50 * MS + 1, ended(n, 1, false)),
-            ]
-        })
-        .collect();
-    let cases: Vec<(&str, usize, Trace)> = vec![
-        (
-            "no answer",
-            0,
-            without(Observation::Answered { id: 1, answer: OWN }),
-        ),
-        (
+/// A trace that breaks one rule.
+struct Violation {
+    name: &'static str,
+    /// Position of the rule that it breaks.
+    rule: usize,
+    trace: Trace,
+}
+
+fn with(name: &'static str, rule: usize, more: &[(Micros, Observation)]) -> Violation {
+    Violation {
+        name,
+        rule,
+        trace: [valid(), more.to_vec()].concat(),
+    }
+}
+
+fn without(name: &'static str, rule: usize, missing: Observation) -> Violation {
+    let mut trace = valid();
+    trace.retain(|(_, observation)| *observation != missing);
+    Violation { name, rule, trace }
+}
+
+fn answered(id: u64, answer: ClientAnswer) -> Observation {
+    Observation::Answered { id, answer }
+}
+
+fn answer_violations() -> Vec<Violation> {
+    let foreign = ClientAnswer::Value { own: false };
+    vec![
+        without("no answer", 0, answered(1, OWN)),
+        with(
             "two answers",
             0,
-            with(&[(
-                70 * MS,
-                Observation::Answered {
-                    id: 1,
-                    answer: ClientAnswer::Failed,
-                },
-            )]),
+            &[(70 * MS, answered(1, ClientAnswer::Failed))],
         ),
-        (
+        with(
             "late",
             0,
-            with(&[
-                (5 * MS, sent(7, 0)),
-                (560 * MS, Observation::Answered { id: 7, answer: OWN }),
-            ]),
+            &[(5 * MS, sent(7, 0)), (560 * MS, answered(7, OWN))],
         ),
-        (
-            "another's value",
+        with(
+            "a value of another request",
             0,
-            with(&[
-                (5 * MS, sent(7, 0)),
-                (
-                    9 * MS,
-                    Observation::Answered {
-                        id: 7,
-                        answer: ClientAnswer::Value { own: false },
-                    },
-                ),
-            ]),
+            &[(5 * MS, sent(7, 0)), (9 * MS, answered(7, foreign))],
         ),
-        (
-            "nobody's answer",
+        with(
+            "an unsolicited answer",
             0,
-            with(&[(70 * MS, Observation::UnsolicitedAnswer { balancer: 0 })]),
+            &[(70 * MS, Observation::UnsolicitedAnswer { balancer: 0 })],
         ),
-        (
-            "lost",
+        with(
+            "connection lost",
             0,
-            with(&[
+            &[
                 (5 * MS, sent(7, 0)),
                 (9 * MS, Observation::ConnectionLost { id: 7 }),
-            ]),
+            ],
         ),
-        (
-            "left late",
+        with(
+            "closed by the client after its deadline",
             0,
-            with(&[
+            &[
                 (5 * MS, sent(7, 0)),
                 (600 * MS, Observation::ClientClosed { id: 7 }),
-            ]),
+            ],
         ),
-        (
-            "together",
+    ]
+}
+
+fn attempt_violations() -> Vec<Violation> {
+    let four: Vec<_> = (6..9)
+        .flat_map(|n| {
+            [
+                (n as Micros * 50 * MS, started(n, 1, 4)),
+                (n as Micros * 50 * MS + 1, ended(n, 1, false)),
+            ]
+        })
+        .collect();
+    vec![
+        with(
+            "two attempts together",
             1,
-            with(&[
-                (12 * MS, began(9, 1, 4)),
+            &[
+                (12 * MS, started(9, 1, 4)),
                 (90 * MS, ended(9, 1, false)),
                 (SECOND, ended(1, 1, false)),
-            ]),
+            ],
         ),
-        ("for ever together", 1, without(ended(1, 1, false))),
-        ("four attempts", 1, with(&four)),
-        (
-            "keyed effect twice",
+        without("an attempt without an end", 1, ended(1, 1, false)),
+        with("four attempts", 1, &four),
+        with(
+            "an attempt of an unknown request",
             1,
-            with(&[(205 * MS, Observation::EffectApplied { id: 2 })]),
+            &[(5 * MS, started(9, 77, 4)), (6 * MS, ended(9, 77, false))],
         ),
-        ("unsafe effect twice", 1, with(&unsafe_twice)),
-        ("refused after an effect", 1, with(&refused)),
-        (
-            "from nowhere",
+    ]
+}
+
+fn effect_violations() -> Vec<Violation> {
+    let not_idempotent_twice = [
+        (520 * MS, started(6, 3, 5)),
+        (530 * MS, ended(6, 3, true)),
+        (530 * MS, Observation::EffectApplied { id: 3 }),
+    ];
+    let rejected = [
+        (600 * MS, sent_late(4, 2)),
+        (601 * MS, started(6, 4, 5)),
+        (610 * MS, ended(6, 4, true)),
+        (611 * MS, answered(4, ClientAnswer::Rejected)),
+    ];
+    vec![
+        with(
+            "two effects under one idempotency key",
             1,
-            with(&[(5 * MS, began(9, 77, 4)), (6 * MS, ended(9, 77, false))]),
+            &[(205 * MS, Observation::EffectApplied { id: 2 })],
         ),
-        (
-            "drained",
+        with(
+            "two effects of a request that is not idempotent",
+            1,
+            &not_idempotent_twice,
+        ),
+        with("rejected after its execution", 1, &rejected),
+    ]
+}
+
+fn server_violations() -> Vec<Violation> {
+    vec![
+        with(
+            "an attempt at a draining host",
             2,
-            with(&[
-                (610 * MS, later(7, 0)),
-                (620 * MS, began(9, 7, 3)),
+            &[
+                (610 * MS, sent_late(7, 0)),
+                (620 * MS, started(9, 7, 3)),
                 (621 * MS, ended(9, 7, true)),
-                (622 * MS, Observation::Answered { id: 7, answer: OWN }),
-            ]),
+                (622 * MS, answered(7, OWN)),
+            ],
         ),
-        (
-            "fell over",
+        with(
+            "a cold host crashed",
             3,
-            with(&[(400 * MS, Observation::HostCrashed { host: 2 })]),
+            &[(400 * MS, Observation::HostCrashed { host: 2 })],
         ),
-        (
-            "origin, by cold misses",
+        with(
+            "the origin stopped by cold misses",
             3,
-            with(&[
+            &[
                 (20 * MS, Observation::ColdMiss { id: 1 }),
                 (400 * MS, Observation::OriginStopped),
-            ]),
+            ],
         ),
+    ]
+}
+
+#[test]
+fn each_violation_is_found_and_breaks_only_its_rule() {
+    let violations = [
+        answer_violations(),
+        attempt_violations(),
+        effect_violations(),
+        server_violations(),
     ];
-    for (name, rule, trace) in cases {
+    for Violation { name, rule, trace } in violations.into_iter().flatten() {
         let report = judge(&trace);
         let broken: Vec<usize> = (0..4).filter(|i| report.rules[*i].violations > 0).collect();
         assert_eq!(broken, [rule], "{name}: {report:?}");
@@ -271,7 +291,7 @@
 }
 
 #[test]
-fn what_a_killed_balancer_held_and_a_stop_without_cold_misses_break_nothing() {
+fn requests_of_a_killed_balancer_and_a_stop_without_cold_misses_break_no_rule() {
     let killed = [
         (5 * MS, sent(7, 0)),
         (9 * MS, Observation::BalancerStopped { balancer: 0 }),
@@ -279,42 +299,42 @@
     ];
     let report = judge(&killed);
     assert!(report.holds() && report.metrics.excused == 1, "{report:?}");
-    // Another balancer's end excuses nothing.
+    // The end of another balancer excuses nothing.
     let other = [
         (5 * MS, sent(7, 0)),
         (9 * MS, Observation::BalancerStopped { balancer: 1 }),
         (10 * MS, Observation::ConnectionLost { id: 7 }),
     ];
     assert!(!judge(&other).holds());
-    let report = judge(&[good(), vec![(400 * MS, Observation::OriginStopped)]].concat());
+    let report = judge(&[valid(), vec![(400 * MS, Observation::OriginStopped)]].concat());
     assert!(
         report.holds() && report.metrics.origin_stops == 1,
         "{report:?}"
     );
-    // Who serves again may be sent to, and a host that is said to leave twice has had its grace.
+    // A host that serves again may be sent to, and a repeated notification that it drains gives no new grace.
     let back = [
-        (550 * MS, said(3, AnnouncedState::Serving)),
-        (610 * MS, later(7, 0)),
-        (620 * MS, began(9, 7, 3)),
+        (550 * MS, notified(3, AnnouncedState::Serving)),
+        (610 * MS, sent_late(7, 0)),
+        (620 * MS, started(9, 7, 3)),
         (621 * MS, ended(9, 7, true)),
         (622 * MS, Observation::Answered { id: 7, answer: OWN }),
     ];
-    assert!(judge(&[good(), back.to_vec()].concat()).holds());
+    assert!(judge(&[valid(), back.to_vec()].concat()).holds());
     let mut again = back;
-    again[0].1 = said(3, AnnouncedState::Draining);
+    again[0].1 = notified(3, AnnouncedState::Draining);
     assert_eq!(
-        judge(&[good(), again.to_vec()].concat()).rules[2].violations,
+        judge(&[valid(), again.to_vec()].concat()).rules[2].violations,
         1
     );
 }
 
-/// Danger: judged while its balancer still stands still, a request that lies there would be held against it: seen in one of
-/// some 100,000 requests beside a pause of 8 s.
+/// A request can be judged while its balancer is still paused. Without an excuse from the begin of the pause on, one of some
+/// 100,000 requests beside a pause of 8 s broke rule 1.
 #[test]
-fn a_request_at_one_that_stands_still_is_excused_before_it_wakes() {
+fn a_request_at_a_paused_balancer_is_excused_before_it_resumes() {
     let mut trace = vec![
         (10 * MS, sent(1, 0)),
-        (11 * MS, began(1, 1, 3)),
+        (11 * MS, started(1, 1, 3)),
         (
             12 * MS,
             Observation::BalancerPaused {
@@ -324,7 +344,7 @@
         ),
         (20 * MS, ended(1, 1, true)),
     ];
-    // Time goes on for longer than the request may still be spoken of.
+    // Time goes on until the request is judged.
     trace.extend((1..40).map(|second| {
         (
             second * SECOND,
--- a/crates/stairfront-emulator/tests/traffic.rs
+++ b/crates/stairfront-emulator/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Arrivals, clients and scripts of faults: as asked for, and the same twice.
+//! Arrivals, clients and fault scripts follow their settings, and are the same for the same seed.
 use std::sync::Arc;
 
 use stairfront_common::time::{MS, SECOND};
@@ -9,7 +9,8 @@
     ClassSettings, ClientSettings, Clients, Idempotency, Outcome, RetrySettings,
 };
 use stairfront_emulator::faults::{
-    Fault, FaultAction, FaultScript, HostTarget, ScriptTargets, TimedFault,
+    Fault, FaultAction, FaultScript, FaultScriptError, HostTarget, ScheduledAction, ScriptTargets,
+    TimedFault,
 };
 
 fn tenant(name: &str, share: f64, times: f64, over_at_s: f64) -> TenantTraffic {
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_arrivals_and_they_are_what_was_asked_for() {
+fn arrivals_repeat_for_a_seed_and_follow_the_traffic_settings() {
     let all = arrivals(1, 2);
     assert_eq!(all, arrivals(1, 2));
     assert_ne!(all, arrivals(2, 2));
@@ -67,7 +68,7 @@
     let within = |a: f64, wanted: f64| assert!((a / wanted - 1.0).abs() < 0.06, "{a} for {wanted}");
     let second = |arrival: &Arrival| arrival.at / SECOND;
     within(count(&|a| second(a) < 5), 10_000.0);
-    // From 5 s on one of two tenants asks for three times its half.
+    // From 5 s on one of the two tenants sends three times its half.
     within(count(&|a| (5..10).contains(&second(a))), 20_000.0);
     within(
         count(&|a| (5..10).contains(&second(a)) && a.tenant == 1),
@@ -77,7 +78,7 @@
     within(count(&|a| second(a) < 5 && a.key == 500), 3_000.0);
     assert_eq!(count(&|a| second(a) >= 5 && a.key == 500), 0.0);
     within(count(&|a| a.class == 1), all.len() as f64 * 0.1);
-    // Zipf with exponent 1 over 500 keys: the first has one part in 6.79.
+    // By Zipf's law with exponent 1 over 500 keys the first key has a fraction of 1/6.79.
     within(
         count(&|a| second(a) >= 5 && a.key == 0),
         count(&|a| second(a) >= 5) / 6.79,
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn clients_come_again_as_they_are_told_and_each_try_is_timed_from_when_it_was_due() {
+fn retries_honor_retry_after_and_attempts_are_timed_from_their_due_time() {
     let class = |aim_ms, deadline_ms| ClassSettings {
         name: "read".into(),
         latency_objective_ms: aim_ms,
@@ -127,78 +128,88 @@
             retry_after_ms: Some(40)
         }
     ));
-    let again = std::iter::from_fn(|| clients.take_due(2 * SECOND))
-        .find(|ask| ask.retry == 1)
+    let retry = std::iter::from_fn(|| clients.take_due(2 * SECOND))
+        .find(|attempt| attempt.retry == 1)
         .unwrap();
     assert_eq!(
-        (again.due, again.first_due, again.key),
+        (retry.due, retry.first_due, retry.key),
         (SECOND + 40 * MS, first.due, first.key)
     );
-    assert_ne!(again.id, first.id);
+    assert_ne!(retry.id, first.id);
     assert!(
-        !clients.record_outcome(2 * SECOND, &again, Outcome::Failed),
-        "once is the most"
+        !clients.record_outcome(2 * SECOND, &retry, Outcome::Failed),
+        "it retries once at most"
     );
     assert!(!clients.record_outcome(2 * SECOND, &first, Outcome::Served));
 }
 
-fn timed(fault: Fault, on: &[&str], part: f64) -> TimedFault {
+fn timed(fault: Fault, targets: &[&str], fraction: f64) -> TimedFault {
     TimedFault {
         at_s: 2.0,
         duration_s: 3.0,
-        targets: on.iter().map(|name| name.to_string()).collect(),
-        fraction: part,
+        targets: targets.iter().map(|name| name.to_string()).collect(),
+        fraction,
         fault,
     }
 }
 
-#[test]
-fn a_script_is_the_same_twice_and_names_what_there_is_not() {
+/// The script of one fault, for eight hosts in two zones and two balancers.
+fn script(fault: TimedFault, seed: u64) -> Result<FaultScript, FaultScriptError> {
     let hosts = (0..8)
         .map(|i| HostTarget {
             name: format!("c{i}"),
             zone: ["a", "b"][i % 2].to_string(),
         })
         .collect();
-    let stage = ScriptTargets {
+    let targets = ScriptTargets {
         hosts,
         balancers: 2,
     };
-    let lay = |fault: TimedFault, seed| FaultScript::build(&[fault], &stage, seed);
+    FaultScript::build(&[fault], &targets, seed)
+}
+
+fn killed_hosts(script: &FaultScript) -> Vec<usize> {
+    let killed = |step: &ScheduledAction| match step.action {
+        FaultAction::Kill { host } => Some(host),
+        _ => None,
+    };
+    script.steps.iter().filter_map(killed).collect()
+}
+
+#[test]
+fn a_script_repeats_for_a_seed_and_rejects_unknown_targets() {
     let slow = timed(Fault::Slow { factor: 4.0 }, &[], 0.25);
-    let script = lay(slow.clone(), 1).unwrap();
-    assert_eq!(script, lay(slow.clone(), 1).unwrap());
+    let first = script(slow.clone(), 1).unwrap();
+    assert_eq!(first, script(slow.clone(), 1).unwrap());
     assert!(
-        (2..20).any(|seed| lay(slow.clone(), seed).unwrap() != script),
-        "a draw that seeds change"
+        (2..20).any(|seed| script(slow.clone(), seed).unwrap() != first),
+        "other seeds draw other hosts"
     );
     assert_eq!(
-        script.steps.len(),
+        first.steps.len(),
         4,
-        "a quarter of eight, slow and well again"
+        "a quarter of eight hosts, each slow and normal again"
+    );
+    let zone_lost = script(timed(Fault::ZoneLost, &["b"], 0.0), 1).unwrap();
+    assert_eq!(killed_hosts(&zone_lost), [1, 3, 5, 7]);
+    let unknown = script(timed(Fault::Killed, &["c9"], 0.0), 1)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        unknown.starts_with("faults[0].on: ") && unknown.contains("c9"),
+        "{unknown}"
     );
-    let lost = lay(timed(Fault::ZoneLost, &["b"], 0.0), 1).unwrap();
-    let killed = |script: &FaultScript| {
-        let of = |step: &stairfront_emulator::faults::ScheduledAction| match step.action {
-            FaultAction::Kill { host } => Some(host),
-            _ => None,
-        };
-        script.steps.iter().filter_map(of).collect::<Vec<_>>()
+    assert!(script(timed(Fault::BalancerKilled, &["2"], 0.0), 1).is_err());
+    assert!(script(timed(Fault::Slow { factor: f64::NAN }, &[], 0.0), 1).is_err());
+}
+
+#[test]
+fn a_deploy_wave_starts_each_group_again_before_the_next() {
+    let wave = Fault::DeployWave {
+        at_a_time: 2,
+        each_s: 4.0,
     };
-    assert_eq!(killed(&lost), [1, 3, 5, 7]);
-    // A wave never has more hosts down than it may: each group is back before the next goes.
-    let wave = lay(
-        timed(
-            Fault::DeployWave {
-                at_a_time: 2,
-                each_s: 4.0,
-            },
-            &[],
-            0.0,
-        ),
-        1,
-    )
-    .unwrap();
+    let wave = script(timed(wave, &[], 0.0), 1).unwrap();
     let mut down = 0;
     for step in &wave.steps {
         match step.action {
@@ -208,14 +219,5 @@
         }
         assert!(down <= 2);
     }
-    assert_eq!(killed(&wave).len(), 8);
-    let unknown = lay(timed(Fault::Killed, &["c9"], 0.0), 1)
-        .unwrap_err()
-        .to_string();
-    assert!(
-        unknown.starts_with("faults[0].on: ") && unknown.contains("c9"),
-        "{unknown}"
-    );
-    assert!(lay(timed(Fault::BalancerKilled, &["2"], 0.0), 1).is_err());
-    assert!(lay(timed(Fault::Slow { factor: f64::NAN }, &[], 0.0), 1).is_err());
+    assert_eq!(killed_hosts(&wave).len(), 8);
 }
