--- a/crates/stairfront-balancer/src/client/codec.rs
+++ b/crates/stairfront-balancer/src/client/codec.rs
@@ -2,25 +2,25 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use stairfront_codec::budget::{Budget, Claim};
-use stairfront_codec::resp::{put_bulk, put_line, put_number, CommandReader, RespError};
+use stairfront_codec::budget::{Budget, Reservation};
+use stairfront_codec::resp::{put_bulk, put_line, put_number, CommandDecoder, RespError};
 use tokio_util::codec::{Decoder, Encoder};
 
 use crate::messages::Answer;
 
 /// Decodes commands and encodes answers.
 #[derive(Debug)]
-pub struct ClientCodec(CommandReader);
+pub struct ClientCodec(CommandDecoder);
 
 impl ClientCodec {
     /// `budget` is for usual commands that have not come as a whole, `large_budget` for those with a large value.
     pub fn new(budget: &Rc<Budget>, large_budget: &Rc<Budget>) -> Self {
-        ClientCodec(CommandReader::new(budget, large_budget))
+        ClientCodec(CommandDecoder::new(budget, large_budget))
     }
 
     /// The memory that the last command has reserved for a large value.
-    pub(super) fn take_memory(&mut self) -> Option<Claim> {
-        self.0.take_room()
+    pub(super) fn take_memory(&mut self) -> Option<Reservation> {
+        self.0.take_reservation()
     }
 }
 
--- a/crates/stairfront-balancer/src/control/admin_server/mod.rs
+++ b/crates/stairfront-balancer/src/control/admin_server/mod.rs
@@ -12,7 +12,7 @@
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
 use stairfront_codec::http::HttpError;
-use stairfront_codec::http_server::{HttpServerCodec, Reply};
+use stairfront_codec::http_server::{HttpServerCodec, Response};
 use stairfront_membership_agent::MembershipAgent;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{watch, Semaphore};
@@ -118,7 +118,7 @@
 
 async fn send_reply<T: Stream>(
     mut connection: Framed<T, HttpServerCodec>,
-    reply: Reply,
+    reply: Response,
 ) -> Result<(), HttpError> {
     connection.send(reply).await?;
     // A close with input unread resets the connection, and the answer is lost with it.
--- a/crates/stairfront-balancer/src/control/maintenance/service_health.rs
+++ b/crates/stairfront-balancer/src/control/maintenance/service_health.rs
@@ -23,7 +23,7 @@
     pub unserved_at_origin: u64,
 }
 
-/// What is wrong with the service.
+/// A fault of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceFault {
     /// Too few requests are served.
@@ -37,13 +37,13 @@
     pub fn describe(self, balancer: &str) -> String {
         match self {
             ServiceFault::RequestsUnserved => {
-                let least = MIN_SERVED_RATIO * 100.0;
-                format!("under {least:.0}% of requests are served at {balancer}")
+                let percent = MIN_SERVED_RATIO * 100.0;
+                format!("under {percent:.0}% of requests are served at {balancer}")
             }
             ServiceFault::OriginOverloaded => {
-                let least = MIN_ORIGIN_SERVED_RATIO * 100.0;
+                let percent = MIN_ORIGIN_SERVED_RATIO * 100.0;
                 format!(
-                    "the origin is pressed: under {least:.0}% of attempts at it are served at {balancer}"
+                    "the origin is pressed: under {percent:.0}% of attempts at it are served at {balancer}"
                 )
             }
         }
@@ -51,7 +51,7 @@
 }
 
 impl ServiceCounts {
-    /// What is wrong with the service in the window between two counts.
+    /// The fault of the service in the window between two counts, if there is one.
     pub fn fault_since(self, before: ServiceCounts) -> Option<ServiceFault> {
         let all = self.all.saturating_sub(before.all);
         let served = self.served.saturating_sub(before.served);
--- a/crates/stairfront-balancer/src/control/pending_order.rs
+++ b/crates/stairfront-balancer/src/control/pending_order.rs
@@ -12,11 +12,11 @@
 
 /// An order that the engine has not carried out yet.
 pub struct PendingOrder {
-    /// What is to be done.
+    /// The order.
     pub order: OperatorOrder,
     /// Who vouches for the name in it.
     pub source: OrderSource,
-    /// Gets the outcome; whoever waits may have given up.
+    /// Gets the outcome; the receiver may have given up.
     pub done: oneshot::Sender<OrderOutcome>,
 }
 
--- a/crates/stairfront-balancer/src/engine/effects.rs
+++ b/crates/stairfront-balancer/src/engine/effects.rs
@@ -49,8 +49,8 @@
                     .insert(TimerKind::Policy(token), timer_duration(delay));
             }
             Action::Disconnect { cache } => self.pool.close_idle(cache),
-            Action::Log(text) => info!("{text}"),
-            // This balancer makes no health checks; they are reported as not made, which says nothing of the server.
+            Action::Log(record) => info!("{record}"),
+            // This balancer makes no health checks; they are reported as not made, which is no information on the server.
             Action::HealthCheck { cache } => self.notify_policy(Event::HealthChecked {
                 cache,
                 outcome: Outcome::NeverSent,
--- a/crates/stairfront-balancer/tests/codecs.rs
+++ b/crates/stairfront-balancer/tests/codecs.rs
@@ -1,12 +1,12 @@
-//! What the balancer makes of its messages on the wire.
+//! The balancer's messages on the wire.
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use stairfront_balancer::client::codec::ClientCodec;
 use stairfront_balancer::messages::{Answer, Command, Outgoing, Verb};
 use stairfront_balancer::upstream::cache_host::CacheCodec;
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::{Value, LARGEST_BULK};
+use stairfront_codec::message_part::MessagePart;
+use stairfront_codec::resp::{Value, MAX_BULK_BYTES};
 use tokio_util::codec::{Decoder, Encoder};
 
 const PLENTY: usize = 1 << 24;
@@ -16,11 +16,11 @@
 }
 
 fn cache_codec() -> CacheCodec {
-    CacheCodec::new(LARGEST_BULK, &Budget::new(PLENTY))
+    CacheCodec::new(MAX_BULK_BYTES, &Budget::new(PLENTY))
 }
 
 #[test]
-fn what_goes_out_is_what_the_protocol_says() {
+fn answers_and_commands_are_encoded_as_the_protocol_defines() {
     let answer = |answer: Answer| {
         let mut out = BytesMut::new();
         client_codec().encode(answer, &mut out).unwrap();
@@ -77,7 +77,7 @@
 proptest! {
     /// A value goes through both codecs unchanged, at any length up to the limit and any split.
     #[test]
-    fn values_pass_unchanged(value in prop::collection::vec(any::<u8>(), 0..3000), at in 0.0..1.0f64) {
+    fn values_pass_both_codecs_unchanged(value in prop::collection::vec(any::<u8>(), 0..3000), at in 0.0..1.0f64) {
         let mut out = BytesMut::new();
         client_codec().encode(Answer::Value(Bytes::from(value.clone())), &mut out).unwrap();
         let at = (out.len() as f64 * at) as usize;
@@ -85,6 +85,6 @@
         let early = codec.decode(&mut buffer).unwrap();
         buffer.extend_from_slice(&out[at..]);
         let whole = early.or_else(|| codec.decode(&mut buffer).unwrap());
-        prop_assert_eq!(whole, Some(Part::Whole(Value::Bulk(Bytes::from(value)))));
+        prop_assert_eq!(whole, Some(MessagePart::Complete(Value::Bulk(Bytes::from(value)))));
     }
 }
--- a/crates/stairfront-balancer/tests/pool.rs
+++ b/crates/stairfront-balancer/tests/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Nothing new is begun at a server that is barred, however far its attempt has come.
+//! The pool of connections to servers: attempts that must not be sent any more, and connections that must not be reused.
 mod common;
 
 use std::rc::Rc;
@@ -38,7 +38,7 @@
         Instant::now(),
     );
     let give_up_at = now + ms(1000);
-    let over = Rc::default();
+    let finished = Rc::default();
     (
         Job {
             attempt,
@@ -49,7 +49,7 @@
             give_up_at,
             window_end: None,
             cancel: cancelled,
-            finished: over,
+            finished,
         },
         cancel,
     )
@@ -57,54 +57,54 @@
 
 async fn end<N: Network>(
     pool: &mut UpstreamPool<N>,
-    inputs: &mut mpsc::Receiver<EngineEvent>,
+    events: &mut mpsc::Receiver<EngineEvent>,
 ) -> AttemptEnd {
-    ends(pool, inputs).await.remove(0)
+    ends(pool, events).await.remove(0)
 }
 
-/// The next ends of attempts that the pool tells.
+/// The next ends of attempts that the pool reports.
 async fn ends<N: Network>(
     pool: &mut UpstreamPool<N>,
-    inputs: &mut mpsc::Receiver<EngineEvent>,
+    events: &mut mpsc::Receiver<EngineEvent>,
 ) -> Vec<AttemptEnd> {
     let mut ends: Vec<AttemptEnd> = Vec::new();
     while ends.is_empty() {
-        match inputs.recv().await {
+        match events.recv().await {
             Some(EngineEvent::Pool(event)) => {
                 let idle = matches!(event, PoolEvent::Idle { .. });
                 pool.handle(event, &mut ends);
                 assert!(!idle || !ends.is_empty());
             }
-            other => panic!("nothing else is told: {}", other.is_some()),
+            other => panic!("nothing else is reported: {}", other.is_some()),
         }
     }
     ends
 }
 
-/// A pool of `most` connections and one cache host, and what the pool's connections tell.
+/// A pool of `max` connections to one cache host, and the events of its connections.
 fn pool(
     address: std::net::SocketAddr,
-    most: usize,
+    max: usize,
 ) -> (UpstreamPool<Tcp>, mpsc::Receiver<EngineEvent>) {
-    pool_on(Tcp, address, most, ms(10_000))
+    pool_on(Tcp, address, max, ms(10_000))
 }
 
 fn pool_on<N: Network>(
     network: N,
     address: std::net::SocketAddr,
-    most: usize,
+    max: usize,
     servers_idle_timeout: std::time::Duration,
 ) -> (UpstreamPool<N>, mpsc::Receiver<EngineEvent>) {
-    let (inbox, inputs) = mpsc::channel(16);
+    let (event_sender, events) = mpsc::channel(16);
     let limits = PoolSettings {
-        max_connections: most,
+        max_connections: max,
         held_by_predecessor: 0,
         connect_timeout: ms(250),
         servers_idle_timeout,
         stall_timeout: ms(10_000),
         memory: Memory::of(64),
     };
-    let mut pool = UpstreamPool::new(network, limits, Vec::new(), inbox, Rc::default());
+    let mut pool = UpstreamPool::new(network, limits, Vec::new(), event_sender, Rc::default());
     pool.set_target(
         CACHE,
         UpstreamTarget {
@@ -112,35 +112,35 @@
             protocol: Protocol::Resp,
         },
     );
-    (pool, inputs)
+    (pool, events)
 }
 
-/// Danger: a connection that comes up, or is free, just as its request is answered or its attempt cancelled would carry the
+/// A connection that is made, or becomes idle, just as its request is answered or its attempt cancelled would carry the
 /// request to a server after its final answer.
 #[test]
-fn an_attempt_whose_request_is_over_before_its_first_byte_goes_nowhere() {
+fn an_attempt_of_a_finished_request_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool(address, 1);
-        // Its connection is still coming up as the request is answered; the connection stays.
+        let (mut pool, mut events) = pool(address, 1);
+        // The connection is still being made as the request is answered; the connection stays.
         let (first, _kept) = job(1);
-        let over = Rc::clone(&first.finished);
+        let finished = Rc::clone(&first.finished);
         assert!(pool.dispatch(first).is_none());
-        over.set(true);
+        finished.set(true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
-        // It lies before the task of the idle connection, and is cancelled; another waits for the socket meanwhile.
+        // The second is queued at the idle connection's task and cancelled; the others wait for the socket meanwhile.
         let ((second, cancel), (third, _kept), (fourth, _kept_too)) = (job(2), job(3), job(4));
-        let over = Rc::clone(&third.finished);
+        let finished = Rc::clone(&third.finished);
         for job in [second, third, fourth] {
             assert!(pool.dispatch(job).is_none());
         }
         cancel.send(()).unwrap();
-        over.set(true);
-        let ended = ends(&mut pool, &mut inputs).await;
+        finished.set(true);
+        let ended = ends(&mut pool, &mut events).await;
         assert_eq!(
             ended
                 .iter()
@@ -150,7 +150,7 @@
         );
         assert_eq!(commands(&log, "cache").len(), 0, "nothing was asked for");
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(
@@ -162,33 +162,33 @@
 }
 
 #[test]
-fn an_attempt_whose_server_is_barred_before_its_first_byte_goes_nowhere() {
+fn an_attempt_at_a_barred_server_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool(address, 4);
-        // Its connection is still coming up.
+        let (mut pool, mut events) = pool(address, 4);
+        // The connection is still being made.
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
-        // Free again, it is served, and its connection stands idle.
+        // No longer barred, it is served, and its connection becomes idle.
         pool.set_barred(CACHE, false);
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
-        // It lies before the task of the idle connection, which has not looked yet.
+        // The job is queued at the idle connection's task, which has not read it yet.
         let (third, _kept) = job(3);
         assert!(pool.dispatch(third).is_none());
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::NeverSent
         );
         assert_eq!(
@@ -201,7 +201,7 @@
             count(&log, &Seen::Ended("cache")),
             count(&log, &Seen::Opened("cache"))
         );
-        // What is under way when the bar falls is left to its end.
+        // An attempt in flight when the server is barred goes on to its end.
         pool.set_barred(CACHE, false);
         let (fourth, _kept) = job(4);
         assert!(pool.dispatch(fourth).is_none());
@@ -210,13 +210,13 @@
         }
         pool.set_barred(CACHE, true);
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
     });
 }
 
-/// The kernel's TCP, on which no connection comes up before the gate is open.
+/// The kernel's TCP, on which no connection is made before the gate is open.
 #[derive(Clone)]
 struct Late(watch::Receiver<bool>);
 
@@ -230,20 +230,20 @@
     }
 }
 
-/// Danger: decided inside its window, a repeat whose connection comes up late would reach a server that has forgotten the
+/// A retry that is decided within its window, and whose connection is made late, would reach a server that has forgotten the
 /// first attempt, and take effect twice.
 #[test]
-fn a_repeat_whose_window_closes_before_its_connection_is_up_goes_nowhere() {
+fn a_retry_whose_window_closes_before_its_connection_is_made_is_not_sent() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
         let (open, gate) = watch::channel(false);
-        let (mut pool, mut inputs) = pool_on(Late(gate), address, 1, ms(10_000));
-        // Its connection does not come up in time at all.
+        let (mut pool, mut events) = pool_on(Late(gate), address, 1, ms(10_000));
+        // The connection is not made in time at all.
         let (mut never, _kept) = job(0);
         never.window_end = Some(Instant::now() + ms(50));
         assert!(pool.dispatch(never).is_none());
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(
             ended.result.outcome,
             Outcome::NeverSent,
@@ -253,13 +253,13 @@
         first.window_end = Some(Instant::now() + ms(100));
         let second = job(2);
         assert!(pool.dispatch(first).is_none());
-        // Its connection comes up in the very turn in which the window has closed.
+        // The connection is made in the same turn of the loop in which the window has closed.
         std::thread::sleep(ms(120));
         open.send_replace(true);
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(ended.result.outcome, Outcome::NeverSent);
         assert_eq!(commands(&log, "cache").len(), 0);
-        // One that lies before an idle connection, and one that waits for a socket, likewise.
+        // The same for a job queued at an idle connection, and for one that waits for a socket.
         let (mut third, _kept) = job(3);
         assert!(pool.dispatch(second.0).is_none());
         third.window_end = Some(Instant::now() + ms(30));
@@ -268,7 +268,7 @@
         let mut outcomes = Vec::new();
         while outcomes.len() < 2 {
             outcomes.extend(
-                ends(&mut pool, &mut inputs)
+                ends(&mut pool, &mut events)
                     .await
                     .iter()
                     .map(|end| end.result.outcome),
@@ -283,20 +283,21 @@
     });
 }
 
-/// Danger: a server that stops reading takes the rest of a long command after the window has closed.
+/// A server that stops reading could take the rest of a long command after the window has closed.
 #[test]
-fn a_repeat_that_is_not_written_whole_inside_its_window_is_broken_off() {
+fn a_retry_not_written_as_a_whole_within_its_window_is_aborted() {
     run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (mut pool, mut inputs) = pool(listener.local_addr().unwrap(), 1);
+        let (mut pool, mut events) = pool(listener.local_addr().unwrap(), 1);
         let (mut long, _kept) = job(1);
-        long.window_end = Some(Instant::now() + ms(200));
         long.command.verb = Verb::Set;
         long.command.value = Some(Bytes::from(vec![b'x'; 64 * 1024 * 1024]));
+        // The window begins once the value is made, which can take longer than the window on a busy machine.
+        long.window_end = Some(Instant::now() + ms(200));
         long.give_up_at = Instant::now() + ms(10_000);
         assert!(pool.dispatch(long).is_none());
         let (unread, _) = listener.accept().await.unwrap();
-        let ended = end(&mut pool, &mut inputs).await;
+        let ended = end(&mut pool, &mut events).await;
         assert_eq!(
             ended.result.outcome,
             Outcome::ConnectFailed,
@@ -311,37 +312,37 @@
     });
 }
 
-/// Danger: a loop that stood still, or an answer that came late, has a connection look fresh that its server is just closing:
-/// what is written to it then may have run.
+/// After a stalled loop or a late answer, a connection can look fresh that its server is just closing: a request written to
+/// it may have run.
 #[test]
-fn a_connection_past_the_idle_limit_is_not_used_though_the_loop_was_late() {
+fn a_connection_past_its_idle_timeout_is_not_reused_after_a_stalled_loop() {
     run(async {
         let log = Log::default();
         let address = cache("cache", &log, |_, _| hit("v")).await;
-        let (mut pool, mut inputs) = pool_on(Tcp, address, 4, ms(100));
+        let (mut pool, mut events) = pool_on(Tcp, address, 4, ms(100));
         let (first, _kept) = job(1);
         assert!(pool.dispatch(first).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
-        // Its task has begun to wait; then nothing runs for longer than the limit.
+        // The task has begun to wait; then nothing runs for longer than the timeout.
         tokio::time::sleep(ms(10)).await;
         std::thread::sleep(ms(100));
         let (second, _kept) = job(2);
         assert!(pool.dispatch(second).is_none());
         assert_eq!(
-            end(&mut pool, &mut inputs).await.result.outcome,
+            end(&mut pool, &mut events).await.result.outcome,
             Outcome::Served
         );
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
     });
 }
 
-/// Danger: a second answer comes some milliseconds after the first, names no request, and would be the answer to the next
-/// one on its connection.
+/// A second reply comes some milliseconds after the first, names no request, and would answer the next one on its
+/// connection.
 #[test]
-fn connections_rest_between_attempts_once_more_came_on_one_than_was_asked_for() {
+fn connections_rest_between_attempts_after_a_surplus_reply() {
     run(async {
         let log = Log::default();
         let twice = |n: usize, _: &[String]| match hit("v") {
@@ -349,47 +350,47 @@
             step => step,
         };
         let address = cache("cache", &log, twice).await;
-        let (mut pool, mut inputs) = pool(address, 4);
+        let (mut pool, mut events) = pool(address, 4);
         let opened = |log: &Log| count(log, &Seen::Opened("cache"));
         let serve =
-            async |pool: &mut UpstreamPool<Tcp>, inputs: &mut mpsc::Receiver<EngineEvent>, id| {
+            async |pool: &mut UpstreamPool<Tcp>, events: &mut mpsc::Receiver<EngineEvent>, id| {
                 let (job, _kept) = job(id);
                 assert!(pool.dispatch(job).is_none());
-                assert_eq!(end(pool, inputs).await.result.outcome, Outcome::Served);
+                assert_eq!(end(pool, events).await.result.outcome, Outcome::Served);
             };
-        // Nothing of the kind was seen yet.
-        serve(&mut pool, &mut inputs, 1).await;
-        serve(&mut pool, &mut inputs, 2).await;
+        // No surplus was seen yet.
+        serve(&mut pool, &mut events, 1).await;
+        serve(&mut pool, &mut events, 2).await;
         assert_eq!(opened(&log), 1);
-        // The second answer ends its connection, and is told.
-        match inputs.recv().await {
+        // The second reply ends its connection, and is reported.
+        match events.recv().await {
             Some(EngineEvent::Pool(event @ PoolEvent::Closed { surplus: true, .. })) => {
                 pool.handle(event, &mut Vec::new())
             }
-            _ => panic!("the surplus is not told"),
+            _ => panic!("the surplus is not reported"),
         }
         let mut at_once = false;
         for id in 3.. {
             let (before, began) = (opened(&log), Instant::now());
-            serve(&mut pool, &mut inputs, id).await;
+            serve(&mut pool, &mut events, id).await;
             if at_once && began.elapsed() < ms(20) {
                 assert_eq!(opened(&log), before + 1, "the other one rests");
                 break;
             }
             at_once = true;
         }
-        // Rested, they are used again.
+        // After the rest they are reused.
         tokio::time::sleep(ms(60)).await;
         let before = opened(&log);
-        serve(&mut pool, &mut inputs, 100).await;
+        serve(&mut pool, &mut events, 100).await;
         assert_eq!(opened(&log), before);
     });
 }
 
-/// The false alarm: a server that closes its connection behind an answer has sent nothing more, and no connection rests for it.
-/// Danger: where servers close often every attempt would have a new connection.
+/// A server that closes its connection behind a reply has sent no surplus. If connections rested for it, every attempt would
+/// need a new connection where servers close often.
 #[test]
-fn a_connection_that_its_server_closes_behind_an_answer_has_none_rest() {
+fn a_connection_closed_behind_a_reply_is_no_surplus_and_makes_none_rest() {
     run(async {
         let log = Log::default();
         let closing = |n: usize, _: &[String]| match hit("v") {
@@ -397,19 +398,19 @@
             step => step,
         };
         let address = cache("cache", &log, closing).await;
-        let (mut pool, mut inputs) = pool(address, 4);
+        let (mut pool, mut events) = pool(address, 4);
         for id in 1..=6 {
             let (job, _kept) = job(id);
             assert!(pool.dispatch(job).is_none());
             let mut ended: Vec<AttemptEnd> = Vec::new();
             while ended.is_empty() {
-                match inputs.recv().await {
+                match events.recv().await {
                     Some(EngineEvent::Pool(event)) => pool.handle(event, &mut ended),
                     _ => panic!("nothing else is told"),
                 }
             }
             assert_eq!(ended[0].result.outcome, Outcome::Served);
-            // The end of the first connection is heard before the next attempt.
+            // The end of the first connection is handled before the next attempt.
             tokio::time::sleep(ms(5)).await;
         }
         assert_eq!(count(&log, &Seen::Opened("cache")), 2);
