--- a/crates/stairfront-balancer/src/client/connection.rs
+++ b/crates/stairfront-balancer/src/client/connection.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{FutureExt, StreamExt};
-use stairfront_codec::budget::Claim;
+use stairfront_codec::budget::Reservation;
 use stairfront_codec::resp::RespError;
 use stairfront_policy::interface::RequestId;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -112,6 +112,8 @@
     /// No request is open.
     idle: bool,
     used: bool,
+    /// It has sent no command for a while.
+    silent: bool,
     spare: bool,
     /// The process that takes over gets this connection between two requests.
     handing_over: bool,
@@ -121,6 +123,8 @@
     no_partial_command: bool,
     /// It ends unless a command has come.
     closing: bool,
+    /// It stays open only until a command that has begun to come is complete.
+    finishing_command: bool,
     /// It is idle and is not to close.
     staying: bool,
 }
@@ -188,11 +192,11 @@
             if self.write_ready(None).await.is_err() {
                 return ConnectionEnd::Disconnected;
             }
-            let turn = match self.wait_conditions() {
-                Ok(turn) => turn,
+            let conditions = match self.wait_conditions() {
+                Ok(conditions) => conditions,
                 Err(end) => return end,
             };
-            if let Err(end) = self.wait(&turn, &context, &mut phases).await {
+            if let Err(end) = self.wait(&conditions, &context, &mut phases).await {
                 return end;
             }
         }
@@ -232,12 +236,14 @@
         Ok(WaitConditions {
             idle,
             used: matches!(self.state, ConnectionState::Used),
+            silent: matches!(self.state, ConnectionState::Silent { .. }),
             spare: self.spare_until.is_some(),
             handing_over,
             reading,
             waiting_for_memory,
             no_partial_command,
             closing,
+            finishing_command: idle && self.must_stay && !no_partial_command && !closing,
             staying: idle && self.closing.is_none(),
         })
     }
@@ -245,55 +251,52 @@
     /// Handles the next event that happens; an error if the connection ends by it.
     async fn wait(
         &mut self,
-        turn: &WaitConditions,
+        conditions: &WaitConditions,
         context: &ClientContext,
         phases: &mut PhaseReceivers,
     ) -> Result<(), ConnectionEnd> {
         let idle_deadline = self.idle_deadline();
-        let is_silent = matches!(self.state, ConnectionState::Silent { .. });
-        let finishing_command =
-            turn.idle && self.must_stay && !turn.no_partial_command && !turn.closing;
         tokio::select! {
             biased;
-            command = self.framed.next(), if turn.reading => self.handle_input(command).await?,
-            answer = next_answer(&mut self.pending), if !turn.idle => {
+            command = self.framed.next(), if conditions.reading => self.handle_input(command).await?,
+            answer = next_answer(&mut self.pending), if !conditions.idle => {
                 self.pending.pop_front();
                 let written = self.write_ready(Some(answer)).await;
                 written.map_err(|_| ConnectionEnd::Disconnected)?;
             }
             // A connection that is read from reports its end by itself.
-            () = sleep(DEPARTURE_CHECK_INTERVAL), if !turn.idle && !turn.reading => {
+            () = sleep(DEPARTURE_CHECK_INTERVAL), if !conditions.idle && !conditions.reading => {
                 if self.framed.get_ref().has_ended() {
                     return Err(ConnectionEnd::Disconnected);
                 }
             }
             // Bytes that the client has not sent yet stay with the client.
-            () = sleep(MEMORY_CHECK_INTERVAL), if turn.waiting_for_memory => {}
+            () = sleep(MEMORY_CHECK_INTERVAL), if conditions.waiting_for_memory => {}
             // A request may be in the kernel unseen, and closing would lose it. By the time this is polled again the
             // sockets have been polled, and the read above comes first.
-            () = yield_now(), if turn.closing => {
+            () = yield_now(), if conditions.closing => {
                 if !self.has_unread_input() {
                     return Err(self.close());
                 }
             }
             // A spare connection has no permit to give.
-            () = context.pressure.idle.notified(), if turn.staying && turn.used && !turn.spare => {
+            () = context.pressure.idle.notified(), if conditions.staying && conditions.used && !conditions.spare => {
                 self.closing = Some(CloseReason::AfterPartialCommand);
             }
             // A connection that has begun a command is about to be used.
             () = context.pressure.silent.notified(),
-                if turn.staying && !turn.spare && turn.no_partial_command && is_silent =>
+                if conditions.staying && !conditions.spare && conditions.no_partial_command && conditions.silent =>
             {
                 self.closing = Some(CloseReason::Immediately);
             }
-            () = sleep_until(idle_deadline), if turn.staying || finishing_command => {
+            () = sleep_until(idle_deadline), if conditions.staying || conditions.finishing_command => {
                 self.handle_idle_timeout();
             }
             _ = phases.handing_over.wait_for(|phase| phase.hands_over()),
-                if !turn.handing_over && !self.must_stay => {}
+                if !conditions.handing_over && !self.must_stay => {}
             // When the balancer stops, a connection is closed between requests, after what has come is read. A new one,
             // whose request is on its way, is left open for a while.
-            _ = phases.closing_idle.wait_for(|phase| phase.closes_idle(turn.used)), if turn.staying => {
+            _ = phases.closing_idle.wait_for(|phase| phase.closes_idle(conditions.used)), if conditions.staying => {
                 self.closing = Some(CloseReason::AfterPartialCommand);
             }
             // A client that always has one more command open, or half of one, must not keep the balancer from ending.
@@ -307,7 +310,7 @@
     /// Whether a large command at the front waits for memory.
     fn waits_for_memory(&self) -> bool {
         self.missing_memory
-            .is_some_and(|bytes| self.context.large_budget.left() < bytes)
+            .is_some_and(|bytes| self.context.large_budget.available() < bytes)
     }
 
     /// Handles what was read: a command, an error or the end of the connection.
@@ -330,7 +333,7 @@
                 self.final_end = Some(ConnectionEnd::AfterAnswer);
                 Ok(())
             }
-            Some(Err(RespError::NoRoom(bytes))) => {
+            Some(Err(RespError::AwaitingMemory(bytes))) => {
                 self.missing_memory = Some(bytes);
                 // After an error the framed reader reports its end once before it goes on.
                 let _ = self.framed.next().now_or_never();
@@ -363,7 +366,7 @@
     async fn handle_command(
         &mut self,
         words: Vec<Bytes>,
-        memory: Option<Claim>,
+        memory: Option<Reservation>,
     ) -> Result<(), mpsc::error::SendError<EngineEvent>> {
         let spare = self.is_spare();
         self.state = ConnectionState::Used;
--- a/crates/stairfront-balancer/src/configuration/limits.rs
+++ b/crates/stairfront-balancer/src/configuration/limits.rs
@@ -2,7 +2,7 @@
 //! deadlines.
 use std::time::Duration;
 
-use stairfront_codec::resp::LARGEST_VALUE;
+use stairfront_codec::resp::MAX_VALUE_BYTES;
 use stairfront_policy::interface::Settings;
 
 use crate::clock::timer_duration;
@@ -90,7 +90,7 @@
     /// The limit where none is configured, in MB.
     pub const DEFAULT_MB: usize = 192;
     /// A command with the largest value, and what surrounds it.
-    const LARGE: usize = LARGEST_VALUE + 16 * 1024;
+    const LARGE: usize = MAX_VALUE_BYTES + 16 * 1024;
 
     /// Divides a limit in MB.
     pub fn of(limit_mb: usize) -> Self {
@@ -102,7 +102,7 @@
             commands: part / 4,
             large_commands: part.max(large),
             replies: part,
-            max_value_bytes: LARGEST_VALUE,
+            max_value_bytes: MAX_VALUE_BYTES,
         }
     }
 }
--- a/crates/stairfront-balancer/src/upstream/origin.rs
+++ b/crates/stairfront-balancer/src/upstream/origin.rs
@@ -5,8 +5,9 @@
 
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, HttpError, Request, Response};
-use stairfront_codec::part::Part;
+use stairfront_codec::http::HttpError;
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody, Response};
+use stairfront_codec::message_part::MessagePart;
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -17,21 +18,24 @@
 /// Encodes requests and decodes responses.
 #[derive(Debug)]
 pub struct OriginCodec {
-    http: HttpCodec,
+    http: HttpClientCodec,
     host: Bytes,
 }
 
 impl Decoder for OriginCodec {
-    type Item = Part<Response>;
+    type Item = MessagePart<Response>;
     type Error = HttpError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part<Response>>, HttpError> {
-        self.http.next_part(src)
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart<Response>>, HttpError> {
+        self.http.decode_part(src)
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Part<Response>>, HttpError> {
-        match self.http.next_part(src)? {
-            None => Ok(self.http.end(src)?.map(Part::Whole)),
+    fn decode_eof(
+        &mut self,
+        src: &mut BytesMut,
+    ) -> Result<Option<MessagePart<Response>>, HttpError> {
+        match self.http.decode_part(src)? {
+            None => Ok(self.http.finish(src)?.map(MessagePart::Complete)),
             part => Ok(part),
         }
     }
@@ -45,9 +49,12 @@
         let separate = outgoing.separate_value().map(Bytes::len);
         let command = outgoing.command;
         let (method, body) = match (command.verb, separate) {
-            (Verb::Get, _) => ("GET", Body::None),
-            (Verb::Set, Some(length)) => ("PUT", Body::Behind(length)),
-            (Verb::Set, None) => ("PUT", Body::Here(command.value.unwrap_or_default())),
+            (Verb::Get, _) => ("GET", RequestBody::Empty),
+            (Verb::Set, Some(length)) => ("PUT", RequestBody::Separate(length)),
+            (Verb::Set, None) => (
+                "PUT",
+                RequestBody::Inline(command.value.unwrap_or_default()),
+            ),
         };
         let headers = vec![
             ("Host", self.host.clone()),
@@ -91,7 +98,7 @@
 
     fn new(address: SocketAddr, max_value_bytes: usize, budget: &Rc<Budget>) -> Self {
         OriginCodec {
-            http: HttpCodec::new(max_value_bytes, budget),
+            http: HttpClientCodec::new(max_value_bytes, budget),
             host: Bytes::from(address.to_string()),
         }
     }
@@ -104,7 +111,7 @@
             // A status that the origin does not use: what it means is not known.
             _ => return InterpretedReply::malformed(),
         };
-        let load = reply.load.map_or(LoadReport::default(), |text| {
+        let load = reply.server_load.map_or(LoadReport::default(), |text| {
             load_report(&text, report_fields)
         });
         let value = (outcome == Outcome::Served).then_some(reply.body);
@@ -115,7 +122,7 @@
                 load,
                 value,
             },
-            reusable: !reply.last,
+            reusable: !reply.closes_connection,
         }
     }
 
--- a/crates/stairfront-lab/src/balancer_group/actions.rs
+++ b/crates/stairfront-lab/src/balancer_group/actions.rs
@@ -4,11 +4,11 @@
 
 use nix::sys::signal::Signal;
 use serde_json::json;
-use stairfront_emulator::group::Sign;
-use stairfront_emulator::group_script::GroupAct;
+use stairfront_common::time::Micros;
+use stairfront_emulator::group_observer::GroupEvent;
+use stairfront_emulator::group_script::GroupAction;
 use stairfront_emulator::links::LinkFault;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::Micros;
+use stairfront_emulator::rules::Observation;
 
 use super::member::set_group_addresses;
 use super::{host_index, ActiveFault, BalancerGroup, ORDERED_HOST};
@@ -16,32 +16,32 @@
 use crate::process::BalancerProcess;
 
 impl BalancerGroup {
-    pub(super) async fn apply(&mut self, action: GroupAct) -> Result<(), RunError> {
+    pub(super) async fn apply(&mut self, action: GroupAction) -> Result<(), RunError> {
         let now = self.clock.now();
         match action {
-            GroupAct::Lay {
-                number,
+            GroupAction::AddLinkFault {
+                id: number,
                 pairs,
                 fault,
             } => self.add_link_fault(now, number, pairs, fault),
-            GroupAct::Lift { number } => self.remove_link_fault(now, number),
-            GroupAct::Kill { who, empty } => self.kill(who, empty).await,
-            GroupAct::Term { who } => self.terminate(now, who),
-            GroupAct::Start { who } => {
-                if !self.members[who].process.should_run && self.members[who].up {
-                    // It was told to stop before, and has ended by now or is ended.
-                    self.kill(who, false).await;
+            GroupAction::RemoveLinkFault { id: number } => self.remove_link_fault(now, number),
+            GroupAction::Kill { member, empty } => self.kill(member, empty).await,
+            GroupAction::Term { member } => self.terminate(now, member),
+            GroupAction::Start { member } => {
+                if !self.members[member].process.should_run && self.members[member].up {
+                    // It was told to stop before, so it has ended by now or is killed.
+                    self.kill(member, false).await;
                 }
-                self.start_member(who)?;
+                self.start_member(member)?;
             }
-            GroupAct::Pause { who } => self.pause(now, who),
-            GroupAct::Wake { who } => self.resume(now, who),
+            GroupAction::Pause { member } => self.pause(now, member),
+            GroupAction::Resume { member } => self.resume(now, member),
             // Without a membership there is no address to move, and no name to share.
-            GroupAct::Move { .. } | GroupAct::StartNamesake { .. } if !self.settings.membership => {
-            }
-            GroupAct::Move { who } => self.move_member(who)?,
-            GroupAct::StartNamesake { who } => self.start_duplicate(who)?,
-            GroupAct::StopNamesake { who } => self.stop_duplicate(now, who).await,
+            GroupAction::Move { .. } | GroupAction::StartDuplicate { .. }
+                if !self.settings.membership => {}
+            GroupAction::Move { member } => self.move_member(member)?,
+            GroupAction::StartDuplicate { member } => self.start_duplicate(member)?,
+            GroupAction::StopDuplicate { member } => self.stop_duplicate(now, member).await,
         }
         Ok(())
     }
@@ -54,25 +54,25 @@
         fault: LinkFault,
     ) {
         self.relay.add_fault(number, pairs.clone(), fault);
-        let sign = Sign::Hurt {
+        let sign = GroupEvent::LinksFaulted {
             pairs: pairs.clone(),
             cut: fault.cuts(),
             mild: fault.is_mild(),
         };
         self.active_faults
             .insert(number, ActiveFault { pairs, fault });
-        self.observer.hear(now, sign);
+        self.observer.observe(now, sign);
     }
 
     fn remove_link_fault(&mut self, now: Micros, number: u64) {
         self.relay.remove_fault(number);
         if let Some(ActiveFault { pairs, fault }) = self.active_faults.remove(&number) {
-            let sign = Sign::Healed {
+            let sign = GroupEvent::LinksRestored {
                 pairs,
                 cut: fault.cuts(),
                 mild: fault.is_mild(),
             };
-            self.observer.hear(now, sign);
+            self.observer.observe(now, sign);
         }
     }
 
@@ -86,11 +86,11 @@
         self.endpoints[member]
             .closed
             .store(false, Ordering::Relaxed);
-        self.observer.hear(now, Sign::Up { who: member });
+        self.observer.observe(now, GroupEvent::Started { member });
         // A member that starts where it can reach no majority serves by its own list, as its documentation says, so no
         // cordon is held against it until it has been notified.
         self.uninformed.remove(&member);
-        if !self.observer.can_ask(now, member) {
+        if !self.observer.can_reach_majority(now, member) {
             self.uninformed.insert(member);
             let ordered = self.cordoned.then_some(ORDERED_HOST.index);
             let under_maintenance = self.hosts_under_maintenance.iter();
@@ -108,7 +108,7 @@
         self.members[member].process.signal(Signal::SIGTERM);
         self.members[member].process.should_run = false;
         // The others are notified of its leave before its end is seen here, so it is not judged from now on.
-        self.observer.hear(now, Sign::Paused { who: member });
+        self.observer.observe(now, GroupEvent::Paused { member });
     }
 
     fn pause(&mut self, now: Micros, index: usize) {
@@ -120,7 +120,8 @@
         self.endpoints[index].closed.store(true, Ordering::Relaxed);
         member.process.signal(Signal::SIGSTOP);
         self.record_paused(now, index, true);
-        self.observer.hear(now, Sign::Paused { who: index });
+        self.observer
+            .observe(now, GroupEvent::Paused { member: index });
     }
 
     fn resume(&mut self, now: Micros, index: usize) {
@@ -132,19 +133,21 @@
         member.process.signal(Signal::SIGCONT);
         self.endpoints[index].closed.store(false, Ordering::Relaxed);
         self.record_paused(now, index, false);
-        self.observer.hear(now, Sign::Woke { who: index });
-        self.detection.add_wake(now, index);
+        self.observer
+            .observe(now, GroupEvent::Resumed { member: index });
+        self.detection.add_resume(now, index);
     }
 
-    fn record_paused(&mut self, now: Micros, member: usize, still: bool) {
+    fn record_paused(&mut self, now: Micros, member: usize, paused: bool) {
         let balancer = member as u16;
         self.event_log
-            .record(now, Seen::BalancerStill { balancer, still });
+            .record(now, Observation::BalancerPaused { balancer, paused });
     }
 
     fn record_stopped(&mut self, now: Micros, member: usize) {
         let balancer = member as u16;
-        self.event_log.record(now, Seen::BalancerGone { balancer });
+        self.event_log
+            .record(now, Observation::BalancerStopped { balancer });
     }
 
     async fn kill(&mut self, index: usize, empty: bool) {
@@ -162,7 +165,8 @@
         member.up = false;
         member.paused = false;
         self.record_stopped(self.clock.now(), index);
-        self.observer.hear(now, Sign::Down { who: index });
+        self.observer
+            .observe(now, GroupEvent::Stopped { member: index });
         if !told_to_stop {
             self.detection.add_kill(now, index);
         }
@@ -225,11 +229,11 @@
         duplicate.launch()?;
         member.duplicate = Some(duplicate);
         let now = self.clock.now();
-        self.observer.hear(
+        self.observer.observe(
             now,
-            Sign::Doubled {
-                who: index,
-                on: true,
+            GroupEvent::DuplicateRunning {
+                member: index,
+                running: true,
             },
         );
         Ok(())
@@ -238,11 +242,11 @@
     async fn stop_duplicate(&mut self, now: Micros, member: usize) {
         if let Some(mut duplicate) = self.members[member].duplicate.take() {
             duplicate.kill().await;
-            self.observer.hear(
+            self.observer.observe(
                 now,
-                Sign::Doubled {
-                    who: member,
-                    on: false,
+                GroupEvent::DuplicateRunning {
+                    member,
+                    running: false,
                 },
             );
         }
--- a/crates/stairfront-lab/src/balancer_group/detection.rs
+++ b/crates/stairfront-lab/src/balancer_group/detection.rs
@@ -1,8 +1,8 @@
 //! How long members take to detect that another one was killed, or runs again.
 use std::collections::BTreeMap;
 
-use stairfront_emulator::group::Account;
-use stairfront_emulator::time::{to_ms, Micros};
+use stairfront_common::time::{to_ms, Micros};
+use stairfront_emulator::group_observer::MemberReport;
 
 use super::outcome::GroupOutcome;
 use super::Member;
@@ -20,16 +20,16 @@
 }
 
 /// A paused member that runs again.
-struct Wake {
+struct Resume {
     member: usize,
     at: Micros,
 }
 
-/// Kills and wakes of a run, measured by the accounts of the other members.
+/// Kills and resumes of a run, measured by the reports of the other members.
 #[derive(Default)]
 pub(super) struct DetectionTimes {
     kills: Vec<Kill>,
-    wakes: Vec<Wake>,
+    resumes: Vec<Resume>,
 }
 
 impl DetectionTimes {
@@ -41,29 +41,29 @@
         });
     }
 
-    pub(super) fn add_wake(&mut self, at: Micros, member: usize) {
-        self.wakes.push(Wake { member, at });
+    pub(super) fn add_resume(&mut self, at: Micros, member: usize) {
+        self.resumes.push(Resume { member, at });
     }
 
-    /// Updates the times by one member's account.
+    /// Updates the times by one member's report.
     pub(super) fn update(
         &mut self,
         at: Micros,
         observer: usize,
-        account: &Account,
+        report: &MemberReport,
         members: &[Member],
         outcome: &mut GroupOutcome,
     ) {
         for kill in &mut self.kills {
-            kill.update(at, observer, account, members, outcome);
+            kill.update(at, observer, report, members, outcome);
         }
-        let is_alive = |member: usize| state_of(account, member).any(|state| state == "alive");
-        let detected: Vec<usize> = (0..self.wakes.len())
-            .filter(|i| self.wakes[*i].member != observer && is_alive(self.wakes[*i].member))
+        let is_alive = |member: usize| state_of(report, member).any(|state| state == "alive");
+        let detected: Vec<usize> = (0..self.resumes.len())
+            .filter(|i| self.resumes[*i].member != observer && is_alive(self.resumes[*i].member))
             .collect();
         for i in detected.into_iter().rev() {
-            let wake = self.wakes.remove(i);
-            outcome.wake_detected_ms.push(to_ms(at - wake.at));
+            let resume = self.resumes.remove(i);
+            outcome.resume_detected_ms.push(to_ms(at - resume.at));
         }
     }
 }
@@ -73,12 +73,12 @@
         &mut self,
         at: Micros,
         observer: usize,
-        account: &Account,
+        report: &MemberReport,
         members: &[Member],
         outcome: &mut GroupOutcome,
     ) {
         let name = format!("b{}", self.member);
-        let verdict = account
+        let verdict = report
             .members
             .iter()
             .find(|other| other.name == name && other.state == "failed");
@@ -117,9 +117,9 @@
     }
 }
 
-fn state_of(account: &Account, member: usize) -> impl Iterator<Item = &str> {
+fn state_of(report: &MemberReport, member: usize) -> impl Iterator<Item = &str> {
     let name = format!("b{member}");
-    let states = account
+    let states = report
         .members
         .iter()
         .filter(move |other| other.name == name);
--- a/crates/stairfront-lab/src/balancer_group/events.rs
+++ b/crates/stairfront-lab/src/balancer_group/events.rs
@@ -3,9 +3,9 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use stairfront_emulator::group::{Account, Sign};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{from_ms, to_ms, Micros};
+use stairfront_common::time::{from_ms, to_ms, Micros};
+use stairfront_emulator::group_observer::{GroupEvent, MemberReport};
+use stairfront_emulator::rules::Observation;
 use tokio::task::spawn_local;
 
 use super::{host_index, BalancerGroup, CpuSample, ORDERED_HOST};
@@ -18,12 +18,12 @@
 /// Part of the orders that cordon; the others uncordon.
 const CORDON_PROBABILITY: f64 = 0.6;
 
-/// A member's account of its group.
-pub(super) struct MemberAccount {
+/// A member's report of its group, and when it was polled.
+pub(super) struct PolledReport {
     member: usize,
     incarnation: u64,
     at: Micros,
-    account: Account,
+    report: MemberReport,
 }
 
 /// The answer to a worker's call; none where nobody answered.
@@ -34,13 +34,13 @@
 
 /// An answer from a member.
 pub(super) enum MemberMessage {
-    Account(MemberAccount),
+    Report(PolledReport),
     OrderAnswered { accepted: bool, cordon: bool },
     CallAnswered(CallAnswer),
 }
 
 impl BalancerGroup {
-    /// Samples all processes and asks the running ones for their account of the group.
+    /// Samples all processes and asks the running ones for their report of the group.
     pub(super) fn poll_members(
         &mut self,
         now: Micros,
@@ -57,7 +57,7 @@
             if !member.process.is_running() {
                 self.handle_end(now, index)?;
             } else if !member.paused && self.settings.membership {
-                self.request_account(index);
+                self.request_report(index);
             }
         }
         self.count_cpu(now, cpu_us, counted);
@@ -74,12 +74,14 @@
         member.up = false;
         member.paused = false;
         let balancer = index as u16;
-        self.event_log.record(now, Seen::BalancerGone { balancer });
-        self.observer.hear(now, Sign::Down { who: index });
+        self.event_log
+            .record(now, Observation::BalancerStopped { balancer });
+        self.observer
+            .observe(now, GroupEvent::Stopped { member: index });
         Ok(())
     }
 
-    fn request_account(&self, member: usize) {
+    fn request_report(&self, member: usize) {
         let messages = Rc::clone(&self.messages);
         let clock = self.clock;
         let incarnation = self.members[member].incarnation;
@@ -89,16 +91,16 @@
             let Some(answer) = answer.ok().filter(|answer| answer.status == 200) else {
                 return;
             };
-            if let Ok(account) = serde_json::from_slice(&answer.body) {
-                let message = MemberAccount {
+            if let Ok(report) = serde_json::from_slice(&answer.body) {
+                let message = PolledReport {
                     member,
                     incarnation,
                     at: clock.now(),
-                    account,
+                    report,
                 };
                 messages
                     .borrow_mut()
-                    .push_back(MemberMessage::Account(message));
+                    .push_back(MemberMessage::Report(message));
             }
         });
     }
@@ -122,7 +124,7 @@
                 return;
             };
             match message {
-                MemberMessage::Account(account) => self.handle_account(account),
+                MemberMessage::Report(report) => self.handle_report(report),
                 MemberMessage::CallAnswered(answer) => self.call_answers.push(answer),
                 MemberMessage::OrderAnswered { accepted, cordon } => {
                     self.handle_order_answer(accepted, cordon);
@@ -131,36 +133,36 @@
         }
     }
 
-    fn handle_account(&mut self, message: MemberAccount) {
-        let MemberAccount {
+    fn handle_report(&mut self, message: PolledReport) {
+        let PolledReport {
             member: index,
             incarnation,
             at,
-            account,
+            report,
         } = message;
         let member = &self.members[index];
-        // The account of a member that was paused or killed since the request is of an earlier time.
+        // The report of a member that was paused or killed since the request is of an earlier time.
         if !member.up || member.paused || member.incarnation != incarnation {
             return;
         }
         self.detection
-            .update(at, index, &account, &self.members, &mut self.outcome);
-        if self.cordoned && account.cordons.iter().any(|host| host == ORDERED_HOST.name) {
+            .update(at, index, &report, &self.members, &mut self.outcome);
+        if self.cordoned && report.cordons.iter().any(|host| host == ORDERED_HOST.name) {
             self.record_cordon(at, ORDERED_HOST.index, Some(index), true);
         }
         let under_maintenance = self.hosts_under_maintenance.iter();
         let known: Vec<u16> = under_maintenance
-            .filter(|host| account.cordons.contains(host))
+            .filter(|host| report.cordons.contains(host))
             .filter_map(|host| host_index(host))
             .collect();
         for host in known {
             self.record_cordon(at, host, Some(index), true);
         }
-        self.observer.hear(
+        self.observer.observe(
             at,
-            Sign::Said {
-                who: index,
-                account,
+            GroupEvent::Reported {
+                member: index,
+                report,
             },
         );
     }
@@ -172,7 +174,7 @@
             let now = self.clock.now();
             let host = ORDERED_HOST.name.to_string();
             self.cordoned = true;
-            self.observer.hear(now, Sign::Barred { host });
+            self.observer.observe(now, GroupEvent::Cordoned { host });
             self.record_cordon(now, ORDERED_HOST.index, None, true);
         }
     }
@@ -212,7 +214,7 @@
     pub(super) fn uncordon_ordered_host(&mut self, now: Micros) {
         self.cordoned = false;
         let host = ORDERED_HOST.name.to_string();
-        self.observer.hear(now, Sign::Freed { host });
+        self.observer.observe(now, GroupEvent::Uncordoned { host });
         self.record_cordon(now, ORDERED_HOST.index, None, false);
     }
 
@@ -222,7 +224,7 @@
         for member in 0..self.members.len() {
             for _ in 0..each {
                 let length = self.rng.below(MAX_JUNK_BYTES) as usize;
-                let bytes: Vec<u8> = (0..length).map(|_| self.rng.below(256) as u8).collect();
+                let bytes: Vec<u8> = (0..length).map(|_| self.rng.below(256_u64) as u8).collect();
                 // A datagram that cannot be sent is no loss: there are many more.
                 let _ = socket.send_to(&bytes, self.relay.process_address(member));
             }
--- a/crates/stairfront-lab/src/balancer_group/member.rs
+++ b/crates/stairfront-lab/src/balancer_group/member.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use serde_json::{json, Value};
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
 
 use crate::error::RunError;
 use crate::process::BalancerProcess;
--- a/crates/stairfront-lab/src/balancer_group/mod.rs
+++ b/crates/stairfront-lab/src/balancer_group/mod.rs
@@ -1,7 +1,7 @@
 //! The processes of a group in an experiment: started, stopped, paused, restarted without their disk, duplicated, polled
-//! for their account of the group and, as operators do, ordered to cordon.
+//! for their report of the group and, as operators do, ordered to cordon.
 //!
-//! Their accounts go to the observer (`stairfront_emulator::group`) beside the record of what was really done to them.
+//! Their reports go to the observer (`stairfront_emulator::group_observer`) beside the record of what was really done to them.
 mod actions;
 mod detection;
 mod events;
@@ -23,13 +23,13 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::faults::Act as FleetAct;
-use stairfront_emulator::group::{GroupLimits, GroupObserver, GroupReport, Sign};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, to_ms, Micros, MS};
+use stairfront_emulator::faults::FaultAction;
+use stairfront_emulator::group_observer::{GroupEvent, GroupLimits, GroupObserver, GroupReport};
 use stairfront_emulator::group_script::GroupScript;
 use stairfront_emulator::links::LinkFault;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{from_ms, to_ms, Micros, MS};
+use stairfront_emulator::rules::Observation;
 use tokio::time::sleep_until;
 
 use crate::clock::RunClock;
@@ -72,7 +72,7 @@
     /// Number of cache hosts.
     pub caches: usize,
     /// Queue to the run, of changes to the hosts under maintenance.
-    pub host_actions: Rc<RefCell<VecDeque<FleetAct>>>,
+    pub host_actions: Rc<RefCell<VecDeque<FaultAction>>>,
     /// The program that all members run.
     pub build: Build,
     /// Folder for configurations, logs and stores.
@@ -121,13 +121,13 @@
     build: Build,
     /// Answers of members, to be handled in the next turn.
     messages: Rc<RefCell<VecDeque<MemberMessage>>>,
-    rng: Dice,
+    rng: SeededRng,
     detection: DetectionTimes,
     outcome: GroupOutcome,
     /// An order to cordon the ordered host was accepted.
     cordoned: bool,
     workers: Option<Box<dyn MaintenanceWorkers>>,
-    host_actions: Rc<RefCell<VecDeque<FleetAct>>>,
+    host_actions: Rc<RefCell<VecDeque<FaultAction>>>,
     hosts_under_maintenance: BTreeSet<String>,
     pending_restarts: Vec<PendingRestart>,
     /// Answers to the workers' calls, to be handled in the next turn.
@@ -197,12 +197,12 @@
             .collect::<Result<Vec<Member>, RunError>>()?;
         let names = (0..count).map(|member| format!("b{member}")).collect();
         let limits = GroupLimits {
-            whole_again: from_ms(plan.group.recovery_timeout_s * 1e3),
+            recovery_time: from_ms(plan.group.recovery_timeout_s * 1e3),
             ..GroupLimits::default()
         };
         let script = plan.group.script(plan.seed, count);
         let outcome = GroupOutcome {
-            script: script.words(),
+            script: script.describe(),
             ..GroupOutcome::default()
         };
         Ok(BalancerGroup {
@@ -218,7 +218,7 @@
             active_faults: BTreeMap::new(),
             build: plan.build,
             messages: Rc::default(),
-            rng: Dice::new(plan.seed, "operators"),
+            rng: SeededRng::for_part(plan.seed, "operators"),
             detection: DetectionTimes::default(),
             outcome,
             cordoned: false,
@@ -266,7 +266,7 @@
                 self.apply(action).await?;
             }
             if schedule.faults_have_ended(now) {
-                self.observer.hear(now, Sign::Quiet);
+                self.observer.observe(now, GroupEvent::FaultsFinished);
                 self.workers
                     .iter_mut()
                     .for_each(|workers| workers.faults_ended(now));
@@ -315,9 +315,15 @@
     }
 
     /// Records that a host was cordoned or uncordoned, for one member or, with none, for all.
-    fn record_cordon(&mut self, at: Micros, host: u16, member: Option<usize>, on: bool) {
+    fn record_cordon(&mut self, at: Micros, host: u16, member: Option<usize>, cordoned: bool) {
         let balancer = member.map(|member| member as u16);
-        self.event_log
-            .record(at, Seen::Barred { host, balancer, on });
+        self.event_log.record(
+            at,
+            Observation::Cordoned {
+                host,
+                balancer,
+                cordoned,
+            },
+        );
     }
 }
--- a/crates/stairfront-lab/src/balancer_group/outcome.rs
+++ b/crates/stairfront-lab/src/balancer_group/outcome.rs
@@ -1,6 +1,6 @@
 //! The figures of a group's run.
 use serde::Serialize;
-use stairfront_emulator::group::GroupReport;
+use stairfront_emulator::group_observer::GroupReport;
 
 use crate::maintenance::MaintenanceOutcome;
 
@@ -21,7 +21,7 @@
     pub detected_by_all_ms: Vec<f64>,
     /// From a resume until another member has the resumed one alive, in milliseconds.
     #[serde(rename = "woken_ms")]
-    pub wake_detected_ms: Vec<f64>,
+    pub resume_detected_ms: Vec<f64>,
     /// Cordon orders that were accepted.
     #[serde(rename = "orders_yes")]
     pub orders_accepted: u64,
--- a/crates/stairfront-lab/src/balancer_group/schedule.rs
+++ b/crates/stairfront-lab/src/balancer_group/schedule.rs
@@ -2,8 +2,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use stairfront_emulator::group_script::{GroupAct, GroupScript};
-use stairfront_emulator::time::{Micros, MS};
+use stairfront_common::time::{Micros, MS};
+use stairfront_emulator::group_script::{GroupAction, GroupScript, ScheduledGroupAction};
 
 /// Time between two polls of each member; longer where there are many.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
@@ -13,7 +13,7 @@
 
 /// Times of a run's actions, polls, orders and junk.
 pub(super) struct Schedule {
-    actions: VecDeque<(Micros, GroupAct)>,
+    actions: VecDeque<ScheduledGroupAction>,
     last_fault_end: Micros,
     faults_ended: bool,
     poll_interval: Micros,
@@ -27,8 +27,8 @@
     pub(super) fn new(script: &GroupScript, members: usize, now: Micros) -> Self {
         let poll_interval = POLL_INTERVAL.max(POLL_INTERVAL_PER_MEMBER * members as u32);
         Schedule {
-            actions: script.acts().into(),
-            last_fault_end: script.ends(),
+            actions: script.actions().into(),
+            last_fault_end: script.end(),
             faults_ended: false,
             poll_interval: poll_interval.as_micros() as Micros,
             next_poll: now,
@@ -38,12 +38,12 @@
     }
 
     /// The next action that is due.
-    pub(super) fn next_action(&mut self, now: Micros) -> Option<GroupAct> {
-        let is_due = self.actions.front().is_some_and(|(at, _)| *at <= now);
+    pub(super) fn next_action(&mut self, now: Micros) -> Option<GroupAction> {
+        let is_due = self.actions.front().is_some_and(|next| next.at <= now);
         is_due
             .then(|| self.actions.pop_front())
             .flatten()
-            .map(|(_, action)| action)
+            .map(|next| next.action)
     }
 
     /// True once, when the last fault has ended.
@@ -77,7 +77,7 @@
 
     /// Time of the next action, poll or order.
     pub(super) fn next_due(&self) -> Micros {
-        let next_action = self.actions.front().map_or(Micros::MAX, |(at, _)| *at);
+        let next_action = self.actions.front().map_or(Micros::MAX, |next| next.at);
         let next_order = self.next_order.unwrap_or(Micros::MAX);
         next_action.min(self.next_poll).min(next_order)
     }
--- a/crates/stairfront-lab/src/balancer_group/settings.rs
+++ b/crates/stairfront-lab/src/balancer_group/settings.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use stairfront_emulator::group_script::{Budget, GroupScript, TimedTrouble};
-use stairfront_emulator::time::{from_ms, Micros, SECOND};
+use stairfront_common::time::{from_ms, Micros, SECOND};
+use stairfront_emulator::group_script::{FaultBudget, GroupScript, TimedGroupFault};
 
 use crate::maintenance::MaintenanceSettings;
 
@@ -21,10 +21,11 @@
     #[serde(rename = "knows")]
     pub membership: bool,
     /// Faults at the times given here.
-    pub troubles: Vec<TimedTrouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<TimedGroupFault>,
     /// Faults drawn from the run's seed, from `first_s` on.
     #[serde(rename = "drawn")]
-    pub random_faults: Option<Budget>,
+    pub random_faults: Option<FaultBudget>,
     /// Time of the first drawn fault and the first order, in seconds.
     pub first_s: f64,
     /// Mean time between two cordon orders for the group, in seconds; 0 for none.
@@ -50,7 +51,7 @@
     fn default() -> Self {
         GroupSettings {
             membership: true,
-            troubles: Vec::new(),
+            faults: Vec::new(),
             random_faults: None,
             first_s: 6.0,
             order_interval_s: 0.0,
@@ -78,10 +79,10 @@
             .map(|budget| GroupScript::draw(seed, members, budget, first));
         let mut script = drawn.unwrap_or(GroupScript {
             members,
-            troubles: Vec::new(),
+            faults: Vec::new(),
         });
-        script.troubles.extend(self.troubles.iter().cloned());
-        script.troubles.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        script.faults.extend(self.faults.iter().cloned());
+        script.faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         script
     }
 
--- a/crates/stairfront-lab/src/balancer_group/workers.rs
+++ b/crates/stairfront-lab/src/balancer_group/workers.rs
@@ -1,9 +1,9 @@
 //! Carries out what maintenance workers want done.
 use std::rc::Rc;
 
-use stairfront_emulator::faults::Act as FleetAct;
-use stairfront_emulator::group_script::GroupAct;
-use stairfront_emulator::time::{Micros, MS};
+use stairfront_common::time::{Micros, MS};
+use stairfront_emulator::faults::FaultAction;
+use stairfront_emulator::group_script::GroupAction;
 use tokio::task::spawn_local;
 
 use super::events::{CallAnswer, MemberMessage};
@@ -90,7 +90,7 @@
         self.record_cordon(now, index, None, on);
         // A member that came back where it can reach no majority serves by its last list, and nobody can notify it.
         self.uninformed
-            .retain(|member| !self.observer.can_ask(now, *member));
+            .retain(|member| !self.observer.can_reach_majority(now, *member));
         let uninformed: Vec<usize> = self.uninformed.iter().copied().collect();
         for member in uninformed.into_iter().filter(|_| on) {
             self.record_cordon(now, index, Some(member), false);
@@ -99,9 +99,9 @@
         if maintenance.is_some_and(|plan| plan.restarts) {
             let host = usize::from(index);
             let action = if on {
-                FleetAct::Kill { host }
+                FaultAction::Kill { host }
             } else {
-                FleetAct::Start { host }
+                FaultAction::Start { host }
             };
             self.host_actions.borrow_mut().push_back(action);
         }
@@ -119,7 +119,7 @@
             .and_then(|index| index.parse::<usize>().ok());
         match index.filter(|member| running.contains(member)) {
             Some(member) => {
-                self.apply(GroupAct::Term { who: member }).await?;
+                self.apply(GroupAction::Term { member }).await?;
                 self.pending_restarts.push(PendingRestart {
                     at: now + RESTART_DELAY,
                     member,
@@ -142,7 +142,7 @@
         let due: Vec<usize> = due.map(|restart| restart.member).collect();
         self.pending_restarts.retain(|restart| restart.at > now);
         for member in due {
-            self.apply(GroupAct::Start { who: member }).await?;
+            self.apply(GroupAction::Start { member }).await?;
         }
         Ok(())
     }
--- a/crates/stairfront-lab/src/clock.rs
+++ b/crates/stairfront-lab/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of a run: microseconds since its requests begin, the same on all threads.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
 
 /// A clock that shows 0 when the requests of a run begin.
 #[derive(Clone, Copy, Debug)]
--- a/crates/stairfront-lab/src/compare/group_table.rs
+++ b/crates/stairfront-lab/src/compare/group_table.rs
@@ -53,11 +53,11 @@
     format!(
         "\ngroup, {variant}, {} runs: {}; judged {} times alive, {} dead, {} in their standing, of {} accounts",
         runs.len(),
-        rule_result(sum(runs, |group| group.report.broken)),
-        sum(runs, |group| group.report.figures.judged_alive),
-        sum(runs, |group| group.report.figures.judged_dead),
-        sum(runs, |group| group.report.figures.judged_standing),
-        sum(runs, |group| group.report.figures.accounts),
+        rule_result(sum(runs, |group| group.report.violations)),
+        sum(runs, |group| group.report.metrics.judged_alive),
+        sum(runs, |group| group.report.metrics.judged_dead),
+        sum(runs, |group| group.report.metrics.judged_quorum),
+        sum(runs, |group| group.report.metrics.reports),
     )
 }
 
@@ -68,7 +68,7 @@
     };
     let recovery = runs
         .iter()
-        .filter_map(|run| run.group.report.figures.whole_after_ms);
+        .filter_map(|run| run.group.report.metrics.complete_after_ms);
     let recovery = percentiles(recovery.collect());
     [
         format!("  whole after the last trouble (median, p99, most): {recovery}"),
@@ -82,7 +82,7 @@
         ),
         format!(
             "  a woken one alive at another again: {}",
-            all(|group| &group.wake_detected_ms)
+            all(|group| &group.resume_detected_ms)
         ),
     ]
 }
@@ -103,7 +103,7 @@
 
 fn breach_lines(runs: &[GroupRun<'_>]) -> Vec<String> {
     let mut lines = Vec::new();
-    for run in runs.iter().filter(|run| run.group.report.broken > 0) {
+    for run in runs.iter().filter(|run| run.group.report.violations > 0) {
         let examples = &run.group.report.examples;
         lines.extend(script_lines(run.seed, &run.group.script));
         lines.extend(indented(examples).take(MAX_GROUP_EXAMPLES));
--- a/crates/stairfront-lab/src/compare/mod.rs
+++ b/crates/stairfront-lab/src/compare/mod.rs
@@ -1,4 +1,4 @@
-//! An experiment as a whole: variants in turn, A B A B, over all seeds; their ratios; the search for the knee.
+//! A complete experiment: variants in turn, A B A B, over all seeds; their ratios; the search for the knee.
 mod group_table;
 mod ratios;
 mod table;
--- a/crates/stairfront-lab/src/compare/table.rs
+++ b/crates/stairfront-lab/src/compare/table.rs
@@ -133,7 +133,7 @@
 fn rule_lines(runs: &[Outcome]) -> Vec<String> {
     let mut lines = Vec::new();
     for (i, name) in RULES.iter().enumerate() {
-        let broken: u64 = runs.iter().map(|run| run.rules.rules[i].broken).sum();
+        let broken: u64 = runs.iter().map(|run| run.rules.rules[i].violations).sum();
         lines.push(format!("rule {name}: {}", rule_result(broken)));
         let examples = runs.iter().flat_map(|run| {
             let line =
@@ -158,11 +158,11 @@
     format!(
         "latest answer {:+.1} ms from its deadline; {:.0} attempts at most, {:.1} ms together at most; \
          latest to a leaving server {:.1} ms; most into a cold one {:.2} of what it bears; origin stopped {:.0} times",
-        max(|run| run.rules.figures.latest_ms),
-        max(|run| run.rules.figures.most_attempts as f64),
-        max(|run| run.rules.figures.longest_overlap_ms),
-        max(|run| run.rules.figures.latest_to_leaving_ms),
+        max(|run| run.rules.metrics.max_lateness_ms),
+        max(|run| run.rules.metrics.max_attempts as f64),
+        max(|run| run.rules.metrics.max_overlap_ms),
+        max(|run| run.rules.metrics.max_after_drain_ms),
         max(max_cold),
-        max(|run| run.rules.figures.origin_stops as f64),
+        max(|run| run.rules.metrics.origin_stops as f64),
     )
 }
--- a/crates/stairfront-lab/src/event_log.rs
+++ b/crates/stairfront-lab/src/event_log.rs
@@ -1,8 +1,8 @@
 //! The observations of clients, servers and the run, on their way to the thread that checks the rules and counts loads over time.
 use std::sync::mpsc::{Receiver, Sender};
 
-use stairfront_emulator::rules::{Checker, Limits, Report, Seen};
-use stairfront_emulator::time::{Micros, SECOND};
+use stairfront_common::time::{Micros, SECOND};
+use stairfront_emulator::rules::{Observation, RuleChecker, RuleLimits, RuleReport};
 
 use crate::clock::RunClock;
 use crate::live_counters::LiveCounters;
@@ -22,7 +22,7 @@
     /// When it was seen.
     pub at: Micros,
     /// The observation.
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 /// A thread's way to the checker.
@@ -48,11 +48,11 @@
     }
 
     /// Adds an event, and hands the batch over if it is full.
-    pub fn record(&mut self, at: Micros, seen: Seen) {
+    pub fn record(&mut self, at: Micros, observation: Observation) {
         if self.batch.is_empty() {
             self.first_at = at;
         }
-        self.batch.push(Event { at, seen });
+        self.batch.push(Event { at, observation });
         if self.batch.len() >= MAX_BATCH_EVENTS {
             self.flush();
         }
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RecordedRun {
     /// The checker's report.
-    pub rules: Report,
+    pub rules: RuleReport,
     /// Attempts that began at each host in each interval; the origin last.
     pub attempts: Vec<Vec<u32>>,
 }
@@ -91,27 +91,27 @@
 /// Handles the events of all logs until the last log ends.
 pub fn record(
     events: Receiver<Vec<Event>>,
-    limits: Limits,
+    limits: RuleLimits,
     hosts: usize,
     live_counters: &LiveCounters,
 ) -> RecordedRun {
-    let mut checker = Checker::new(limits);
+    let mut checker = RuleChecker::new(limits);
     let mut attempts = vec![Vec::new(); hosts];
     let mut handled = 0;
     for batch in events {
         handled += batch.len();
-        for Event { at, seen } in batch {
-            if let Seen::Began { host, .. } = seen {
+        for Event { at, observation } in batch {
+            if let Observation::AttemptStarted { host, .. } = observation {
                 live_counters.record_attempt(usize::from(host));
                 if let Some(series) = attempts.get_mut(usize::from(host)) {
                     count(series, at);
                 }
             }
-            checker.hear(at, seen);
+            checker.observe(at, observation);
         }
         if handled > CHECK_INTERVAL_EVENTS {
             handled = 0;
-            checker.settle();
+            checker.judge_finished();
         }
     }
     RecordedRun {
--- a/crates/stairfront-lab/src/experiment/mod.rs
+++ b/crates/stairfront-lab/src/experiment/mod.rs
@@ -1,7 +1,9 @@
 //! Experiments as they are written in TOML files: what is run, against what, with which faults, and what is compared.
+mod invalid_setting;
 mod settings;
 mod validate;
 
+pub use invalid_setting::InvalidSetting;
 pub use settings::{BalancerSettings, ClientSettings, FleetSettings, KneeSearch, Variant};
 
 use std::fs;
@@ -9,10 +11,10 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
+use stairfront_common::time::{from_ms, Micros};
 use stairfront_emulator::arrivals::TenantTraffic;
-use stairfront_emulator::client::{ClassSettings, Repeats};
-use stairfront_emulator::faults::{Script, Stage, TimedFault};
-use stairfront_emulator::time::{from_ms, Micros};
+use stairfront_emulator::client::{ClassSettings, Idempotency};
+use stairfront_emulator::faults::{FaultScript, HostTarget, ScriptTargets, TimedFault};
 
 use crate::balancer_group::GroupSettings;
 use crate::fleet::{FleetPlan, HostPlan};
@@ -39,12 +41,12 @@
         message: String,
     },
     /// Values are out of range or do not go together.
-    #[error("{path}: {}", errors.join(&format!("\n{path}: ")))]
+    #[error("{}", invalid_setting::lines(path, errors))]
     Invalid {
         /// Path of the file.
         path: String,
-        /// All errors, each with its key.
-        errors: Vec<String>,
+        /// All errors, in the order of the file's parts.
+        errors: Vec<InvalidSetting>,
     },
 }
 
@@ -118,11 +120,11 @@
 fn default_classes() -> Vec<ClassSettings> {
     vec![ClassSettings {
         name: "read".into(),
-        aim_ms: 250.0,
+        latency_objective_ms: 250.0,
         deadline_ms: 1000.0,
-        repeats: Repeats::Safe,
+        idempotency: Idempotency::Idempotent,
         write: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         value_bytes: 0,
     }]
 }
@@ -205,18 +207,23 @@
     }
 
     /// The hosts and balancers that faults may name.
-    fn stage(&self, seed: u64) -> Stage {
+    fn stage(&self, seed: u64) -> ScriptTargets {
         let hosts = self.fleet_plan(seed).hosts.into_iter();
-        Stage {
-            hosts: hosts.map(|host| (host.name, host.zone)).collect(),
+        ScriptTargets {
+            hosts: hosts
+                .map(|host| HostTarget {
+                    name: host.name,
+                    zone: host.zone,
+                })
+                .collect(),
             balancers: self.balancers.count,
         }
     }
 
     /// The faults of a run, with their times and texts.
-    pub fn fault_script(&self, seed: u64) -> Script {
+    pub fn fault_script(&self, seed: u64) -> FaultScript {
         // Faults that cannot be laid out were found by the validation.
-        Script::lay_out(&self.faults, &self.stage(seed), seed).unwrap_or_default()
+        FaultScript::build(&self.faults, &self.stage(seed), seed).unwrap_or_default()
     }
 
     /// A balancer's settings in the platform's form.
@@ -224,8 +231,8 @@
         let settings = &self.balancers;
         let cache = &self.fleet.cache;
         let class = |class: &ClassSettings| {
-            json!({"name": class.name, "semantics": semantics(class.repeats), "group": "all", "key_ttl": cache.keyed_ms,
-                   "aim": class.aim_ms, "deadline": class.deadline_ms, "worth": class.worth})
+            json!({"name": class.name, "semantics": semantics(class.idempotency), "group": "all", "key_ttl": cache.idempotency_ttl_ms,
+                   "aim": class.latency_objective_ms, "deadline": class.deadline_ms, "worth": class.priority_weight})
         };
         let tenant = |tenant: &TenantTraffic| json!({"name": tenant.name, "quota_rps": rate * tenant.share, "share": tenant.share});
         let mode = match cache.fetch {
@@ -241,18 +248,18 @@
             "caps": {"most_tries": settings.max_attempts, "connect_timeout": settings.connect_timeout_ms,
                      "keepalive": cache.idle_ms, "retry_after": settings.max_retry_after_ms > 0.0,
                      "max_retry_after": settings.max_retry_after_ms, "cancel": settings.may_cancel},
-            "report": {"fields": cache.report},
-            "rules": {"answer_slack": 20.0, "stop_sending_within": settings.grace_ms, "cold_from": cache.cold_from,
-                      "warm_up": cache.warm_up_ms, "fall_multiple": cache.fall_multiple, "fall": cache.fall_ms}
+            "report": {"fields": cache.report_fields},
+            "rules": {"answer_slack": 20.0, "stop_sending_within": settings.grace_ms, "cold_from": cache.cold_capacity,
+                      "warm_up": cache.warm_up_ms, "fall_multiple": cache.overload_multiple, "fall": cache.overload_window_ms}
         })
     }
 }
 
 /// The platform's word for how a class may be repeated.
-fn semantics(repeats: Repeats) -> &'static str {
-    match repeats {
-        Repeats::Safe => "free",
-        Repeats::Keyed => "guarded",
-        Repeats::Unsafe => "single_shot",
+fn semantics(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "free",
+        Idempotency::Keyed => "guarded",
+        Idempotency::NotIdempotent => "single_shot",
     }
 }
--- a/crates/stairfront-lab/src/experiment/validate.rs
+++ b/crates/stairfront-lab/src/experiment/validate.rs
@@ -1,8 +1,9 @@
 //! Checks of an experiment that no type expresses. All errors are found at once, each with its key.
-use stairfront_emulator::faults::Script;
-use stairfront_emulator::time::from_ms;
+use stairfront_common::time::from_ms;
+use stairfront_emulator::faults::FaultScript;
+use stairfront_emulator::settings_error::SettingsError;
 
-use super::{Experiment, Variant};
+use super::{Experiment, InvalidSetting, Variant};
 use crate::balancer_group::GroupSettings;
 
 /// Keys that an entry under `faults` may have, whatever its kind.
@@ -30,20 +31,27 @@
 /// The errors found so far.
 #[derive(Default)]
 struct Errors {
-    found: Vec<String>,
+    found: Vec<InvalidSetting>,
 }
 
 impl Errors {
-    fn require(&mut self, valid: bool, key: &str, message: &str) {
+    fn require(&mut self, valid: bool, key: &str, reason: &'static str) {
         if !valid {
-            self.found.push(format!("{key}: {message}"));
+            let key = key.to_string();
+            self.found.push(InvalidSetting::Value { key, reason });
+        }
+    }
+
+    fn check_model(&mut self, table: &'static str, checked: Result<(), SettingsError>) {
+        if let Err(source) = checked {
+            self.found.push(InvalidSetting::Model { table, source });
         }
     }
 }
 
 impl Experiment {
     /// All errors, in the order of the file's parts.
-    pub(super) fn validate(&self) -> Vec<String> {
+    pub(super) fn validate(&self) -> Vec<InvalidSetting> {
         let mut errors = Errors::default();
         self.check_runs(&mut errors);
         if let Some(group) = &self.group {
@@ -56,8 +64,8 @@
         }
         self.check_knee(&mut errors);
         self.check_models(&mut errors);
-        if let Err(error) = Script::lay_out(&self.faults, &self.stage(1), 1) {
-            errors.found.push(error.to_string());
+        if let Err(error) = FaultScript::build(&self.faults, &self.stage(1), 1) {
+            errors.found.push(error.into());
         }
         errors.found
     }
@@ -91,7 +99,7 @@
         let of_balancers = self
             .faults
             .iter()
-            .any(|timed| timed.fault.is_of_balancers());
+            .any(|timed| timed.fault.affects_balancers());
         errors.require(
             self.group.is_none() || !of_balancers,
             "faults",
@@ -102,24 +110,24 @@
     fn check_group(&self, group: &GroupSettings, errors: &mut Errors) {
         let count = self.balancers.count;
         let mut touched = group
-            .troubles
+            .faults
             .iter()
-            .flat_map(|timed| timed.trouble.touched());
+            .flat_map(|timed| timed.fault.affected_members());
         errors.require(
             touched.all(|member| member < count),
             "group.troubles",
             "names a balancer that there is not; they are counted from 0",
         );
-        let mut times = group.troubles.iter();
+        let mut times = group.faults.iter();
         errors.require(
-            times.all(|timed| timed.at_ms >= 0.0 && timed.lasts_ms >= 0.0),
+            times.all(|timed| timed.at_ms >= 0.0 && timed.duration_ms >= 0.0),
             "group.troubles",
             "at_ms and lasts_ms must be 0 or more",
         );
         let ends = self
             .seeds
             .iter()
-            .map(|seed| group.script(*seed, count).ends());
+            .map(|seed| group.script(*seed, count).end());
         let last = ends.max().unwrap_or(0);
         errors.require(
             from_ms(self.seconds * 1e3) - last >= group.time_after_faults(),
@@ -151,8 +159,8 @@
             "at least one is needed",
         );
         for (i, class) in self.classes.iter().enumerate() {
-            let valid = class.aim_ms > 0.0
-                && class.deadline_ms >= class.aim_ms
+            let valid = class.latency_objective_ms > 0.0
+                && class.deadline_ms >= class.latency_objective_ms
                 && class.deadline_ms <= MAX_DEADLINE_MS;
             errors.require(
                 valid,
@@ -174,19 +182,11 @@
 
     /// Checks the settings of servers and clients, which know their own ranges.
     fn check_models(&self, errors: &mut Errors) {
-        if let Some((key, message)) = self.fleet.cache.fault() {
-            errors.found.push(format!("fleet.cache.{key}: {message}"));
-        }
-        if let Some((key, message)) = self.fleet.origin.fault() {
-            errors.found.push(format!("fleet.origin.{key}: {message}"));
-        }
-        if let Some((key, message)) = self.clients.traffic.fault() {
-            errors
-                .found
-                .push(format!("clients.traffic.{key}: {message}"));
-        }
+        errors.check_model("fleet.cache", self.fleet.cache.validate());
+        errors.check_model("fleet.origin", self.fleet.origin.validate());
+        errors.check_model("clients.traffic", self.clients.traffic.validate());
         if let Err(error) = self.clients.behavior.validate() {
-            errors.found.push(format!("clients.habits.{error}"));
+            errors.found.push(InvalidSetting::Behavior(error));
         }
         errors.require(
             self.clients.traffic.classes.len() <= self.classes.len(),
@@ -219,13 +219,16 @@
 }
 
 /// Unknown keys under `faults`, which serde cannot reject there since the kinds are flattened.
-pub(super) fn unknown_fault_keys(experiment: &toml::Table) -> Vec<String> {
+pub(super) fn unknown_fault_keys(experiment: &toml::Table) -> Vec<InvalidSetting> {
     let faults = experiment.get("faults").and_then(toml::Value::as_array);
     let mut found = Vec::new();
-    for (i, entry) in faults.into_iter().flatten().enumerate() {
+    for (index, entry) in faults.into_iter().flatten().enumerate() {
         let keys = entry.as_table().into_iter().flat_map(|table| table.keys());
         let unknown = keys.filter(|key| !FAULT_KEYS.contains(&key.as_str()));
-        found.extend(unknown.map(|key| format!("faults[{i}].{key}: unknown key")));
+        found.extend(unknown.map(|key| InvalidSetting::UnknownFaultKey {
+            index,
+            key: key.clone(),
+        }));
     }
     found
 }
--- a/crates/stairfront-lab/src/fleet/addresses.rs
+++ b/crates/stairfront-lab/src/fleet/addresses.rs
@@ -2,7 +2,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use stairfront_emulator::agent::{Line, Status};
+use stairfront_emulator::discovery_agent::{EndpointRecord, EndpointStatus};
 
 use super::{AgentAddresses, FleetPlan};
 use crate::server_host::ReservedAddress;
@@ -42,9 +42,14 @@
     }
 
     /// The list of servers that a balancer's agent has.
-    pub(super) fn list(&self, plan: &FleetPlan, balancer: usize, since_ms: u64) -> Vec<Line> {
+    pub(super) fn list(
+        &self,
+        plan: &FleetPlan,
+        balancer: usize,
+        since_ms: u64,
+    ) -> Vec<EndpointRecord> {
         let hosts = plan.hosts.iter().zip(&self.hosts);
-        let caches = hosts.map(|(host, addresses)| Line {
+        let caches = hosts.map(|(host, addresses)| EndpointRecord {
             since_ms,
             ..server(&host.name, &host.zone, "cache", &addresses[balancer])
         });
@@ -69,14 +74,14 @@
     }
 }
 
-fn server(name: &str, zone: &str, kind: &str, address: &ReservedAddress) -> Line {
-    Line {
+fn server(name: &str, zone: &str, kind: &str, address: &ReservedAddress) -> EndpointRecord {
+    EndpointRecord {
         name: name.to_string(),
         address: address.address().to_string(),
         zone: zone.to_string(),
         kind: kind.to_string(),
         group: 0,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         since_ms: 0,
     }
 }
--- a/crates/stairfront-lab/src/fleet/faults.rs
+++ b/crates/stairfront-lab/src/fleet/faults.rs
@@ -2,9 +2,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stairfront_emulator::cache_host::Ailments;
-use stairfront_emulator::faults::Act;
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::ServerFaults;
+use stairfront_emulator::faults::FaultAction;
 use tokio::task::spawn_local;
 
 use super::server_thread::ServerThread;
@@ -16,53 +16,59 @@
 
 impl ServerThread {
     /// Applies a fault to the stand-ins of this thread that it concerns.
-    pub(super) fn apply(&mut self, action: Act) {
+    pub(super) fn apply(&mut self, action: FaultAction) {
         match action {
-            Act::Slow { host, factor } => self.change_faults(host, |faults| faults.slow = factor),
-            Act::Lose { host, chance } => self.change_faults(host, |faults| faults.lost = chance),
-            Act::Spoil { host, chance } => {
-                self.change_faults(host, |faults| faults.spoilt = chance)
+            FaultAction::Slow { host, factor } => {
+                self.change_faults(host, |faults| faults.slowdown = factor)
             }
-            Act::Double { host, chance } => {
-                self.change_faults(host, |faults| faults.doubled = chance)
+            FaultAction::DropAnswers { host, chance } => {
+                self.change_faults(host, |faults| faults.drop_chance = chance)
             }
-            Act::Reset { host, chance } => self.change_faults(host, |faults| faults.reset = chance),
-            Act::SlowOrigin { factor } => self.slow_origin(factor),
-            Act::Freeze { host } | Act::CutOff { host } => {
+            FaultAction::CorruptAnswers { host, chance } => {
+                self.change_faults(host, |faults| faults.corrupt_chance = chance)
+            }
+            FaultAction::DuplicateAnswers { host, chance } => {
+                self.change_faults(host, |faults| faults.duplicate_chance = chance)
+            }
+            FaultAction::ResetConnections { host, chance } => {
+                self.change_faults(host, |faults| faults.reset_chance = chance)
+            }
+            FaultAction::SlowOrigin { factor } => self.slow_origin(factor),
+            FaultAction::Freeze { host } | FaultAction::CutOff { host } => {
                 self.with_host(host, |host| host.pause())
             }
-            Act::Thaw { host } => self.with_host(host, |host| host.resume()),
-            Act::Mend { host } => self.with_host(host, |host| {
+            FaultAction::Unfreeze { host } => self.with_host(host, |host| host.resume()),
+            FaultAction::Reconnect { host } => self.with_host(host, |host| {
                 // Connections that were open across the cut are reset when the network is back.
                 host.reset_all();
                 host.resume();
             }),
-            Act::Kill { host } => self.with_host(host, |host| {
+            FaultAction::Kill { host } => self.with_host(host, |host| {
                 host.with(|service, _, _| service.model.stop());
                 host.die();
             }),
-            Act::Start { host } => self.start_host(host),
-            Act::Void { host, part } => self.with_host(host, |host| {
-                host.with(|service, _, _| service.model.void(part));
+            FaultAction::Start { host } => self.start_host(host),
+            FaultAction::InvalidateCache { host, fraction } => self.with_host(host, |host| {
+                host.with(|service, _, _| service.model.invalidate_fraction(fraction));
             }),
-            Act::Drain { host, draining } => self.with_host(host, |host| {
+            FaultAction::Drain { host, draining } => self.with_host(host, |host| {
                 host.with(|service, _, _| service.model.drain(draining));
             }),
-            Act::Silence { on } => {
-                self.change_agents(|agent, now, outputs| agent.set_silent(now, on, outputs));
+            FaultAction::SilenceDiscovery { silent } => {
+                self.change_agents(|agent, now, outputs| agent.set_silent(now, silent, outputs));
             }
-            Act::Stale { on } => {
-                self.change_agents(|agent, now, outputs| agent.set_stale(now, on, outputs));
+            FaultAction::FreezeDiscovery { frozen } => {
+                self.change_agents(|agent, now, outputs| agent.set_frozen(now, frozen, outputs));
             }
-            Act::MoveDiscovery => self.move_discovery(),
+            FaultAction::MoveDiscovery => self.move_discovery(),
             // These are applied by who runs the balancers, or come as a change of the list.
-            Act::ListDraining { .. }
-            | Act::ListServing { .. }
-            | Act::KillBalancer { .. }
-            | Act::TermBalancer { .. }
-            | Act::StartBalancer { .. }
-            | Act::FreezeBalancer { .. }
-            | Act::ThawBalancer { .. } => {}
+            FaultAction::ListDraining { .. }
+            | FaultAction::ListServing { .. }
+            | FaultAction::KillBalancer { .. }
+            | FaultAction::TermBalancer { .. }
+            | FaultAction::StartBalancer { .. }
+            | FaultAction::FreezeBalancer { .. }
+            | FaultAction::UnfreezeBalancer { .. } => {}
         }
     }
 
@@ -72,19 +78,19 @@
         }
     }
 
-    fn change_faults(&self, host: usize, change: impl FnOnce(&mut Ailments)) {
+    fn change_faults(&self, host: usize, change: impl FnOnce(&mut ServerFaults)) {
         self.with_host(host, |server| {
             server.with(|service, _, _| {
-                let mut faults = service.model.ailments();
+                let mut faults = service.model.faults();
                 change(&mut faults);
-                service.model.set_ailments(faults);
+                service.model.set_faults(faults);
             });
         });
     }
 
     fn slow_origin(&self, factor: f64) {
         if let Some(origin) = &self.origin {
-            origin.with(|service, _, _| service.model.set_slow(factor));
+            origin.with(|service, _, _| service.model.set_slowdown(factor));
         }
     }
 
--- a/crates/stairfront-lab/src/fleet/mod.rs
+++ b/crates/stairfront-lab/src/fleet/mod.rs
@@ -9,11 +9,11 @@
 use std::thread::JoinHandle;
 
 use serde_json::Value;
-use stairfront_emulator::agent::{Agent, Line, Status};
-use stairfront_emulator::cache_host::{CacheSettings, RepeatGroup};
-use stairfront_emulator::faults::Act;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{CacheSettings, IdempotencyStore};
+use stairfront_emulator::discovery_agent::{DiscoveryAgent, EndpointRecord, EndpointStatus};
+use stairfront_emulator::faults::FaultAction;
 use stairfront_emulator::origin::OriginSettings;
-use stairfront_emulator::time::Micros;
 use tokio::sync::mpsc;
 
 use crate::clock::RunClock;
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ListChange {
     host: usize,
-    status: Status,
+    status: EndpointStatus,
     /// New start time in Unix milliseconds; 0 keeps the old one.
     since_ms: u64,
 }
@@ -66,7 +66,7 @@
 /// A command to a thread of stand-ins.
 #[derive(Clone, Debug)]
 enum FleetCommand {
-    Apply(Act),
+    Apply(FaultAction),
     Notify(OriginNotification),
     ChangeList(ListChange),
     /// Gives what was counted, and ends.
@@ -118,12 +118,12 @@
         } else {
             0
         };
-        let lists: Vec<Vec<Line>> = (0..plan.balancers)
+        let lists: Vec<Vec<EndpointRecord>> = (0..plan.balancers)
             .map(|balancer| addresses.list(&plan, balancer, since_ms))
             .collect();
         let initial_lists = lists
             .iter()
-            .map(|list| Agent::new(list.clone(), 0).snapshot());
+            .map(|list| DiscoveryAgent::new(list.clone(), 0).snapshot());
         let initial_lists = initial_lists.collect();
         let hosts = addresses.first_of_each_host();
         let agents = addresses.agents();
@@ -174,19 +174,21 @@
     }
 
     /// Applies a fault to hosts, and to discovery's lists where these show it.
-    pub fn apply(&self, action: Act) {
+    pub fn apply(&self, action: FaultAction) {
         let now = self.clock.unix_ms(self.clock.now());
         match action {
-            Act::Kill { host } => self.change_list(host, Status::Gone, 0),
-            Act::Start { host } => self.change_list(host, Status::Serving, now),
-            Act::ListDraining { host } => self.change_list(host, Status::Draining, 0),
-            Act::ListServing { host } => self.change_list(host, Status::Serving, 0),
+            FaultAction::Kill { host } => self.change_list(host, EndpointStatus::Removed, 0),
+            FaultAction::Start { host } => self.change_list(host, EndpointStatus::Serving, now),
+            FaultAction::ListDraining { host } => {
+                self.change_list(host, EndpointStatus::Draining, 0)
+            }
+            FaultAction::ListServing { host } => self.change_list(host, EndpointStatus::Serving, 0),
             _ => {}
         }
         self.send(&FleetCommand::Apply(action));
     }
 
-    fn change_list(&self, host: usize, status: Status, since_ms: u64) {
+    fn change_list(&self, host: usize, status: EndpointStatus, since_ms: u64) {
         self.send(&FleetCommand::ChangeList(ListChange {
             host,
             status,
@@ -229,10 +231,10 @@
 fn divide(
     plan: &FleetPlan,
     addresses: FleetAddresses,
-    lists: Vec<Vec<Line>>,
+    lists: Vec<Vec<EndpointRecord>>,
     threads: usize,
 ) -> Vec<FleetPart> {
-    let group = RepeatGroup::shared();
+    let group = IdempotencyStore::shared();
     let mut parts: Vec<FleetPart> = (0..threads).map(|_| FleetPart::default()).collect();
     for (index, addresses) in addresses.hosts.into_iter().enumerate() {
         parts[index % threads].hosts.push(HostSettings {
--- a/crates/stairfront-lab/src/fleet/server_thread.rs
+++ b/crates/stairfront-lab/src/fleet/server_thread.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use stairfront_emulator::agent::{Agent, Line};
-use stairfront_emulator::cache_host::{CacheHost, RepeatGroup};
+use stairfront_emulator::cache_host::{CacheHost, IdempotencyStore};
+use stairfront_emulator::discovery_agent::{DiscoveryAgent, EndpointRecord};
 use stairfront_emulator::origin::Origin;
 use tokio::sync::mpsc;
 
@@ -34,13 +34,13 @@
     pub(super) index: usize,
     pub(super) plan: HostPlan,
     pub(super) addresses: Vec<ReservedAddress>,
-    pub(super) group: Arc<Mutex<RepeatGroup>>,
+    pub(super) group: Arc<Mutex<IdempotencyStore>>,
 }
 
 /// An agent of discovery.
 pub(super) struct AgentSettings {
     pub(super) addresses: ReservedAgentAddresses,
-    pub(super) list: Vec<Line>,
+    pub(super) list: Vec<EndpointRecord>,
 }
 
 /// Settings of a thread of stand-ins.
@@ -58,7 +58,7 @@
     pub(super) first: Rc<ServerHost<AgentService>>,
     /// The agent at its second address, after discovery has moved.
     pub(super) moved: Rc<ServerHost<AgentService>>,
-    list: Vec<Line>,
+    list: Vec<EndpointRecord>,
 }
 
 impl AgentHost {
@@ -176,7 +176,7 @@
     ) -> io::Result<()> {
         let list = settings.list;
         let server = |address| {
-            let model = Agent::new(list.clone(), self.plan.lag);
+            let model = DiscoveryAgent::new(list.clone(), self.plan.lag);
             let event_log = Rc::clone(&self.event_log);
             let service = AgentService::new(model, positions.clone(), balancer, event_log);
             ServerHost::new(clock, service, vec![address], 0)
@@ -223,7 +223,7 @@
         for server in self.hosts.values() {
             server.with(|service, now, _| match notification {
                 OriginNotification::Filled { id } => service.model.fill(now, id),
-                OriginNotification::Written { key } => service.model.drop_key(key),
+                OriginNotification::Written { key } => service.model.invalidate(key),
             });
         }
     }
@@ -257,7 +257,7 @@
             reports.push(origin.with(|service, _, _| ServerReport {
                 name: "origin".to_string(),
                 counts: service.counts,
-                max_load: service.model.worst(),
+                max_load: service.model.max_load_ratio(),
             }));
         }
         reports
--- a/crates/stairfront-lab/src/live_counters.rs
+++ b/crates/stairfront-lab/src/live_counters.rs
@@ -1,7 +1,7 @@
 //! Counters of a run while it goes on, for a table that a person watches.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stairfront_emulator::client::End;
+use stairfront_emulator::client::Outcome;
 
 /// Counts since the last snapshot, shared by all threads of a run.
 #[derive(Debug, Default)]
@@ -38,10 +38,10 @@
     }
 
     /// Counts the end of a client's attempt.
-    pub fn record_end(&self, end: End, latency_us: u64) {
+    pub fn record_end(&self, end: Outcome, latency_us: u64) {
         let counter = match end {
-            End::Served => &self.served,
-            End::Refused { .. } => &self.rejected,
+            Outcome::Served => &self.served,
+            Outcome::Rejected { .. } => &self.rejected,
             _ => &self.other,
         };
         counter.fetch_add(1, Ordering::Relaxed);
--- a/crates/stairfront-lab/src/load/client_thread.rs
+++ b/crates/stairfront-lab/src/load/client_thread.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{Micros, MS, SECOND};
 use stairfront_emulator::arrivals::{Arrivals, Popularity};
-use stairfront_emulator::client::{Ask, Clients, End};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{Micros, MS, SECOND};
+use stairfront_emulator::client::{Attempt, ClientSettings, Clients, Outcome};
+use stairfront_emulator::rules::Observation;
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
@@ -52,7 +52,7 @@
     /// Requests that are due and wait for a connection.
     waiting: RefCell<VecDeque<QueuedRequest>>,
     in_flight: Cell<usize>,
-    rng: RefCell<Dice>,
+    rng: RefCell<SeededRng>,
     pub(super) wakeup: Notify,
     /// Largest number of kept connections from this thread to each balancer.
     max_connections: usize,
@@ -92,8 +92,16 @@
         let traffic = plan.traffic.clone();
         let tenants = traffic.tenants.len();
         let arrivals = Arrivals::new(traffic, popularity, plan.seed, index, threads);
-        let retries = plan.retries.clone();
-        let clients = Clients::new(arrivals, &plan.classes, retries, plan.seed, index, plan.end);
+        let clients = Clients::new(
+            arrivals,
+            ClientSettings {
+                classes: &plan.classes,
+                retry: plan.retries.clone(),
+                seed: plan.seed,
+                source: index,
+                end: plan.end,
+            },
+        );
         let summary = Summary::new(plan.classes.len(), tenants, plan.count_from, plan.end);
         ClientThread {
             clock,
@@ -108,7 +116,7 @@
             next_balancer: Cell::new(index),
             waiting: RefCell::default(),
             in_flight: Cell::new(0),
-            rng: RefCell::new(Dice::new(plan.seed, &format!("habits-{index}"))),
+            rng: RefCell::new(SeededRng::for_part(plan.seed, &format!("habits-{index}"))),
             wakeup: Notify::new(),
             max_connections: plan.behavior.connections.div_ceil(threads).max(1),
             plan,
@@ -145,19 +153,19 @@
     }
 
     /// The next request that is due. The borrow ends here, since a dispatch may borrow the clients again.
-    fn next_request(&self, now: Micros) -> Option<Ask> {
-        self.clients.borrow_mut().take(now)
+    fn next_request(&self, now: Micros) -> Option<Attempt> {
+        self.clients.borrow_mut().take_due(now)
     }
 
     /// Gives a request to a connection, or has it wait for one.
     pub(super) fn dispatch(self: &Rc<Self>, queued: QueuedRequest) {
         let now = self.clock.now();
         if queued.reassignments > MAX_REASSIGNMENTS {
-            return self.finish_attempt(now, &queued.request, End::Lost, true);
+            return self.finish_attempt(now, &queued.request, Outcome::ConnectionLost, true);
         }
         let one_shot = self.rng.borrow_mut().happens(self.plan.behavior.one_shot);
         let Some(balancer) = self.next_balancer(now) else {
-            return self.finish_attempt(now, &queued.request, End::Lost, true);
+            return self.finish_attempt(now, &queued.request, Outcome::ConnectionLost, true);
         };
         let connection = if one_shot {
             let connection = self.open_connection(balancer);
@@ -210,7 +218,7 @@
             let first = self.waiting.borrow_mut().pop_front();
             let Some(queued) = first else { return };
             if queued.request.deadline <= now {
-                self.finish_attempt(now, &queued.request, End::Unanswered, true);
+                self.finish_attempt(now, &queued.request, Outcome::TimedOut, true);
                 continue;
             }
             let connection = (0..self.balancers.len()).find_map(|_| {
@@ -232,7 +240,7 @@
         let tenants = &self.plan.traffic.tenants;
         let tenant = tenants.get(usize::from(request.tenant));
         let tenant = tenant.map_or("", |tenant| &tenant.name);
-        let marked = self.plan.retries.marked;
+        let marked = self.plan.retries.mark_retries;
         let mut out = connection.out.borrow_mut();
         put_request(&mut out, now, request, class, tenant, marked);
         connection.pending.borrow_mut().push_back(PendingRequest {
@@ -245,17 +253,23 @@
     }
 
     /// Records something that the clients saw.
-    pub(super) fn record(&self, at: Micros, seen: Seen) {
-        self.event_log.borrow_mut().record(at, seen);
+    pub(super) fn record(&self, at: Micros, observation: Observation) {
+        self.event_log.borrow_mut().record(at, observation);
     }
 
     /// Ends an attempt for its client.
-    pub(super) fn finish_attempt(&self, now: Micros, request: &Ask, end: End, unsent: bool) {
+    pub(super) fn finish_attempt(
+        &self,
+        now: Micros,
+        request: &Attempt,
+        end: Outcome,
+        unsent: bool,
+    ) {
         self.in_flight.set(self.in_flight.get().saturating_sub(1));
         let mut clients = self.clients.borrow_mut();
-        let objective = clients.aim(request.class);
-        let in_time = end == End::Served && now - request.first_due <= objective;
-        clients.settle(now, request, end);
+        let objective = clients.latency_objective(request.class);
+        let in_time = end == Outcome::Served && now - request.first_due <= objective;
+        clients.record_outcome(now, request, end);
         let attempt = AttemptEnd {
             end,
             unsent,
@@ -288,14 +302,14 @@
             }
         }
         for Expired { request, unsent } in expired {
-            self.finish_attempt(now, &request, End::Unanswered, unsent);
+            self.finish_attempt(now, &request, Outcome::TimedOut, unsent);
         }
     }
 }
 
 /// A request whose deadline has passed.
 struct Expired {
-    request: Ask,
+    request: Attempt,
     unsent: bool,
 }
 
--- a/crates/stairfront-lab/src/load/connection.rs
+++ b/crates/stairfront-lab/src/load/connection.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use bytes::BytesMut;
-use stairfront_emulator::client::Ask;
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::client::Attempt;
 use tokio::sync::Notify;
 
 use super::BalancerEndpoint;
@@ -14,7 +14,7 @@
 /// A request that waits for a connection.
 #[derive(Clone, Copy)]
 pub(super) struct QueuedRequest {
-    pub(super) request: Ask,
+    pub(super) request: Attempt,
     /// How often it was moved to another connection.
     pub(super) reassignments: u8,
 }
--- a/crates/stairfront-lab/src/load/exchange.rs
+++ b/crates/stairfront-lab/src/load/exchange.rs
@@ -6,10 +6,10 @@
 use bytes::BytesMut;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::resp::{ReplyReader, Value};
-use stairfront_emulator::client::End;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{Micros, MS};
+use stairfront_codec::resp::{ReplyDecoder, Value};
+use stairfront_common::time::{Micros, MS};
+use stairfront_emulator::client::Outcome;
+use stairfront_emulator::rules::Observation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -72,7 +72,7 @@
             let id = request.id;
             let unread = !pending.sent || pending.crossed_close || end == ConnectionEnd::Unread;
             if pending.timed_out {
-                self.record(now, Seen::Left { id });
+                self.record(now, Observation::ClientClosed { id });
             } else if unread {
                 // The balancer has not read it, so it is sent once more, as clients of this protocol do.
                 self.dispatch(QueuedRequest {
@@ -80,11 +80,11 @@
                     reassignments: pending.queued.reassignments + 1,
                 });
             } else if end == ConnectionEnd::ByClient {
-                self.record(now, Seen::Left { id });
-                self.finish_attempt(now, &request, End::Unanswered, false);
+                self.record(now, Observation::ClientClosed { id });
+                self.finish_attempt(now, &request, Outcome::TimedOut, false);
             } else {
-                self.record(now, Seen::Lost { id });
-                self.finish_attempt(now, &request, End::Lost, false);
+                self.record(now, Observation::ConnectionLost { id });
+                self.finish_attempt(now, &request, Outcome::ConnectionLost, false);
             }
         }
     }
@@ -94,7 +94,7 @@
         mut socket: TcpStream,
         connection: &ClientConnection,
     ) -> ConnectionEnd {
-        let mut codec = ReplyReader::new(MAX_VALUE_BYTES, &Budget::new(usize::MAX / 2));
+        let mut codec = ReplyDecoder::new(MAX_VALUE_BYTES, &Budget::new(usize::MAX / 2));
         let mut input = BytesMut::with_capacity(READ_BUFFER_BYTES);
         loop {
             if connection.abandoned.get() {
@@ -179,7 +179,7 @@
             let request = &pending.queued.request;
             self.record(
                 now,
-                Seen::Sent {
+                Observation::RequestSent {
                     id: request.id,
                     class: request.class,
                     balancer: connection.balancer as u16,
@@ -198,13 +198,13 @@
         }) = first
         else {
             let balancer = connection.balancer as u16;
-            return self.record(now, Seen::Surplus { balancer });
+            return self.record(now, Observation::UnsolicitedAnswer { balancer });
         };
         let request = queued.request;
         let ParsedReply { answer, end } = parse_reply(reply, request.id);
         self.record(
             now,
-            Seen::Answered {
+            Observation::Answered {
                 id: request.id,
                 answer,
             },
--- a/crates/stairfront-lab/src/load/mod.rs
+++ b/crates/stairfront-lab/src/load/mod.rs
@@ -14,9 +14,9 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
+use stairfront_common::time::Micros;
 use stairfront_emulator::arrivals::{Popularity, Traffic};
 use stairfront_emulator::client::{ClassSettings, RetrySettings};
-use stairfront_emulator::time::Micros;
 
 use crate::clock::RunClock;
 use crate::event_log::{EventLog, EventSender};
--- a/crates/stairfront-lab/src/load/protocol.rs
+++ b/crates/stairfront-lab/src/load/protocol.rs
@@ -1,16 +1,16 @@
 //! Requests and answers on the wire.
 use bytes::{BufMut, Bytes, BytesMut};
 use stairfront_codec::resp::{put_bulk, put_number, Value};
-use stairfront_emulator::cache_host::is_made_for;
-use stairfront_emulator::client::{Ask, ClassSettings, End, Repeats};
-use stairfront_emulator::rules::Answer;
-use stairfront_emulator::time::{Micros, MS};
+use stairfront_common::time::{Micros, MS};
+use stairfront_emulator::cache_host::is_value_for;
+use stairfront_emulator::client::{Attempt, ClassSettings, Idempotency, Outcome};
+use stairfront_emulator::rules::ClientAnswer;
 
 /// Writes a request.
 pub(super) fn put_request(
     out: &mut BytesMut,
     now: Micros,
-    request: &Ask,
+    request: &Attempt,
     class: &ClassSettings,
     tenant: &str,
     marked: bool,
@@ -21,7 +21,7 @@
     if request.retry > 0 && marked {
         info.push_str(",r=1");
     }
-    if class.repeats == Repeats::Keyed {
+    if class.idempotency == Idempotency::Keyed {
         info.push_str(&format!(",k={id}"));
     }
     put_number(out, b'*', if class.write { 5 } else { 4 });
@@ -38,8 +38,8 @@
 
 /// An answer, for the checker and for the client.
 pub(super) struct ParsedReply {
-    pub(super) answer: Answer,
-    pub(super) end: End,
+    pub(super) answer: ClientAnswer,
+    pub(super) end: Outcome,
 }
 
 /// Reads a reply to the request with this id.
@@ -52,10 +52,10 @@
         },
         Value::Error(line) if line.starts_with(b"BUSY") => {
             let text = std::str::from_utf8(&line[4..]).ok();
-            let after_ms = text.and_then(|text| text.trim().parse::<u64>().ok());
+            let retry_after_ms = text.and_then(|text| text.trim().parse::<u64>().ok());
             ParsedReply {
-                answer: Answer::Refused,
-                end: End::Refused { after_ms },
+                answer: ClientAnswer::Rejected,
+                end: Outcome::Rejected { retry_after_ms },
             }
         }
         _ => failed_reply(),
@@ -63,16 +63,16 @@
 }
 
 fn value_reply(value: &Bytes, id: u64) -> ParsedReply {
-    let own = is_made_for(value, format!("{id:016x}").as_bytes());
+    let own = is_value_for(value, format!("{id:016x}").as_bytes());
     ParsedReply {
-        answer: Answer::Value { own },
-        end: End::Served,
+        answer: ClientAnswer::Value { own },
+        end: Outcome::Served,
     }
 }
 
 fn failed_reply() -> ParsedReply {
     ParsedReply {
-        answer: Answer::Failed,
-        end: End::Failed,
+        answer: ClientAnswer::Failed,
+        end: Outcome::Failed,
     }
 }
--- a/crates/stairfront-lab/src/load/special_clients.rs
+++ b/crates/stairfront-lab/src/load/special_clients.rs
@@ -4,9 +4,9 @@
 
 use bytes::BytesMut;
 use stairfront_codec::resp::{put_bulk, put_number};
+use stairfront_common::time::{Micros, SECOND};
 use stairfront_emulator::client::ClassSettings;
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{Micros, SECOND};
+use stairfront_emulator::rules::Observation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -74,7 +74,7 @@
                     .await;
                 let now = self.clock.now();
                 sent.into_iter()
-                    .for_each(|id| self.record(now, Seen::Left { id }));
+                    .for_each(|id| self.record(now, Observation::ClientClosed { id }));
             }
             sleep(RECONNECT_INTERVAL).await;
         }
@@ -100,7 +100,7 @@
             // Its own slowness is no breach, so its deadline never passes.
             self.record(
                 self.clock.now(),
-                Seen::Sent {
+                Observation::RequestSent {
                     id,
                     class: 0,
                     balancer: balancer as u16,
--- a/crates/stairfront-lab/src/maintenance/manual_baseline.rs
+++ b/crates/stairfront-lab/src/maintenance/manual_baseline.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-use stairfront_emulator::time::{from_ms, to_ms, Micros};
+use stairfront_common::time::{from_ms, to_ms, Micros};
 
 use crate::admin_client::AdminAnswer;
 use crate::maintenance::{
--- a/crates/stairfront-lab/src/maintenance/mod.rs
+++ b/crates/stairfront-lab/src/maintenance/mod.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
 
 use crate::admin_client::AdminAnswer;
 
--- a/crates/stairfront-lab/src/maintenance/plan_workers.rs
+++ b/crates/stairfront-lab/src/maintenance/plan_workers.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
-use stairfront_emulator::time::{from_ms, to_ms, Micros, MS, SECOND};
+use stairfront_common::time::{from_ms, to_ms, Micros, MS, SECOND};
 
 use crate::admin_client::AdminAnswer;
 use crate::maintenance::{
@@ -56,7 +56,7 @@
     all_finished: bool,
 }
 
-/// The plans as a whole, by one status.
+/// All plans together, by one status.
 struct StatusSummary {
     known_plans: BTreeSet<usize>,
     all_finished: bool,
--- a/crates/stairfront-lab/src/process.rs
+++ b/crates/stairfront-lab/src/process.rs
@@ -12,7 +12,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::Value;
-use stairfront_emulator::dice::Dice;
+use stairfront_common::random::SeededRng;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// No free port was found.
-pub fn free_address(rng: &mut Dice) -> io::Result<SocketAddr> {
+pub fn free_address(rng: &mut SeededRng) -> io::Result<SocketAddr> {
     static ASSIGNED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     let mut assigned = ASSIGNED.lock().unwrap_or_else(PoisonError::into_inner);
     let ports = u64::from(PORT_RANGE.end - PORT_RANGE.start);
--- a/crates/stairfront-lab/src/relay.rs
+++ b/crates/stairfront-lab/src/relay.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use rustc_hash::FxHashMap;
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::links::{LinkFault, Links, Passage};
+use stairfront_common::random::SeededRng;
+use stairfront_emulator::links::{Delivery, LinkFault, Links, StreamDelivery};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
@@ -73,9 +73,9 @@
 
 /// A row of loopback addresses, drawn. Another run on this machine may have it, which shows when the relay binds its
 /// sockets: they take all addresses of a run first.
-fn draw_addresses(count: usize, rng: &mut Dice) -> Vec<Ipv4Addr> {
-    let second = 64 + rng.below(180) as u8;
-    let third = rng.below(250) as u8;
+fn draw_addresses(count: usize, rng: &mut SeededRng) -> Vec<Ipv4Addr> {
+    let second = 64 + rng.below(180_u64) as u8;
+    let third = rng.below(250_u64) as u8;
     let address = |i: usize| {
         let third = third.wrapping_add((i / 200) as u8);
         Ipv4Addr::new(127, second, third, 1 + (i % 200) as u8)
@@ -94,7 +94,7 @@
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let count = members * 2;
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let mut rng = Dice::new(u64::from(std::process::id()) << 20 ^ run, "loopback");
+        let mut rng = SeededRng::for_part(u64::from(std::process::id()) << 20 ^ run, "loopback");
         let mut started = Self::start_at(draw_addresses(count, &mut rng), seed, clock);
         for _ in 0..MAX_ADDRESS_ATTEMPTS {
             match started {
@@ -257,8 +257,8 @@
                 number,
                 pairs,
                 fault,
-            } => links.lay(now, number, &pairs, fault),
-            RelayCommand::RemoveFault { number } => links.lift(number),
+            } => links.add_fault(now, number, &pairs, fault),
+            RelayCommand::RemoveFault { number } => links.remove_fault(number),
             RelayCommand::End => break,
         }
     }
@@ -281,12 +281,12 @@
             let (from_member, to_member) = (from % self.members, to % self.members);
             let now = self.clock.now();
             let bytes = &buffer[..length];
-            let arrivals = self
-                .links
-                .borrow_mut()
-                .datagram(now, from_member, to_member, bytes);
-            for (after, bytes) in arrivals {
-                spawn_local(Rc::clone(&self).deliver(from, to, after.max(0) as u64, bytes));
+            let arrivals =
+                self.links
+                    .borrow_mut()
+                    .send_datagram(now, from_member, to_member, bytes);
+            for Delivery { delay, bytes } in arrivals {
+                spawn_local(Rc::clone(&self).deliver(from, to, delay.max(0) as u64, bytes));
             }
         }
     }
@@ -352,13 +352,13 @@
             let passage = self
                 .links
                 .borrow_mut()
-                .stream(now, from_member, to_member, bytes);
+                .send_stream(now, from_member, to_member, bytes);
             match passage {
-                Passage::After(after) => {
+                StreamDelivery::Delayed(after) => {
                     sleep(Duration::from_micros(after.max(0) as u64)).await;
                     return true;
                 }
-                Passage::Silent => sleep(SILENT_LINK_POLL_INTERVAL).await,
+                StreamDelivery::Blocked => sleep(SILENT_LINK_POLL_INTERVAL).await,
             }
         }
         false
--- a/crates/stairfront-lab/src/report.rs
+++ b/crates/stairfront-lab/src/report.rs
@@ -8,7 +8,7 @@
 use plotters::prelude::{Cartesian2d, SVGBackend};
 use plotters::series::LineSeries;
 use plotters::style::{Color, Palette, Palette99, BLACK, RED, WHITE};
-use stairfront_emulator::faults::Mark;
+use stairfront_emulator::faults::FaultInterval;
 
 use crate::compare::{table, Results};
 use crate::run::{IntervalSample, Outcome};
@@ -55,7 +55,7 @@
     let (seed, rate) = (run.seed, run.rate);
     let mut section = format!("<h2>{variant}, seed {seed}, {rate:.0} a second</h2>");
     section.push_str("<ul>");
-    for Mark {
+    for FaultInterval {
         from_s,
         until_s,
         text,
--- a/crates/stairfront-lab/src/run/active.rs
+++ b/crates/stairfront-lab/src/run/active.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use stairfront_emulator::faults::{Act, Step};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::{Micros, SECOND};
+use stairfront_common::time::{Micros, SECOND};
+use stairfront_emulator::faults::{FaultAction, ScheduledAction};
+use stairfront_emulator::rules::Observation;
 use tokio::time::{sleep, sleep_until};
 
 use super::progress::ProgressReport;
@@ -60,7 +60,7 @@
     pub(super) endpoints: Vec<BalancerEndpoint>,
     pub(super) event_log: EventLog,
     /// Changes to the hosts under maintenance, from the group.
-    pub(super) maintenance_actions: Rc<RefCell<VecDeque<Act>>>,
+    pub(super) maintenance_actions: Rc<RefCell<VecDeque<FaultAction>>>,
     pub(super) cpu: CountedCpu,
     pub(super) progress: ProgressReport<'a>,
 }
@@ -68,13 +68,14 @@
 impl ActiveRun<'_> {
     /// Applies the faults in their time, until all clients are finished.
     pub(super) async fn run_until(&mut self, finished: impl Fn() -> bool) -> Result<(), RunError> {
-        let mut steps: VecDeque<Step> = self.run.plan.fault_script(self.run.seed).steps.into();
+        let mut steps: VecDeque<ScheduledAction> =
+            self.run.plan.fault_script(self.run.seed).steps.into();
         let counted = self.run.counted();
         while !finished() {
             let now = self.clock.now();
             while steps.front().is_some_and(|step| step.at <= now) {
                 if let Some(step) = steps.pop_front() {
-                    self.apply(step.act).await?;
+                    self.apply(step.action).await?;
                 }
             }
             let maintenance_actions = std::mem::take(&mut *self.maintenance_actions.borrow_mut());
@@ -106,14 +107,18 @@
         Ok(())
     }
 
-    async fn apply(&mut self, action: Act) -> Result<(), RunError> {
+    async fn apply(&mut self, action: FaultAction) -> Result<(), RunError> {
         match action {
-            Act::KillBalancer { balancer } => self.kill(balancer).await,
-            Act::StartBalancer { balancer } => self.balancers[balancer].start().await?,
-            Act::TermBalancer { balancer } => return self.restart(balancer).await,
-            Act::FreezeBalancer { balancer } => self.balancers[balancer].signal(Signal::SIGSTOP),
-            Act::ThawBalancer { balancer } => self.balancers[balancer].signal(Signal::SIGCONT),
-            Act::MoveDiscovery => {
+            FaultAction::KillBalancer { balancer } => self.kill(balancer).await,
+            FaultAction::StartBalancer { balancer } => self.balancers[balancer].start().await?,
+            FaultAction::TermBalancer { balancer } => return self.restart(balancer).await,
+            FaultAction::FreezeBalancer { balancer } => {
+                self.balancers[balancer].signal(Signal::SIGSTOP)
+            }
+            FaultAction::UnfreezeBalancer { balancer } => {
+                self.balancers[balancer].signal(Signal::SIGCONT)
+            }
+            FaultAction::MoveDiscovery => {
                 self.fleet.apply(action);
                 self.reload_moved_discovery()?;
             }
@@ -143,7 +148,7 @@
     fn record_stopped(&mut self, balancer: usize) {
         let balancer = balancer as u16;
         self.event_log
-            .record(self.clock.now(), Seen::BalancerGone { balancer });
+            .record(self.clock.now(), Observation::BalancerStopped { balancer });
     }
 
     /// Tells a balancer to stop, as at a planned restart, and starts it again once it has ended. It has to answer what
--- a/crates/stairfront-lab/src/run/mod.rs
+++ b/crates/stairfront-lab/src/run/mod.rs
@@ -21,9 +21,9 @@
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use stairfront_emulator::dice::Dice;
-use stairfront_emulator::rules::Limits;
-use stairfront_emulator::time::{from_ms, to_ms, Micros};
+use stairfront_common::random::SeededRng;
+use stairfront_common::time::{from_ms, to_ms, Micros};
+use stairfront_emulator::rules::RuleLimits;
 
 use crate::balancer_group::{BalancerGroup, BalancerGroupSettings, GroupSettings};
 use crate::clock::RunClock;
@@ -265,7 +265,7 @@
 
     /// Starts the balancers that are not members of a group.
     async fn start_balancers(&self, fleet: &Fleet) -> Result<Vec<BalancerProcess>, RunError> {
-        let mut rng = Dice::new(self.seed ^ u64::from(std::process::id()), "ports");
+        let mut rng = SeededRng::for_part(self.seed ^ u64::from(std::process::id()), "ports");
         let mut balancers = Vec::new();
         if self.variant.direct || self.plan.group.is_some() {
             return Ok(balancers);
@@ -332,14 +332,14 @@
         addresses.into_iter().map(endpoint).collect()
     }
 
-    fn limits(&self) -> Limits {
+    fn limits(&self) -> RuleLimits {
         let classes = self.plan.classes.iter();
-        Limits {
+        RuleLimits {
             grace: from_ms(self.plan.balancers.grace_ms),
-            most_attempts: usize::from(self.plan.balancers.max_attempts),
-            classes: classes.map(|class| class.repeats).collect(),
+            max_attempts: usize::from(self.plan.balancers.max_attempts),
+            classes: classes.map(|class| class.idempotency).collect(),
             origin: self.plan.fleet.caches as u16,
-            ..Limits::default()
+            ..RuleLimits::default()
         }
     }
 
--- a/crates/stairfront-lab/src/run/outcome.rs
+++ b/crates/stairfront-lab/src/run/outcome.rs
@@ -1,9 +1,9 @@
 //! The figures of one run.
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use stairfront_emulator::faults::Mark;
-use stairfront_emulator::rules::Report;
-use stairfront_emulator::time::{Micros, SECOND};
+use stairfront_common::time::{Micros, SECOND};
+use stairfront_emulator::faults::FaultInterval;
+use stairfront_emulator::rules::RuleReport;
 
 use crate::balancer_group::GroupOutcome;
 use crate::event_log::{RecordedRun, INTERVAL};
@@ -115,7 +115,7 @@
     /// Longest time until a balancer was ready, in milliseconds.
     pub ready_ms: f64,
     /// The report of the rules' checker.
-    pub rules: Report,
+    pub rules: RuleReport,
     /// The outcome of the group, where the balancers are one.
     pub group: Option<GroupOutcome>,
     /// The counts by server, the origin last.
@@ -128,7 +128,7 @@
     pub cache_rates: Vec<Vec<f64>>,
     /// Times and texts of the faults.
     #[serde(skip)]
-    pub marks: Vec<Mark>,
+    pub marks: Vec<FaultInterval>,
 }
 
 /// The records that an outcome is made of.
@@ -172,8 +172,8 @@
             tenants: tenants(records.plan, &records.summary),
             latency: Latency::of(&records.summary.latency),
             served_latency: Latency::of(&records.summary.served),
-            attempts: rules.figures.attempts,
-            retries: rules.figures.repeats,
+            attempts: rules.metrics.attempts,
+            retries: rules.metrics.retries,
             fetches: records
                 .servers
                 .last()
@@ -200,7 +200,7 @@
 
 fn group_holds(group: &GroupOutcome) -> bool {
     let maintenance = group.maintenance.as_ref();
-    group.report.broken == 0 && maintenance.is_none_or(|outcome| outcome.broken == 0)
+    group.report.violations == 0 && maintenance.is_none_or(|outcome| outcome.broken == 0)
 }
 
 fn tenants(plan: &Experiment, summary: &Summary) -> Vec<TenantSummary> {
--- a/crates/stairfront-lab/src/run/progress.rs
+++ b/crates/stairfront-lab/src/run/progress.rs
@@ -1,8 +1,8 @@
 //! The progress of a run, printed on standard error.
 use std::sync::Arc;
 
-use stairfront_emulator::faults::Mark;
-use stairfront_emulator::time::{to_ms, Micros, SECOND};
+use stairfront_common::time::{to_ms, Micros, SECOND};
+use stairfront_emulator::faults::FaultInterval;
 
 use super::Run;
 use crate::live_counters::{LiveCounters, LiveSnapshot};
@@ -83,8 +83,8 @@
     fn fault_notes(&self, at_s: f64) -> String {
         let marks = self.run.plan.fault_script(self.run.seed).marks;
         let last_second = at_s - 1.0..at_s;
-        let begun = |mark: &&Mark| last_second.contains(&mark.from_s);
-        let ended = |mark: &&Mark| last_second.contains(&mark.until_s);
+        let begun = |mark: &&FaultInterval| last_second.contains(&mark.from_s);
+        let ended = |mark: &&FaultInterval| last_second.contains(&mark.until_s);
         let begins = marks.iter().filter(begun);
         let begins = begins.map(|mark| format!("  <- {}", mark.text));
         let ends = marks.iter().filter(ended);
--- a/crates/stairfront-lab/src/server_host/mod.rs
+++ b/crates/stairfront-lab/src/server_host/mod.rs
@@ -14,8 +14,8 @@
 use bytes::BytesMut;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
-use stairfront_emulator::cache_host::{ConnId, Ticket};
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{ConnectionId, ReplySlot};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -32,11 +32,11 @@
 /// Something that a model wants sent.
 pub enum ServerOutput {
     /// The answer to a command.
-    Answer(Ticket, Vec<u8>),
+    Answer(ReplySlot, Vec<u8>),
     /// The command gets no answer, and those behind it need not wait.
-    Skip(Ticket),
+    Skip(ReplySlot),
     /// The connection is reset.
-    Reset(ConnId),
+    Reset(ConnectionId),
 }
 
 /// A model behind sockets. `balancer` is the index of the address by which a connection came.
@@ -46,18 +46,18 @@
     /// A codec for a new connection.
     fn codec(&self) -> Self::Codec;
     /// A connection was opened; false rejects it.
-    fn connection_opened(&mut self, now: Micros, connection: ConnId) -> bool;
+    fn connection_opened(&mut self, now: Micros, connection: ConnectionId) -> bool;
     /// Handles a command.
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        slot: ReplySlot,
         balancer: u16,
         item: <Self::Codec as Decoder>::Item,
         outputs: &mut Vec<ServerOutput>,
     );
     /// A connection was closed.
-    fn connection_closed(&mut self, now: Micros, connection: ConnId);
+    fn connection_closed(&mut self, now: Micros, connection: ConnectionId);
     /// Does what is due.
     fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>);
     /// When something is due next.
@@ -68,7 +68,7 @@
 
 struct Inner<S> {
     service: S,
-    connections: FxHashMap<ConnId, Rc<AnswerQueue>>,
+    connections: FxHashMap<ConnectionId, Rc<AnswerQueue>>,
     outputs: Vec<ServerOutput>,
 }
 
@@ -77,15 +77,15 @@
     fn send_outputs(&mut self) {
         for output in self.outputs.drain(..) {
             let connection = match &output {
-                ServerOutput::Answer(ticket, _) | ServerOutput::Skip(ticket) => ticket.connection,
+                ServerOutput::Answer(slot, _) | ServerOutput::Skip(slot) => slot.connection,
                 ServerOutput::Reset(connection) => *connection,
             };
             let Some(answers) = self.connections.get(&connection) else {
                 continue;
             };
             match output {
-                ServerOutput::Answer(ticket, answer) => answers.push(ticket.number, answer),
-                ServerOutput::Skip(ticket) => answers.push(ticket.number, Vec::new()),
+                ServerOutput::Answer(slot, answer) => answers.push(slot.sequence, answer),
+                ServerOutput::Skip(slot) => answers.push(slot.sequence, Vec::new()),
                 ServerOutput::Reset(_) => answers.reset(),
             }
         }
@@ -107,7 +107,7 @@
 
 /// A connection and the commands read from it.
 struct Connection<C> {
-    id: ConnId,
+    id: ConnectionId,
     balancer: u16,
     codec: C,
     input: BytesMut,
@@ -256,7 +256,7 @@
                 continue;
             };
             self.wait_while_paused().await;
-            let id = ConnId(self.next_connection.get());
+            let id = ConnectionId(self.next_connection.get());
             self.next_connection.set(id.0 + 1);
             let answers = Rc::new(AnswerQueue::default());
             if self.register(id, &answers) {
@@ -268,7 +268,7 @@
     }
 
     /// Offers a new connection to the model; false if it is rejected.
-    fn register(&self, id: ConnId, answers: &Rc<AnswerQueue>) -> bool {
+    fn register(&self, id: ConnectionId, answers: &Rc<AnswerQueue>) -> bool {
         let mut inner = self.inner.borrow_mut();
         let accepted = inner.service.connection_opened(self.clock.now(), id);
         if accepted {
@@ -280,7 +280,7 @@
     async fn serve(
         self: Rc<Self>,
         mut socket: TcpStream,
-        id: ConnId,
+        id: ConnectionId,
         answers: Rc<AnswerQueue>,
         balancer: u16,
     ) {
@@ -351,13 +351,13 @@
         let readable = loop {
             match connection.codec.decode(&mut connection.input) {
                 Ok(Some(item)) => {
-                    let ticket = Ticket {
+                    let slot = ReplySlot {
                         connection: connection.id,
-                        number: connection.commands,
+                        sequence: connection.commands,
                     };
                     connection.commands += 1;
                     let now = self.clock.now();
-                    service.received(now, ticket, connection.balancer, item, outputs);
+                    service.received(now, slot, connection.balancer, item, outputs);
                 }
                 Ok(None) => break true,
                 Err(_) => break false,
--- a/crates/stairfront-lab/src/services/agent.rs
+++ b/crates/stairfront-lab/src/services/agent.rs
@@ -2,30 +2,30 @@
 use bytes::{Bytes, BytesMut};
 use rustc_hash::FxHashMap;
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http_server::{HttpServerCodec, Received, Reply as HttpReply};
-use stairfront_emulator::agent::{self, Agent, Line, Status};
-use stairfront_emulator::cache_host::{ConnId, Ticket};
-use stairfront_emulator::rules::{Seen, Told};
-use stairfront_emulator::time::Micros;
+use stairfront_codec::http_server::{HttpServerCodec, Request, Response};
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{ConnectionId, ReplySlot};
+use stairfront_emulator::discovery_agent::{self, DiscoveryAgent, EndpointRecord, EndpointStatus};
+use stairfront_emulator::rules::{AnnouncedState, Observation};
 
 use super::{http_answer, SharedEventLog, UNLIMITED_BYTES};
 use crate::server_host::{ServerOutput, Service};
 
 /// Discovery's agent of one balancer.
 pub struct AgentService {
-    model: Agent,
+    model: DiscoveryAgent,
     /// Positions of the hosts by name.
     hosts: FxHashMap<String, u16>,
     balancer: u16,
     event_log: SharedEventLog,
-    actions: Vec<agent::Action>,
+    actions: Vec<discovery_agent::Action>,
     scratch: BytesMut,
 }
 
 impl AgentService {
     /// The agent of this balancer; `hosts` gives the positions of the hosts by name.
     pub fn new(
-        model: Agent,
+        model: DiscoveryAgent,
         hosts: FxHashMap<String, u16>,
         balancer: u16,
         event_log: SharedEventLog,
@@ -41,7 +41,7 @@
     }
 
     /// Changes a server of the list.
-    pub fn change(&mut self, now: Micros, server: Line, outputs: &mut Vec<ServerOutput>) {
+    pub fn change(&mut self, now: Micros, server: EndpointRecord, outputs: &mut Vec<ServerOutput>) {
         self.model.change(now, server);
         self.model.advance(now, &mut self.actions);
         self.apply_actions(now, outputs);
@@ -54,53 +54,55 @@
     }
 
     /// Stops taking changes into its list, or takes them again.
-    pub fn set_stale(&mut self, now: Micros, stale: bool, outputs: &mut Vec<ServerOutput>) {
-        self.model.set_still(now, stale, &mut self.actions);
+    pub fn set_frozen(&mut self, now: Micros, frozen: bool, outputs: &mut Vec<ServerOutput>) {
+        self.model.set_frozen(now, frozen, &mut self.actions);
         self.apply_actions(now, outputs);
     }
 
     fn apply_actions(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                agent::Action::Answer(ticket, list) => {
-                    let reply = HttpReply {
+                discovery_agent::Action::Answer(slot, list) => {
+                    let reply = Response {
                         status: 200,
                         reason: "OK",
                         headers: vec![("Content-Type", "application/json".to_string())],
                         body: Bytes::from(list),
                     };
-                    outputs.push(http_answer(&mut self.scratch, ticket, reply));
+                    outputs.push(http_answer(&mut self.scratch, slot, reply));
                 }
-                agent::Action::Unknown(ticket) => {
-                    let reply = HttpReply {
+                discovery_agent::Action::NotFound(slot) => {
+                    let reply = Response {
                         status: 404,
                         reason: "Not Found",
                         headers: vec![],
                         body: Bytes::new(),
                     };
-                    outputs.push(http_answer(&mut self.scratch, ticket, reply));
+                    outputs.push(http_answer(&mut self.scratch, slot, reply));
+                }
+                discovery_agent::Action::Notified { name, status } => {
+                    self.record_notified(now, &name, status)
                 }
-                agent::Action::Told { name, status } => self.record_notified(now, &name, status),
             }
         }
     }
 
     /// Records that the balancer was notified of a host's status.
-    fn record_notified(&self, now: Micros, name: &str, status: Status) {
+    fn record_notified(&self, now: Micros, name: &str, status: EndpointStatus) {
         let Some(host) = self.hosts.get(name).copied() else {
             return;
         };
-        let told = if status == Status::Serving {
-            Told::Serving
+        let state = if status == EndpointStatus::Serving {
+            AnnouncedState::Serving
         } else {
-            Told::Leaving
+            AnnouncedState::Draining
         };
-        let seen = Seen::Said {
+        let observation = Observation::Notified {
             balancer: self.balancer,
             host,
-            told,
+            state,
         };
-        self.event_log.borrow_mut().record(now, seen);
+        self.event_log.borrow_mut().record(now, observation);
     }
 }
 
@@ -111,29 +113,29 @@
         HttpServerCodec::new(0, &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn connection_opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn connection_opened(&mut self, _: Micros, _: ConnectionId) -> bool {
         true
     }
 
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        slot: ReplySlot,
         _: u16,
-        request: Received,
+        request: Request,
         outputs: &mut Vec<ServerOutput>,
     ) {
         self.model
-            .call(now, ticket, &request.target, &mut self.actions);
+            .handle_request(now, slot, &request.target, &mut self.actions);
         self.apply_actions(now, outputs);
     }
 
-    fn connection_closed(&mut self, _: Micros, connection: ConnId) {
-        let ticket = Ticket {
+    fn connection_closed(&mut self, _: Micros, connection: ConnectionId) {
+        let slot = ReplySlot {
             connection,
-            number: 0,
+            sequence: 0,
         };
-        self.model.forget(ticket);
+        self.model.remove_connection(slot);
     }
 
     fn advance(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
--- a/crates/stairfront-lab/src/services/attempts.rs
+++ b/crates/stairfront-lab/src/services/attempts.rs
@@ -1,8 +1,8 @@
 //! The attempts that are open at one stand-in.
 use rustc_hash::FxHashMap;
-use stairfront_emulator::cache_host::{ConnId, Ticket};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{ConnectionId, ReplySlot};
+use stairfront_emulator::rules::Observation;
 
 use super::SharedEventLog;
 
@@ -16,7 +16,7 @@
 pub(super) struct AttemptTracker {
     host: u16,
     event_log: SharedEventLog,
-    open: FxHashMap<Ticket, OpenAttempt>,
+    open: FxHashMap<ReplySlot, OpenAttempt>,
     last_number: u64,
 }
 
@@ -35,17 +35,17 @@
         self.host
     }
 
-    pub(super) fn record(&self, at: Micros, seen: Seen) {
-        self.event_log.borrow_mut().record(at, seen);
+    pub(super) fn record(&self, at: Micros, observation: Observation) {
+        self.event_log.borrow_mut().record(at, observation);
     }
 
-    pub(super) fn begin(&mut self, at: Micros, ticket: Ticket, id: u64, balancer: u16) {
+    pub(super) fn begin(&mut self, at: Micros, slot: ReplySlot, id: u64, balancer: u16) {
         self.last_number += 1;
         let number = self.last_number;
-        self.open.insert(ticket, OpenAttempt { number, id });
+        self.open.insert(slot, OpenAttempt { number, id });
         self.record(
             at,
-            Seen::Began {
+            Observation::AttemptStarted {
                 attempt: number,
                 id,
                 host: self.host,
@@ -54,20 +54,23 @@
         );
     }
 
-    pub(super) fn end(&mut self, at: Micros, ticket: Ticket, ran: bool) {
-        if let Some(OpenAttempt { number, id }) = self.open.remove(&ticket) {
+    pub(super) fn end(&mut self, at: Micros, slot: ReplySlot, executed: bool) {
+        if let Some(OpenAttempt { number, id }) = self.open.remove(&slot) {
             let attempt = number;
-            self.record(at, Seen::Ended { attempt, id, ran });
+            self.record(
+                at,
+                Observation::AttemptEnded {
+                    attempt,
+                    id,
+                    executed,
+                },
+            );
         }
     }
 
-    pub(super) fn end_connection(&mut self, at: Micros, connection: ConnId) {
-        let tickets = self.open.keys().copied();
-        let ended: Vec<Ticket> = tickets
-            .filter(|ticket| ticket.connection == connection)
-            .collect();
-        ended
-            .into_iter()
-            .for_each(|ticket| self.end(at, ticket, false));
+    pub(super) fn end_connection(&mut self, at: Micros, connection: ConnectionId) {
+        let slots = self.open.keys().copied();
+        let ended: Vec<ReplySlot> = slots.filter(|slot| slot.connection == connection).collect();
+        ended.into_iter().for_each(|slot| self.end(at, slot, false));
     }
 }
--- a/crates/stairfront-lab/src/services/cache.rs
+++ b/crates/stairfront-lab/src/services/cache.rs
@@ -1,10 +1,10 @@
 //! A cache host behind RESP2 sockets.
 use bytes::{BufMut, Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandReader};
-use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnId, Reply, Ticket};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::Micros;
+use stairfront_codec::resp::{put_bulk, put_line, put_null, put_number, CommandDecoder};
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{self, CacheHost, Command, ConnectionId, Reply, ReplySlot};
+use stairfront_emulator::rules::Observation;
 
 use super::attempts::AttemptTracker;
 use super::{id_number, ServerCounts, SharedEventLog, UNLIMITED_BYTES};
@@ -64,7 +64,7 @@
     /// The counts so far.
     pub fn counts(&self) -> ServerCounts {
         ServerCounts {
-            worst_cold: self.model.worst_cold(),
+            worst_cold: self.model.max_cold_load_ratio(),
             ..self.counts
         }
     }
@@ -84,23 +84,23 @@
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
-                cache_host::Action::Reply(ticket, reply) => {
-                    outputs.push(self.answer(now, ticket, &reply));
+                cache_host::Action::Reply(slot, reply) => {
+                    outputs.push(self.answer(now, slot, &reply));
                 }
                 cache_host::Action::Close(connection) => {
                     outputs.push(ServerOutput::Reset(connection));
                 }
                 cache_host::Action::Effect { id, .. } => {
                     let id = id_number(&id);
-                    self.attempts.record(now, Seen::Effect { id });
+                    self.attempts.record(now, Observation::EffectApplied { id });
                 }
                 cache_host::Action::ColdMiss { id } => {
                     let id = id_number(&id);
-                    self.attempts.record(now, Seen::ColdMiss { id });
+                    self.attempts.record(now, Observation::ColdMiss { id });
                 }
-                cache_host::Action::FellOver => {
+                cache_host::Action::Crashed => {
                     let host = self.attempts.host();
-                    self.attempts.record(now, Seen::FellOver { host });
+                    self.attempts.record(now, Observation::HostCrashed { host });
                 }
             }
         }
@@ -108,23 +108,23 @@
         self.actions = actions;
     }
 
-    fn answer(&mut self, now: Micros, ticket: Ticket, reply: &Reply) -> ServerOutput {
+    fn answer(&mut self, now: Micros, slot: ReplySlot, reply: &Reply) -> ServerOutput {
         match reply {
-            Reply::Value { note: "hit", .. } | Reply::Doubled { .. } => self.counts.hits += 1,
+            Reply::Value { note: "hit", .. } | Reply::Duplicated { .. } => self.counts.hits += 1,
             Reply::Value { .. } | Reply::Miss { .. } => self.counts.misses += 1,
             Reply::Busy => self.counts.rejected += 1,
             _ => {}
         }
-        if *reply == Reply::Silence {
+        if *reply == Reply::Dropped {
             // The attempt is open until its connection ends.
-            return ServerOutput::Skip(ticket);
+            return ServerOutput::Skip(slot);
         }
-        let ran = matches!(
+        let executed = matches!(
             reply,
-            Reply::Value { .. } | Reply::Doubled { .. } | Reply::Spoilt(_)
+            Reply::Value { .. } | Reply::Duplicated { .. } | Reply::Malformed(_)
         );
-        self.attempts.end(now, ticket, ran);
-        ServerOutput::Answer(ticket, encode_reply(&mut self.scratch, reply))
+        self.attempts.end(now, slot, executed);
+        ServerOutput::Answer(slot, encode_reply(&mut self.scratch, reply))
     }
 }
 
@@ -139,12 +139,12 @@
         Reply::Miss { report } => put_answer(buffer, None, "miss", report.as_ref()),
         Reply::Failed => put_line(buffer, b'-', b"ERR failed"),
         Reply::Busy => put_line(buffer, b'-', b"BUSY"),
-        Reply::Spoilt(bytes) => buffer.put_slice(bytes),
-        Reply::Doubled { value } => {
+        Reply::Malformed(bytes) => buffer.put_slice(bytes),
+        Reply::Duplicated { value } => {
             put_answer(buffer, Some(value), "hit", None);
             put_answer(buffer, Some(value), "hit", None);
         }
-        Reply::Silence => {}
+        Reply::Dropped => {}
     }
     buffer.to_vec()
 }
@@ -176,13 +176,13 @@
 }
 
 impl Service for CacheService {
-    type Codec = CommandReader;
+    type Codec = CommandDecoder;
 
-    fn codec(&self) -> CommandReader {
-        CommandReader::new(&Budget::new(UNLIMITED_BYTES), &Budget::new(UNLIMITED_BYTES))
+    fn codec(&self) -> CommandDecoder {
+        CommandDecoder::new(&Budget::new(UNLIMITED_BYTES), &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn connection_opened(&mut self, now: Micros, connection: ConnId) -> bool {
+    fn connection_opened(&mut self, now: Micros, connection: ConnectionId) -> bool {
         let accepted = self.model.open(now, connection);
         self.connections += u64::from(accepted);
         self.counts.max_connections = self.counts.max_connections.max(self.connections);
@@ -192,12 +192,12 @@
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        slot: ReplySlot,
         balancer: u16,
         arguments: Vec<Bytes>,
         outputs: &mut Vec<ServerOutput>,
     ) {
-        let mut answer = |line: &[u8]| outputs.push(ServerOutput::Answer(ticket, line.to_vec()));
+        let mut answer = |line: &[u8]| outputs.push(ServerOutput::Answer(slot, line.to_vec()));
         let name = arguments.first().map(|name| name.to_ascii_uppercase());
         let argument = || arguments.get(1).cloned().unwrap_or_default();
         let write = match CommandKind::of(&name.unwrap_or_default()) {
@@ -208,7 +208,7 @@
                 return answer(b"+OK\r\n");
             }
             CommandKind::Drop => {
-                self.model.drop_key(&argument());
+                self.model.invalidate(&argument());
                 return answer(b"+OK\r\n");
             }
             CommandKind::Answered(line) => return answer(line),
@@ -218,12 +218,13 @@
         };
         self.counts.commands += 1;
         let id = id_number(&command.id);
-        self.attempts.begin(now, ticket, id, balancer);
-        self.model.command(now, ticket, command, &mut self.actions);
+        self.attempts.begin(now, slot, id, balancer);
+        self.model
+            .handle_command(now, slot, command, &mut self.actions);
         self.apply_actions(now, outputs);
     }
 
-    fn connection_closed(&mut self, now: Micros, connection: ConnId) {
+    fn connection_closed(&mut self, now: Micros, connection: ConnectionId) {
         self.connections = self.connections.saturating_sub(1);
         self.model.close(connection);
         self.attempts.end_connection(now, connection);
@@ -239,6 +240,6 @@
     }
 
     fn resumed_after(&mut self, pause: Micros) {
-        self.model.hold_up(pause);
+        self.model.stall(pause);
     }
 }
--- a/crates/stairfront-lab/src/services/mod.rs
+++ b/crates/stairfront-lab/src/services/mod.rs
@@ -14,8 +14,8 @@
 
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http_server::{HttpServerCodec, Reply as HttpReply};
-use stairfront_emulator::cache_host::Ticket;
+use stairfront_codec::http_server::{HttpServerCodec, Response};
+use stairfront_emulator::cache_host::ReplySlot;
 use tokio_util::codec::Encoder;
 
 use crate::event_log::EventLog;
@@ -75,12 +75,12 @@
 }
 
 /// Encodes an HTTP answer.
-fn http_answer(scratch: &mut BytesMut, ticket: Ticket, reply: HttpReply) -> ServerOutput {
+fn http_answer(scratch: &mut BytesMut, slot: ReplySlot, reply: Response) -> ServerOutput {
     scratch.clear();
     let mut codec = HttpServerCodec::new(0, &Budget::new(0));
     match codec.encode(reply, scratch) {
-        Ok(()) => ServerOutput::Answer(ticket, scratch.to_vec()),
+        Ok(()) => ServerOutput::Answer(slot, scratch.to_vec()),
         // Only a header with a line break cannot be encoded, and no header here has one.
-        Err(_) => ServerOutput::Reset(ticket.connection),
+        Err(_) => ServerOutput::Reset(slot.connection),
     }
 }
--- a/crates/stairfront-lab/src/services/origin.rs
+++ b/crates/stairfront-lab/src/services/origin.rs
@@ -1,11 +1,11 @@
 //! The origin behind HTTP sockets.
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http_server::{HttpServerCodec, Received, Reply as HttpReply};
-use stairfront_emulator::cache_host::{ConnId, Ticket};
+use stairfront_codec::http_server::{HttpServerCodec, Request, Response};
+use stairfront_common::time::Micros;
+use stairfront_emulator::cache_host::{ConnectionId, ReplySlot};
 use stairfront_emulator::origin::{self, Origin};
-use stairfront_emulator::rules::Seen;
-use stairfront_emulator::time::Micros;
+use stairfront_emulator::rules::Observation;
 
 use super::attempts::AttemptTracker;
 use super::{
@@ -41,7 +41,7 @@
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, status: u16, body: Bytes) -> ServerOutput {
+    fn answer(&mut self, slot: ReplySlot, status: u16, body: Bytes) -> ServerOutput {
         let reason = match status {
             200 => "OK",
             503 => "Service Unavailable",
@@ -49,38 +49,38 @@
             _ => "Internal Server Error",
         };
         let not_started = (status == 503).then(|| ("Not-Started", "1".to_string()));
-        let reply = HttpReply {
+        let reply = Response {
             status,
             reason,
             headers: not_started.into_iter().collect(),
             body,
         };
-        http_answer(&mut self.scratch, ticket, reply)
+        http_answer(&mut self.scratch, slot, reply)
     }
 
     fn apply_actions(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                origin::Action::Value(ticket, body) => {
-                    self.attempts.end(now, ticket, true);
-                    outputs.push(self.answer(ticket, 200, body));
+                origin::Action::Value(slot, body) => {
+                    self.attempts.end(now, slot, true);
+                    outputs.push(self.answer(slot, 200, body));
                 }
-                origin::Action::Failed(ticket) => {
-                    self.attempts.end(now, ticket, true);
-                    outputs.push(self.answer(ticket, 500, Bytes::new()));
+                origin::Action::Failed(slot) => {
+                    self.attempts.end(now, slot, true);
+                    outputs.push(self.answer(slot, 500, Bytes::new()));
                 }
-                origin::Action::NotStarted(ticket) => {
+                origin::Action::NotStarted(slot) => {
                     self.counts.rejected += 1;
-                    self.attempts.end(now, ticket, false);
-                    outputs.push(self.answer(ticket, 503, Bytes::new()));
+                    self.attempts.end(now, slot, false);
+                    outputs.push(self.answer(slot, 503, Bytes::new()));
                 }
                 origin::Action::Filled { id } => (self.notifier)(OriginNotification::Filled { id }),
                 origin::Action::Written { id, key } => {
                     let id = id_number(&id);
-                    self.attempts.record(now, Seen::Effect { id });
+                    self.attempts.record(now, Observation::EffectApplied { id });
                     (self.notifier)(OriginNotification::Written { key });
                 }
-                origin::Action::Stopped => self.attempts.record(now, Seen::OriginStopped),
+                origin::Action::Stopped => self.attempts.record(now, Observation::OriginStopped),
             }
         }
     }
@@ -116,46 +116,47 @@
         HttpServerCodec::new(MAX_BODY_BYTES, &Budget::new(UNLIMITED_BYTES))
     }
 
-    fn connection_opened(&mut self, _: Micros, _: ConnId) -> bool {
+    fn connection_opened(&mut self, _: Micros, _: ConnectionId) -> bool {
         true
     }
 
     fn received(
         &mut self,
         now: Micros,
-        ticket: Ticket,
+        slot: ReplySlot,
         balancer: u16,
-        request: Received,
+        request: Request,
         outputs: &mut Vec<ServerOutput>,
     ) {
         if request.target == "/-/healthy" || request.target == "/-/load" {
-            return outputs.push(self.answer(ticket, 200, Bytes::new()));
+            return outputs.push(self.answer(slot, 200, Bytes::new()));
         }
         let write = match request.method.as_str() {
             "GET" => false,
             "PUT" => true,
-            _ => return outputs.push(self.answer(ticket, 404, Bytes::new())),
+            _ => return outputs.push(self.answer(slot, 404, Bytes::new())),
         };
         let id = request.header("Request-Id").cloned().unwrap_or_default();
         if id.is_empty() {
             // No balancer sends one: the rules count it as an attempt for a request that nobody sent.
-            let Received { method, target, .. } = &request;
+            let Request { method, target, .. } = &request;
             eprintln!(
                 "the origin got a request without an id at balancer {balancer}'s address: {method} {target}"
             );
         }
         self.counts.commands += 1;
-        self.attempts.begin(now, ticket, id_number(&id), balancer);
+        self.attempts.begin(now, slot, id_number(&id), balancer);
         let request = origin::Request {
             write,
             key: decode_key(&request.target),
             id,
         };
-        self.model.request(now, ticket, request, &mut self.actions);
+        self.model
+            .handle_request(now, slot, request, &mut self.actions);
         self.apply_actions(now, outputs);
     }
 
-    fn connection_closed(&mut self, now: Micros, connection: ConnId) {
+    fn connection_closed(&mut self, now: Micros, connection: ConnectionId) {
         self.attempts.end_connection(now, connection);
     }
 
--- a/crates/stairfront-lab/src/stand_in.rs
+++ b/crates/stairfront-lab/src/stand_in.rs
@@ -8,10 +8,10 @@
 use bytes::BytesMut;
 use rustc_hash::FxHashMap;
 use stairfront_codec::resp::{put_bulk, put_number};
-use stairfront_emulator::agent::{Agent, Line, Status};
-use stairfront_emulator::cache_host::{CacheHost, CacheSettings, RepeatGroup};
+use stairfront_common::time::from_ms;
+use stairfront_emulator::cache_host::{CacheHost, CacheSettings, IdempotencyStore};
+use stairfront_emulator::discovery_agent::{DiscoveryAgent, EndpointRecord, EndpointStatus};
 use stairfront_emulator::origin::{Origin, OriginSettings};
-use stairfront_emulator::time::from_ms;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -50,7 +50,7 @@
     /// An agent of discovery.
     Discovery {
         /// The servers of its list.
-        lines: Vec<Line>,
+        lines: Vec<EndpointRecord>,
         /// Lag of its list, in milliseconds.
         lag_ms: f64,
     },
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// The text has another form.
-pub fn parse_server(text: &str) -> Result<Line, ParseServerError> {
+pub fn parse_server(text: &str) -> Result<EndpointRecord, ParseServerError> {
     let (name, address) = text
         .split_once('=')
         .ok_or_else(|| ParseServerError::NoAddress {
@@ -93,13 +93,13 @@
             source,
         })?;
     let kind = if name == "origin" { "origin" } else { "cache" };
-    Ok(Line {
+    Ok(EndpointRecord {
         name: name.to_string(),
         address: parsed.to_string(),
         zone: "a".to_string(),
         kind: kind.to_string(),
         group: 0,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         since_ms: 0,
     })
 }
@@ -122,7 +122,7 @@
     match what {
         StandIn::Cache { settings, cold } => {
             let name = listen.to_string();
-            let mut model = CacheHost::new(settings, seed, &name, RepeatGroup::shared());
+            let mut model = CacheHost::new(settings, seed, &name, IdempotencyStore::shared());
             if cold {
                 model.start_cold(clock.now());
             }
@@ -135,7 +135,7 @@
             serve_until_stopped(clock, service, listen).await
         }
         StandIn::Discovery { lines, lag_ms } => {
-            let agent = Agent::new(lines, from_ms(lag_ms));
+            let agent = DiscoveryAgent::new(lines, from_ms(lag_ms));
             let service = AgentService::new(agent, FxHashMap::default(), 0, event_log);
             serve_until_stopped(clock, service, listen).await
         }
--- a/crates/stairfront-lab/src/summary.rs
+++ b/crates/stairfront-lab/src/summary.rs
@@ -1,8 +1,8 @@
 //! The results of the clients: counts by class and tenant, latencies from when a request was due, and both over time.
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use stairfront_emulator::client::{Ask, End};
-use stairfront_emulator::time::Micros;
+use stairfront_common::time::Micros;
+use stairfront_emulator::client::{Attempt, Outcome};
 
 use crate::event_log::INTERVAL;
 
@@ -95,10 +95,10 @@
         }
     }
 
-    fn record(&mut self, end: End, latency_us: u64) {
+    fn record(&mut self, end: Outcome, latency_us: u64) {
         match end {
-            End::Served => self.served += 1,
-            End::Refused { .. } => self.rejected += 1,
+            Outcome::Served => self.served += 1,
+            Outcome::Rejected { .. } => self.rejected += 1,
             _ => self.other += 1,
         }
         self.latency.saturating_record(latency_us);
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     /// How it ended.
-    pub end: End,
+    pub end: Outcome,
     /// It was never sent.
     pub unsent: bool,
     /// It was served within the objective of its request.
@@ -156,7 +156,7 @@
     }
 
     /// Records the end of an attempt.
-    pub fn record(&mut self, now: Micros, request: &Ask, attempt: AttemptEnd) {
+    pub fn record(&mut self, now: Micros, request: &Attempt, attempt: AttemptEnd) {
         let latency_us = (now - request.due).clamp(1, MAX_LATENCY_US as Micros) as u64;
         self.interval(request.due).record(attempt.end, latency_us);
         if !(self.from..self.until).contains(&request.first_due) {
@@ -172,14 +172,14 @@
         counts.in_time += u64::from(attempt.in_time);
         match attempt.end {
             _ if attempt.unsent => counts.unsent += 1,
-            End::Served => {
+            Outcome::Served => {
                 counts.served += 1;
                 self.served.saturating_record(latency_us);
             }
-            End::Refused { .. } => counts.rejected += 1,
-            End::Failed => counts.failed += 1,
-            End::Lost => counts.lost += 1,
-            End::Unanswered => counts.unanswered += 1,
+            Outcome::Rejected { .. } => counts.rejected += 1,
+            Outcome::Failed => counts.failed += 1,
+            Outcome::ConnectionLost => counts.lost += 1,
+            Outcome::TimedOut => counts.unanswered += 1,
         }
     }
 
