--- a/crates/stairfront-baselines/src/lib.rs
+++ b/crates/stairfront-baselines/src/lib.rs
@@ -1,6 +1,11 @@
-//! Baselines: what plain load balancing decides in the decision module's place, on the same sockets, so that only the
-//! decisions differ. They keep the rules on effects and drains, go to the origin on a miss, try again up to the limit,
-//! and know nothing of windows, cold servers, fairness or shed load. For the lab alone; the product has no such choice.
+//! Baseline policies for the lab's comparisons: what plain load balancing decides in the place of `stairfront-policy`, on
+//! the same sockets, so that only the decisions differ.
+//!
+//! A [`Baseline`] owns its endpoint list and its requests in flight. It keeps the rules on effects and drains, forwards to
+//! the origin on a miss, and retries up to the limit. It never limits concurrency, spares cold servers, shares capacity
+//! between tenants or sheds load, and it is no part of the product.
+mod selection;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rustc_hash::FxHashMap;
@@ -9,137 +14,124 @@
     Action, AttemptResult, CacheId, CacheMode, Endpoint, EndpointListUpdate, EndpointState, Event,
     Idempotency, Micros, Outcome, Request, RequestId, Settings, MS,
 };
-use xxhash_rust::xxh3::xxh3_64_with_seed;
-
-/// Which server a request goes to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
-    Random,
-    /// The one with the fewest own requests out.
-    LeastInFlight,
-    /// The clockwise owner of the key's one point on a ring with one point for each server.
-    OneChoice,
-}
 
-/// Left of a client's time for the answer to travel.
+pub use self::selection::SelectionPolicy;
+
+use self::selection::{ring_owner, RandomSequence};
+
+/// Part of a client's time that is kept for the answer to travel.
 const ANSWER_TIME: Micros = 5 * MS;
 
-struct Open {
+/// A request without a final answer.
+struct OpenRequest {
     request: Request,
     attempts: u8,
-    out: Option<CacheId>,
+    in_flight: Option<CacheId>,
     tried: Vec<CacheId>,
-    /// An attempt that has ended may have run.
-    ran: bool,
+    /// Whether an attempt that has ended may have been executed.
+    maybe_executed: bool,
 }
 
+/// A decision module with a baseline policy.
 pub struct Baseline {
-    choice: Choice,
-    set: Settings,
-    draws: u64,
-    members: BTreeMap<CacheId, Endpoint>,
+    policy: SelectionPolicy,
+    settings: Settings,
+    random: RandomSequence,
+    endpoints: BTreeMap<CacheId, Endpoint>,
     cordoned: BTreeSet<CacheId>,
-    inflight: FxHashMap<CacheId, u32>,
-    open: FxHashMap<RequestId, Open>,
+    in_flight: FxHashMap<CacheId, u32>,
+    open: FxHashMap<RequestId, OpenRequest>,
 }
 
 impl Baseline {
-    pub fn new(choice: Choice, set: Settings, seed: u64) -> Self {
-        let (members, inflight, open) =
-            (BTreeMap::new(), FxHashMap::default(), FxHashMap::default());
+    /// A baseline without endpoints and requests.
+    pub fn new(policy: SelectionPolicy, settings: Settings, seed: u64) -> Self {
         Baseline {
-            choice,
-            set,
-            draws: seed,
-            members,
+            policy,
+            settings,
+            random: RandomSequence::new(seed),
+            endpoints: BTreeMap::new(),
             cordoned: BTreeSet::new(),
-            inflight,
-            open,
+            in_flight: FxHashMap::default(),
+            open: FxHashMap::default(),
         }
     }
 
-    fn is_origin(&self, member: &Endpoint) -> bool {
-        matches!(self.set.mode, CacheMode::Aside { origin } if origin == member.kind)
+    fn is_origin(&self, endpoint: &Endpoint) -> bool {
+        matches!(self.settings.mode, CacheMode::Aside { origin } if origin == endpoint.kind)
     }
 
-    fn list(&mut self, news: EndpointListUpdate<'_>) {
-        let (lines, whole) = match news {
-            EndpointListUpdate::Delta(lines) => (lines, false),
-            EndpointListUpdate::Full(lines) | EndpointListUpdate::Cached(lines) => (lines, true),
+    fn update_endpoints(&mut self, update: EndpointListUpdate<'_>) {
+        let endpoints = match update {
+            EndpointListUpdate::Delta(endpoints) => endpoints,
+            EndpointListUpdate::Full(endpoints) | EndpointListUpdate::Cached(endpoints) => {
+                self.endpoints.clear();
+                endpoints
+            }
             EndpointListUpdate::Failed => return,
         };
-        if whole {
-            self.members.clear();
-        }
-        for line in lines {
-            self.members.insert(line.id, *line);
+        for endpoint in endpoints {
+            self.endpoints.insert(endpoint.id, *endpoint);
         }
     }
 
-    fn draw(&mut self, below: usize) -> usize {
-        self.draws = self.draws.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mixed = xxh3_64_with_seed(&self.draws.to_le_bytes(), 0);
-        (mixed % below.max(1) as u64) as usize
-    }
-
-    fn choose(&mut self, open: &Open) -> Option<CacheId> {
-        let ready = |member: &&Endpoint| {
-            let free = !self.is_origin(member) && !self.cordoned.contains(&member.id);
-            member.state == EndpointState::Ready && free
-        };
+    /// The caches that may get this request: those not tried yet, or all where each has been tried.
+    fn candidates(&self, open: &OpenRequest) -> Vec<CacheId> {
         let mut caches: Vec<CacheId> = self
-            .members
+            .endpoints
             .values()
-            .filter(ready)
-            .map(|member| member.id)
+            .filter(|endpoint| endpoint.state == EndpointState::Ready)
+            .filter(|endpoint| !self.is_origin(endpoint) && !self.cordoned.contains(&endpoint.id))
+            .map(|endpoint| endpoint.id)
             .collect();
         if caches.iter().any(|cache| !open.tried.contains(cache)) {
             caches.retain(|cache| !open.tried.contains(cache));
         }
-        match self.choice {
-            Choice::Random => {
-                let i = self.draw(caches.len());
-                caches.get(i).copied()
+        caches
+    }
+
+    fn select_cache(&mut self, open: &OpenRequest) -> Option<CacheId> {
+        let mut caches = self.candidates(open);
+        match self.policy {
+            SelectionPolicy::Random => {
+                let position = self.random.below(caches.len());
+                caches.get(position).copied()
             }
-            Choice::LeastInFlight => {
-                // Ties go to whichever comes first after a random one.
-                let first = self.draw(caches.len());
+            SelectionPolicy::LeastInFlight => {
+                // Of several with the fewest the first is taken, so that the order has to be random.
+                let first = self.random.below(caches.len());
                 caches.rotate_left(first);
                 caches
                     .into_iter()
-                    .min_by_key(|cache| self.inflight.get(cache).copied().unwrap_or(0))
+                    .min_by_key(|cache| self.in_flight.get(cache).copied().unwrap_or(0))
             }
-            Choice::OneChoice => {
-                let point = |value: u64| xxh3_64_with_seed(&value.to_le_bytes(), 7);
-                let at = open.request.key.map_or(0, |key| point(key.0));
-                caches.sort_by_key(|cache| point(cache.0));
-                let owner = caches
-                    .iter()
-                    .position(|cache| point(cache.0) >= at)
-                    .unwrap_or(0);
-                caches.get(owner).copied()
+            SelectionPolicy::ConsistentHash => {
+                ring_owner(caches, open.request.key.map(|key| key.0))
             }
         }
     }
 
-    fn origin(&self) -> Option<CacheId> {
-        let serves =
-            |member: &&Endpoint| self.is_origin(member) && member.state == EndpointState::Ready;
-        self.members.values().find(serves).map(|member| member.id)
+    fn select_origin(&self) -> Option<CacheId> {
+        self.endpoints
+            .values()
+            .find(|endpoint| self.is_origin(endpoint) && endpoint.state == EndpointState::Ready)
+            .map(|endpoint| endpoint.id)
     }
 
     fn send(&mut self, now: Micros, id: RequestId, to: Option<CacheId>, actions: &mut Vec<Action>) {
         let (Some(to), Some(open)) = (to, self.open.get_mut(&id)) else {
-            return self.give_up(id, actions);
+            self.give_up(id, actions);
+            return;
         };
         let timeout = open.request.expires_at - now - 2 * ANSWER_TIME;
-        if timeout <= 0 || open.attempts >= self.set.limits.max_attempts {
-            return self.give_up(id, actions);
+        if timeout <= 0 || open.attempts >= self.settings.limits.max_attempts {
+            self.give_up(id, actions);
+            return;
         }
         open.attempts += 1;
-        open.out = Some(to);
+        open.in_flight = Some(to);
         open.tried.push(to);
-        *self.inflight.entry(to).or_default() += 1;
+        *self.in_flight.entry(to).or_default() += 1;
         actions.push(Action::Send {
             id,
             cache: to,
@@ -148,31 +140,38 @@
         });
     }
 
-    /// A refusal says that a retry is harmless, so it is one only where nothing may have run.
+    /// Whether a repeat of the request can have no second effect.
+    fn may_retry(&self, open: &OpenRequest) -> bool {
+        let class = self.settings.classes.get(usize::from(open.request.class.0));
+        let is_idempotent = class.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
+        is_idempotent || !open.maybe_executed
+    }
+
+    /// Ends a request without a value. A rejection tells the client that a retry does no harm, so that a request that may
+    /// have been executed fails instead.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else {
             return;
         };
-        let free = self.set.classes.get(usize::from(open.request.class.0));
-        let free = free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
-        actions.push(match free || !open.ran {
-            true => Action::Reject { id, retry_after: 0 },
-            false => Action::Fail { id },
+        actions.push(if self.may_retry(&open) {
+            Action::Reject { id, retry_after: 0 }
+        } else {
+            Action::Fail { id }
         });
     }
 
-    fn request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+    fn handle_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
-        let open = Open {
+        let open = OpenRequest {
             request,
             attempts: 0,
-            out: None,
+            in_flight: None,
             tried: Vec::new(),
-            ran: false,
+            maybe_executed: false,
         };
-        let to = match (request.write, self.origin()) {
+        let to = match (request.write, self.select_origin()) {
             (true, Some(origin)) => Some(origin),
-            _ => self.choose(&open),
+            _ => self.select_cache(&open),
         };
         self.open.insert(id, open);
         let delay = (request.expires_at - now - ANSWER_TIME).max(0);
@@ -183,56 +182,60 @@
         self.send(now, id, to, actions);
     }
 
-    fn settled(&mut self, now: Micros, settled: AttemptResult, actions: &mut Vec<Action>) {
-        if let Some(inflight) = self.inflight.get_mut(&settled.cache) {
-            *inflight = inflight.saturating_sub(1);
-        }
-        let id = settled.id;
-        if settled.request_finished || settled.outcome == Outcome::Served {
-            self.open.remove(&id);
-            return;
+    fn handle_result(&mut self, now: Micros, result: AttemptResult, actions: &mut Vec<Action>) {
+        if let Some(in_flight) = self.in_flight.get_mut(&result.cache) {
+            *in_flight = in_flight.saturating_sub(1);
         }
+        let id = result.id;
         let Some(mut open) = self.open.remove(&id) else {
             return;
         };
-        open.out = None;
-        open.ran |= !settled.outcome.proves_no_effect();
-        let free = self.set.classes.get(usize::from(open.request.class.0));
-        let may_repeat =
-            !open.ran || free.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
-        let to = match settled.outcome {
-            Outcome::Miss => self.origin(),
-            _ if open.request.write => self.origin(),
-            _ => self.choose(&open),
+        if result.request_finished || result.outcome == Outcome::Served {
+            return;
+        }
+        open.in_flight = None;
+        open.maybe_executed |= !result.outcome.proves_no_effect();
+        let may_retry = self.may_retry(&open);
+        let to = match result.outcome {
+            Outcome::Miss => self.select_origin(),
+            _ if open.request.write => self.select_origin(),
+            _ => self.select_cache(&open),
         };
         self.open.insert(id, open);
-        self.send(now, id, to.filter(|_| may_repeat), actions);
+        self.send(now, id, to.filter(|_| may_retry), actions);
+    }
+
+    /// Ends a request whose client will not wait much longer.
+    fn handle_timer(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        // The id may have been given to a later request, which is not due yet.
+        if now < open.request.expires_at - 2 * ANSWER_TIME {
+            return;
+        }
+        open.maybe_executed |= open.in_flight.is_some();
+        self.give_up(id, actions);
     }
 }
 
 impl Decide for Baseline {
     fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(news) => self.list(news),
-            Event::Request(request) => self.request(now, request, actions),
-            Event::AttemptFinished(settled) => self.settled(now, settled, actions),
+            Event::EndpointList(update) => self.update_endpoints(update),
+            Event::Request(request) => self.handle_request(now, request, actions),
+            Event::AttemptFinished(result) => self.handle_result(now, result, actions),
             Event::ClientDisconnected { id } | Event::ResponseStarted { id, .. } => {
                 self.open.remove(&id);
             }
-            Event::Timer { token } => {
-                let id = RequestId(token as u32);
-                let due = |open: &Open| now >= open.request.expires_at - 2 * ANSWER_TIME;
-                if self.open.get(&id).is_some_and(due) {
-                    // What is out may have run.
-                    if let Some(open) = self.open.get_mut(&id) {
-                        open.ran |= open.out.is_some();
-                    }
-                    self.give_up(id, actions);
-                }
+            Event::Timer { token } => self.handle_timer(now, RequestId(token as u32), actions),
+            Event::SettingsChanged { settings, .. } => self.settings = settings.clone(),
+            Event::Cordon { cache, on: true } => {
+                self.cordoned.insert(cache);
+            }
+            Event::Cordon { cache, on: false } => {
+                self.cordoned.remove(&cache);
             }
-            Event::SettingsChanged { settings, .. } => self.set = settings.clone(),
-            Event::Cordon { cache, on: true } => drop(self.cordoned.insert(cache)),
-            Event::Cordon { cache, on: false } => drop(self.cordoned.remove(&cache)),
             Event::HealthChecked { .. }
             | Event::PeerMessage { .. }
             | Event::Inherited(_)
--- a/crates/stairfront-baselines/src/main.rs
+++ b/crates/stairfront-baselines/src/main.rs
@@ -1,17 +1,28 @@
-//! A balancer that decides by a baseline policy, started as the product is: for the lab's comparisons.
+//! A balancer that decides by a baseline policy and is started like the product: for the lab's comparisons.
 use std::process::ExitCode;
 
 use clap::{Parser, ValueEnum};
 use stairfront_balancer::configuration::config::Config;
 use stairfront_balancer::lifecycle::server;
-use stairfront_baselines::{Baseline, Choice};
+use stairfront_baselines::{Baseline, SelectionPolicy};
 use tracing::error;
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Policy {
+enum PolicyArgument {
     Random,
     LeastInFlight,
-    OneChoice,
+    #[value(name = "one-choice")]
+    ConsistentHash,
+}
+
+impl From<PolicyArgument> for SelectionPolicy {
+    fn from(argument: PolicyArgument) -> Self {
+        match argument {
+            PolicyArgument::Random => SelectionPolicy::Random,
+            PolicyArgument::LeastInFlight => SelectionPolicy::LeastInFlight,
+            PolicyArgument::ConsistentHash => SelectionPolicy::ConsistentHash,
+        }
+    }
 }
 
 /// Serves with a baseline policy; configured by ROUTER_CONFIG, as the product.
@@ -19,30 +30,31 @@
 #[command(version)]
 struct Arguments {
     #[arg(long)]
-    policy: Policy,
+    policy: PolicyArgument,
 }
 
 fn main() -> ExitCode {
-    let choice = match Arguments::parse().policy {
-        Policy::Random => Choice::Random,
-        Policy::LeastInFlight => Choice::LeastInFlight,
-        Policy::OneChoice => Choice::OneChoice,
-    };
-    let log = tracing_subscriber::fmt().log_internal_errors(false);
-    log.with_writer(std::io::stderr)
+    let policy = SelectionPolicy::from(Arguments::parse().policy);
+    tracing_subscriber::fmt()
+        .log_internal_errors(false)
+        .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .init();
-    let served = Config::from_environment()
-        .map_err(|problem| problem.to_string())
-        .and_then(|config| {
-            server::run(config, |set, seed| Baseline::new(choice, set, seed))
-                .map_err(|e| e.to_string())
-        });
+    let config = match Config::from_environment() {
+        Ok(config) => config,
+        Err(error) => {
+            error!(%error, "cannot serve");
+            return ExitCode::FAILURE;
+        }
+    };
+    let served = server::run(config, |settings, seed| {
+        Baseline::new(policy, settings, seed)
+    });
     match served {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            error!("cannot serve: {problem}");
+        Err(error) => {
+            error!(%error, "cannot serve");
             ExitCode::FAILURE
         }
     }
