--- a/crates/stairfront/src/command_line.rs
+++ b/crates/stairfront/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What can be said on the command line.
+//! The command line.
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -13,13 +13,14 @@
     /// Form of the log on standard error.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     pub log_format: LogFormat,
-    /// What is logged; `debug` has a line for each attempt at a server.
+    /// Least severe level that is logged; `debug` has a line for each attempt at a server.
     #[arg(long, global = true, value_enum, default_value_t = LogLevel::Info)]
     pub log_level: LogLevel,
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
+/// The least severe level that is logged.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LogLevel {
     Warn,
@@ -27,12 +28,14 @@
     Debug,
 }
 
+/// The form of a log line.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
     Text,
     Json,
 }
 
+/// The subcommands.
 #[derive(Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM.
@@ -83,6 +86,7 @@
     Lab(LabArguments),
 }
 
+/// Arguments of `members`.
 #[derive(Args)]
 pub struct MembersArguments {
     /// Where that balancer's operators call (`ops` in its configuration).
@@ -91,17 +95,18 @@
     /// Ask again each second until Ctrl-C.
     #[arg(long)]
     pub watch: bool,
-    /// What the balancer says, as it says it: JSON, one line an answer.
+    /// Print the JSON of the balancer, one line an answer.
     #[arg(long)]
     pub json: bool,
 }
 
+/// Arguments of `maintenance`.
 #[derive(Args)]
 pub struct MaintenanceArguments {
     /// Where any balancer's operators of the group call (`ops` in its configuration).
     #[arg(long)]
     pub ops: SocketAddr,
-    /// What the balancer says, as it says it: JSON.
+    /// Print the JSON of the balancer.
     #[arg(long)]
     pub json: bool,
     /// Who says it, for the history; `$USER` where it is left out.
@@ -111,9 +116,10 @@
     pub command: MaintenanceCommand,
 }
 
+/// The subcommands of `maintenance`.
 #[derive(Subcommand)]
 pub enum MaintenanceCommand {
-    /// Post a plan: a file of JSON, - for standard input.
+    /// Submit a plan: a file of JSON, - for standard input.
     Plan {
         file: PathBuf,
         /// Only print the order, and how long the steps may take.
@@ -142,6 +148,7 @@
     },
 }
 
+/// Arguments of `lab`.
 #[derive(Args)]
 pub struct LabArguments {
     /// The experiment.
@@ -155,11 +162,12 @@
     /// Use these seeds in place of the experiment's.
     #[arg(long, value_delimiter = ',')]
     pub seeds: Vec<u64>,
-    /// Tell nothing while it runs.
+    /// Print no progress while it runs.
     #[arg(long)]
     pub quiet: bool,
 }
 
+/// The servers that can be stood in for.
 #[derive(Subcommand)]
 pub enum StandIn {
     /// A cache host that speaks RESP2.
@@ -198,7 +206,7 @@
         work_ms: f64,
         #[arg(long, default_value_t = 8)]
         cores: usize,
-        /// Stand-in caches that are given what they missed.
+        /// Caches that are given the values they missed.
         #[arg(long, value_delimiter = ',')]
         fills: Vec<SocketAddr>,
         #[arg(long, default_value_t = 1)]
--- a/crates/stairfront/src/check.rs
+++ b/crates/stairfront/src/check.rs
@@ -1,26 +1,26 @@
-//! Checking a configuration without serving.
+//! `stairfront check`: the errors of a configuration, without serving.
 use std::fs;
 use std::path::Path;
 use std::process::ExitCode;
 
 use stairfront_balancer::configuration::config::Config;
 
-use crate::FAULTY;
+use crate::{invalid_input, INVALID_INPUT};
 
+/// Prints every error of the configuration file at this path.
 pub fn check(path: &Path) -> ExitCode {
     let name = path.display().to_string();
     let text = match fs::read_to_string(path) {
         Ok(text) => text,
-        Err(problem) => {
-            eprintln!("{name}: {problem}");
-            return ExitCode::from(FAULTY);
-        }
+        Err(error) => return invalid_input(&format!("{name}: {error}")),
     };
-    let faults = Config::errors(&name, &text);
-    faults.iter().for_each(|fault| eprintln!("{fault}"));
-    if !faults.is_empty() {
-        return ExitCode::from(FAULTY);
+    let errors = Config::errors(&name, &text);
+    if errors.is_empty() {
+        println!("{name}: good");
+        return ExitCode::SUCCESS;
     }
-    println!("{name}: good");
-    ExitCode::SUCCESS
+    for error in errors {
+        eprintln!("{error}");
+    }
+    ExitCode::from(INVALID_INPUT)
 }
--- a/crates/stairfront/src/lab.rs
+++ b/crates/stairfront/src/lab.rs
@@ -1,8 +1,8 @@
-//! Experiments from the command line.
+//! `stairfront lab`: an experiment and its results.
 use std::env;
 use std::fs;
 use std::io::{self, Write};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::ExitCode;
 
 use stairfront_lab::compare::{self, Results};
@@ -11,17 +11,34 @@
 use stairfront_lab::report;
 use stairfront_lab::run::{Progress, Surroundings};
 
-use crate::command_line::LabArguments;
-use crate::FAULTY;
+use crate::arguments::LabArguments;
+use crate::{failure, invalid_input};
 
-const BASELINE: &str = "stairfront-baseline";
+const BASELINE_PROGRAM: &str = "stairfront-baseline";
+const STANDARD_OUTPUT: &str = "-";
+
+/// Runs an experiment and prints or writes its results.
+pub fn lab(arguments: &LabArguments) -> ExitCode {
+    let mut experiment = match Experiment::from_file(&arguments.experiment) {
+        Ok(experiment) => experiment,
+        Err(error) => return invalid_input(&error),
+    };
+    if !arguments.seeds.is_empty() {
+        experiment.seeds.clone_from(&arguments.seeds);
+    }
+    match run(&experiment, arguments) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::FAILURE,
+        Err(error) => failure(&error),
+    }
+}
 
 /// This program as the balancer, and the baselines beside it.
 pub fn surroundings(progress: Progress) -> io::Result<Surroundings> {
     let program = env::current_exe()?;
-    let beside = |name: &str| program.parent().unwrap_or(Path::new(".")).join(name);
+    let directory = program.parent().unwrap_or(Path::new("."));
     Ok(Surroundings {
-        baseline: beside(BASELINE),
+        baseline: directory.join(BASELINE_PROGRAM),
         balancer: Build {
             program,
             arguments: vec!["serve".to_string()],
@@ -31,44 +48,29 @@
     })
 }
 
-pub fn lab(arguments: &LabArguments) -> ExitCode {
-    let mut experiment = match Experiment::from_file(&arguments.experiment) {
-        Ok(experiment) => experiment,
-        Err(problem) => {
-            eprintln!("{problem}");
-            return ExitCode::from(FAULTY);
-        }
-    };
-    if !arguments.seeds.is_empty() {
-        experiment.seeds.clone_from(&arguments.seeds);
-    }
+/// Whether the rules held.
+fn run(experiment: &Experiment, arguments: &LabArguments) -> io::Result<bool> {
     let progress = if arguments.quiet {
         Progress::Nothing
     } else {
         Progress::Line
     };
-    let ran = surroundings(progress).and_then(|around| compare::experiment(&experiment, &around));
-    let told = ran.and_then(|results| tell(&results, arguments).map(|()| results.rules_hold()));
-    match told {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("{problem}");
-            ExitCode::FAILURE
-        }
-    }
+    let results = compare::experiment(experiment, &surroundings(progress)?)?;
+    write_results(&results, arguments)?;
+    Ok(results.rules_hold())
 }
 
-fn tell(results: &Results, arguments: &LabArguments) -> io::Result<()> {
-    let to_stdout = Some(PathBuf::from("-")) == arguments.json;
+fn write_results(results: &Results, arguments: &LabArguments) -> io::Result<()> {
+    let json_to_stdout = arguments.json.as_deref() == Some(Path::new(STANDARD_OUTPUT));
     if let Some(path) = &arguments.json {
         let text = serde_json::to_string_pretty(results)?;
-        match to_stdout {
-            true => writeln!(io::stdout(), "{text}")?,
-            false => fs::write(path, text)?,
+        if json_to_stdout {
+            writeln!(io::stdout(), "{text}")?;
+        } else {
+            fs::write(path, text)?;
         }
     }
-    if !to_stdout {
+    if !json_to_stdout {
         write!(io::stdout(), "{}", compare::table(results))?;
     }
     if let Some(path) = &arguments.report {
--- a/crates/stairfront/src/maintenance.rs
+++ b/crates/stairfront/src/maintenance.rs
@@ -1,247 +1,219 @@
-//! Plans of maintenance, for a person: what is agreed at the operators' door, said and shown.
+//! `stairfront maintenance`: submits and changes plans of maintenance, and shows them.
+use std::fs::File;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
+use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stairfront_balancer::control::maintenance::admin::{CommittedCommand, DryRun, PublishedView};
 use tokio::time::sleep;
 
-use crate::command_line::{MaintenanceArguments, MaintenanceCommand};
-use crate::{door, FAULTY};
+use crate::admin_client::{self, percent_encode, AdminResponse};
+use crate::arguments::{MaintenanceArguments, MaintenanceCommand};
+use crate::{invalid_input, maintenance_table};
 
-const WATCH_EVERY: Duration = Duration::from_secs(1);
-/// A plan is some names.
-const LARGEST_PLAN: u64 = 4096;
-const PATH: &str = "/admin/maintenance";
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+/// Largest plan that is read; it holds some names.
+const MAX_PLAN_BYTES: u64 = 4096;
+const PLANS_PATH: &str = "/admin/maintenance";
+const DRY_RUN_PATH: &str = "/admin/maintenance/dry-run";
+const STANDARD_INPUT: &str = "-";
+const DEFAULT_AUTHOR: &str = "operator";
 
+/// Carries out a subcommand of `stairfront maintenance`.
 pub fn maintenance(arguments: &MaintenanceArguments) -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-    {
+    let runtime = match admin_client::runtime() {
         Ok(runtime) => runtime,
-        Err(problem) => return failed(&problem.to_string()),
+        Err(error) => return invalid_input(&error),
     };
-    match runtime.block_on(carry_out(arguments)) {
+    match runtime.block_on(Client::new(arguments).run(&arguments.command)) {
         Ok(code) => code,
-        Err(problem) if problem.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
-        Err(problem) => failed(&format!("{}: {problem}", arguments.ops)),
+        // The reader of the output has ended.
+        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
+        Err(error) => invalid_input(&format!("{}: {error}", arguments.ops)),
     }
 }
 
-fn failed(problem: &str) -> ExitCode {
-    eprintln!("{problem}");
-    ExitCode::from(FAULTY)
+/// One use of the admin API.
+struct Client {
+    address: SocketAddr,
+    json: bool,
+    author: String,
 }
 
-async fn carry_out(arguments: &MaintenanceArguments) -> io::Result<ExitCode> {
-    let MaintenanceArguments {
-        ops,
-        json,
-        author,
-        command,
-    } = arguments;
-    let author = author
-        .clone()
-        .or_else(|| std::env::var("USER").ok())
-        .unwrap_or_else(|| "operator".to_string());
-    let act = |verb: &str, plan: &u64, more: &[(&str, &str)]| {
-        let mut target = format!("{PATH}/{verb}?plan={plan}&author={}", escaped(&author));
-        more.iter()
-            .for_each(|(key, value)| target += &format!("&{key}={}", escaped(value)));
-        target
-    };
-    let target = match command {
-        MaintenanceCommand::Show => {
-            show(*ops, *json).await?;
-            return Ok(ExitCode::SUCCESS);
+impl Client {
+    fn new(arguments: &MaintenanceArguments) -> Self {
+        let author = arguments.author.clone();
+        let author = author.or_else(|| std::env::var("USER").ok());
+        Client {
+            address: arguments.ops,
+            json: arguments.json,
+            author: author.unwrap_or_else(|| DEFAULT_AUTHOR.to_string()),
         }
-        MaintenanceCommand::Watch => loop {
-            if let Err(problem) = show(*ops, *json).await {
-                if problem.kind() == io::ErrorKind::BrokenPipe {
-                    return Err(problem);
-                }
-                eprintln!("{ops}: {problem}");
+    }
+
+    async fn run(&self, command: &MaintenanceCommand) -> io::Result<ExitCode> {
+        match command {
+            MaintenanceCommand::Show => self.show().await.map(|()| ExitCode::SUCCESS),
+            MaintenanceCommand::Watch => self.watch().await,
+            MaintenanceCommand::Plan {
+                file,
+                dry_run: false,
+            } => self.submit(file).await,
+            MaintenanceCommand::Plan {
+                file,
+                dry_run: true,
+            } => self.dry_run(file).await,
+            MaintenanceCommand::Done { plan, machine } => {
+                self.change("done", *plan, &[("machine", machine)]).await
+            }
+            MaintenanceCommand::Skip { plan, machine } => {
+                self.change("skip", *plan, &[("machine", machine)]).await
+            }
+            MaintenanceCommand::Hold { plan, why } => {
+                self.change("hold", *plan, &[("why", why)]).await
+            }
+            MaintenanceCommand::Resume { plan } => self.change("resume", *plan, &[]).await,
+            MaintenanceCommand::Drop { plan } => self.change("drop", *plan, &[]).await,
+            MaintenanceCommand::Force {
+                plan,
+                machine,
+                member,
+            } => {
+                let parameters = [("machine", machine.as_str()), ("member", member.as_str())];
+                self.change("force", *plan, &parameters).await
             }
-            sleep(WATCH_EVERY).await;
-        },
-        MaintenanceCommand::Plan { file, dry_run } => {
-            return plan(*ops, file, *dry_run, &author, *json).await
         }
-        MaintenanceCommand::Done { plan, machine } => act("done", plan, &[("machine", machine)]),
-        MaintenanceCommand::Skip { plan, machine } => act("skip", plan, &[("machine", machine)]),
-        MaintenanceCommand::Hold { plan, why } => act("hold", plan, &[("why", why)]),
-        MaintenanceCommand::Resume { plan } => act("resume", plan, &[]),
-        MaintenanceCommand::Drop { plan } => act("drop", plan, &[]),
-        MaintenanceCommand::Force {
-            plan,
-            machine,
-            member,
-        } => act("force", plan, &[("machine", machine), ("member", member)]),
-    };
-    settled(door::call(*ops, "POST", &target, None).await?, *json)
-}
-
-async fn plan(
-    ops: SocketAddr,
-    file: &std::path::Path,
-    dry_run: bool,
-    author: &str,
-    json: bool,
-) -> io::Result<ExitCode> {
-    let mut text = String::new();
-    match file.to_str() {
-        Some("-") => io::stdin().take(LARGEST_PLAN).read_to_string(&mut text)?,
-        _ => std::fs::File::open(file)?
-            .take(LARGEST_PLAN)
-            .read_to_string(&mut text)?,
-    };
-    let mut plan: serde_json::Value = serde_json::from_str(&text).map_err(io::Error::other)?;
-    if let Some(keys) = plan.as_object_mut() {
-        keys.entry("author").or_insert_with(|| author.into());
     }
-    let body = Some(plan.to_string().into_bytes());
-    if !dry_run {
-        return settled(door::call(ops, "POST", PATH, body).await?, json);
+
+    async fn call(
+        &self,
+        method: &'static str,
+        target: &str,
+        body: Option<Vec<u8>>,
+    ) -> io::Result<AdminResponse> {
+        admin_client::call(self.address, method, target, body).await
     }
-    let (status, answer) = door::call(ops, "POST", &format!("{PATH}/dry-run"), body).await?;
-    if status != 200 || json {
-        return said(status, &answer);
+
+    async fn change(
+        &self,
+        verb: &str,
+        plan: u64,
+        parameters: &[(&str, &str)],
+    ) -> io::Result<ExitCode> {
+        let author = percent_encode(&self.author);
+        let mut target = format!("{PLANS_PATH}/{verb}?plan={plan}&author={author}");
+        for (name, value) in parameters {
+            target += &format!("&{name}={}", percent_encode(value));
+        }
+        let response = self.call("POST", &target, None).await?;
+        self.print_committed(&response)
     }
-    let DryRun {
-        order,
-        rounds,
-        max_seconds: at_most_s,
-    } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
-    let mut out = io::stdout().lock();
-    for (at, machine) in order.iter().enumerate() {
-        writeln!(out, "{:4}  {machine}", at + 1)?;
+
+    async fn submit(&self, file: &Path) -> io::Result<ExitCode> {
+        let plan = self.read_plan(file)?;
+        let response = self.call("POST", PLANS_PATH, Some(plan)).await?;
+        self.print_committed(&response)
     }
-    writeln!(
-        out,
-        "{rounds} rounds; each step is called late after its time, all of them after {at_most_s} s"
-    )?;
-    Ok(ExitCode::SUCCESS)
-}
 
-fn settled((status, answer): (u16, bytes::Bytes), json: bool) -> io::Result<ExitCode> {
-    if status != 200 || json {
-        return said(status, &answer);
+    async fn dry_run(&self, file: &Path) -> io::Result<ExitCode> {
+        let plan = self.read_plan(file)?;
+        let response = self.call("POST", DRY_RUN_PATH, Some(plan)).await?;
+        if !response.is_ok() || self.json {
+            return print_response(&response);
+        }
+        let DryRun {
+            order,
+            rounds,
+            max_seconds,
+        } = response.json()?;
+        let mut out = io::stdout().lock();
+        for (at, machine) in order.iter().enumerate() {
+            writeln!(out, "{:4}  {machine}", at + 1)?;
+        }
+        writeln!(
+            out,
+            "{rounds} rounds; each step is called late after its time, all of them after {max_seconds} s"
+        )?;
+        Ok(ExitCode::SUCCESS)
     }
-    let CommittedCommand {
-        via,
-        leader,
-        index,
-        term,
-    } = serde_json::from_slice(&answer).map_err(io::Error::other)?;
-    let leader = leader.unwrap_or_else(|| "nobody by now".to_string());
-    writeln!(
-        io::stdout().lock(),
-        "settled as entry {index} of term {term}, by way of {via}; {leader} leads"
-    )?;
-    Ok(ExitCode::SUCCESS)
-}
 
-fn said(status: u16, answer: &[u8]) -> io::Result<ExitCode> {
-    let text = String::from_utf8_lossy(answer).trim().to_string();
-    if status == 200 {
-        writeln!(io::stdout().lock(), "{text}")?;
-        return Ok(ExitCode::SUCCESS);
+    /// The plan of a file, with the author where it names none.
+    fn read_plan(&self, file: &Path) -> io::Result<Vec<u8>> {
+        let mut text = String::new();
+        if file == Path::new(STANDARD_INPUT) {
+            io::stdin().take(MAX_PLAN_BYTES).read_to_string(&mut text)?;
+        } else {
+            File::open(file)?
+                .take(MAX_PLAN_BYTES)
+                .read_to_string(&mut text)?;
+        }
+        let mut plan: serde_json::Value = serde_json::from_str(&text).map_err(io::Error::other)?;
+        if let Some(keys) = plan.as_object_mut() {
+            keys.entry("author")
+                .or_insert_with(|| self.author.as_str().into());
+        }
+        Ok(plan.to_string().into_bytes())
     }
-    eprintln!("{text}");
-    Ok(ExitCode::FAILURE)
-}
 
-/// For a query: all but letters and digits by their bytes.
-fn escaped(text: &str) -> String {
-    text.bytes()
-        .map(|byte| match byte {
-            b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'.' | b'_' => {
-                (byte as char).to_string()
+    async fn watch(&self) -> io::Result<ExitCode> {
+        loop {
+            match self.show().await {
+                Ok(()) => {}
+                Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return Err(error),
+                Err(error) => eprintln!("{}: {error}", self.address),
             }
-            other => format!("%{other:02X}"),
-        })
-        .collect()
-}
+            sleep(WATCH_INTERVAL).await;
+        }
+    }
 
-async fn show(ops: SocketAddr, json: bool) -> io::Result<()> {
-    let (status, answer) = door::call(ops, "GET", PATH, None).await?;
-    if status != 200 {
-        let text = String::from_utf8_lossy(&answer);
-        return Err(io::Error::other(format!(
-            "status {status}: {}",
-            text.trim()
-        )));
+    async fn show(&self) -> io::Result<()> {
+        let response = self.call("GET", PLANS_PATH, None).await?;
+        if !response.is_ok() {
+            return Err(response.error());
+        }
+        let mut out = io::stdout().lock();
+        if self.json {
+            writeln!(out, "{}", response.text())?;
+        } else {
+            let view: PublishedView = response.json()?;
+            write!(out, "{}", maintenance_table::table(&view, unix_ms()))?;
+        }
+        out.flush()
     }
-    let mut out = io::stdout().lock();
-    if json {
-        writeln!(out, "{}", String::from_utf8_lossy(&answer).trim())?;
-        return out.flush();
+
+    fn print_committed(&self, response: &AdminResponse) -> io::Result<ExitCode> {
+        if !response.is_ok() || self.json {
+            return print_response(response);
+        }
+        let CommittedCommand {
+            via,
+            leader,
+            index,
+            term,
+        } = response.json()?;
+        let leader = leader.unwrap_or_else(|| "nobody by now".to_string());
+        writeln!(
+            io::stdout().lock(),
+            "settled as entry {index} of term {term}, by way of {via}; {leader} leads"
+        )?;
+        Ok(ExitCode::SUCCESS)
     }
-    let shown: PublishedView = serde_json::from_slice(&answer).map_err(io::Error::other)?;
-    let now_ms = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis() as u64;
-    write!(out, "{}", table(&shown, now_ms))?;
-    out.flush()
 }
 
-/// Each machine's step, since when, and why it waits.
-pub fn table(shown: &PublishedView, now_ms: u64) -> String {
-    let PublishedView {
-        balancer: me,
-        agreement,
-        view,
-        blocked: waits,
-    } = shown;
-    let leader = agreement.leader.as_deref().unwrap_or("nobody");
-    let mut text = format!(
-        "{me} {}; {leader} leads in term {}, settled up to {}; voters {}\n",
-        agreement.role,
-        agreement.term,
-        agreement.committed,
-        agreement.voters.join(", ")
-    );
-    if !agreement.missing_voters.is_empty() {
-        text += &format!(
-            "not among the voters yet, or any more: {}\n",
-            agreement.missing_voters.join(", ")
-        );
-    }
-    if let Some(trouble) = &view.fault {
-        text += &format!("nothing further is taken out: {trouble}\n");
-    }
-    for plan in &view.plans {
-        text += &format!("\nplan {} by {}: {}", plan.plan, plan.author, plan.reason);
-        text += if plan.dropped { " (dropped)" } else { "" };
-        text += &plan
-            .held
-            .as_ref()
-            .map_or(String::new(), |why| format!(" (held: {why})"));
-        text += &format!(
-            "\n{:24}{:10}{:10}{:>10}  waits for\n",
-            "machine", "kind", "stage", "since"
-        );
-        for row in &plan.machines {
-            let why = waits
-                .iter()
-                .find(|waits| waits.plan == plan.plan && waits.machine == row.machine);
-            let since = now_ms.saturating_sub(row.since_ms) / 1000;
-            let forced = match row.forced.is_empty() {
-                true => String::new(),
-                false => format!(" (past {})", row.forced.join(", ")),
-            };
-            text += &format!(
-                "{:24}{:10}{:10}{:>8} s  {}{forced}\n",
-                row.machine,
-                row.kind,
-                row.stage.as_str(),
-                since,
-                why.map_or("", |waits| waits.reason.as_str())
-            );
-        }
+fn print_response(response: &AdminResponse) -> io::Result<ExitCode> {
+    if response.is_ok() {
+        writeln!(io::stdout().lock(), "{}", response.text())?;
+        return Ok(ExitCode::SUCCESS);
     }
-    text
+    eprintln!("{}", response.text());
+    Ok(ExitCode::FAILURE)
+}
+
+fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
--- a/crates/stairfront/src/members.rs
+++ b/crates/stairfront/src/members.rs
@@ -1,82 +1,72 @@
-//! Who is there of a balancer's group, for a person: what `GET /admin/members` says, as a table.
+//! `stairfront members`: the group as one of its balancers sees it, as a table.
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use stairfront_membership_agent::Report;
+use stairfront_membership_agent::{QuorumStatus, Report};
 use tokio::time::sleep;
 
-use crate::command_line::MembersArguments;
-use crate::{door, FAULTY};
+use crate::arguments::MembersArguments;
+use crate::{admin_client, invalid_input};
 
-const WATCH_EVERY: Duration = Duration::from_secs(1);
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+const MEMBERS_PATH: &str = "/admin/members";
 
+/// Prints the group once, or each second until the reader or an operator ends it.
 pub fn members(arguments: &MembersArguments) -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-    {
+    let runtime = match admin_client::runtime() {
         Ok(runtime) => runtime,
-        Err(problem) => return failed(&problem.to_string()),
+        Err(error) => return invalid_input(&error),
     };
-    runtime.block_on(async {
-        loop {
-            let told = ask(arguments.ops)
-                .await
-                .and_then(|report| tell(&report, arguments.json));
-            match (told, arguments.watch) {
-                (Ok(whole), false) => {
-                    return if whole {
-                        ExitCode::SUCCESS
-                    } else {
-                        ExitCode::FAILURE
-                    }
-                }
-                (Err(problem), false) => return failed(&format!("{}: {problem}", arguments.ops)),
-                // Whoever reads it no more has seen enough.
-                (Err(problem), true) if problem.kind() == io::ErrorKind::BrokenPipe => {
-                    return ExitCode::SUCCESS
-                }
-                (Err(problem), true) => eprintln!("{}: {problem}", arguments.ops),
-                (Ok(_), true) => {}
-            }
-            sleep(WATCH_EVERY).await;
-        }
-    })
+    if arguments.watch {
+        runtime.block_on(watch(arguments))
+    } else {
+        runtime.block_on(show_once(arguments))
+    }
 }
 
-fn failed(problem: &str) -> ExitCode {
-    eprintln!("{problem}");
-    ExitCode::from(FAULTY)
+async fn show_once(arguments: &MembersArguments) -> ExitCode {
+    match show(arguments).await {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::FAILURE,
+        Err(error) => invalid_input(&format!("{}: {error}", arguments.ops)),
+    }
 }
 
-async fn ask(ops: SocketAddr) -> io::Result<Report> {
-    let (status, body) = door::call(ops, "GET", "/admin/members", None).await?;
-    match status {
-        200 => serde_json::from_slice(&body).map_err(io::Error::other),
-        _ => Err(io::Error::other(format!(
-            "status {status}: {}",
-            String::from_utf8_lossy(&body).trim()
-        ))),
+async fn watch(arguments: &MembersArguments) -> ExitCode {
+    loop {
+        match show(arguments).await {
+            Ok(_) => {}
+            // The reader of the output has ended.
+            Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return ExitCode::SUCCESS,
+            Err(error) => eprintln!("{}: {error}", arguments.ops),
+        }
+        sleep(WATCH_INTERVAL).await;
     }
 }
 
-/// True if there is nothing to look after.
-fn tell(report: &Report, as_json: bool) -> io::Result<bool> {
+/// Prints the group; true if it is complete and needs no attention.
+async fn show(arguments: &MembersArguments) -> io::Result<bool> {
+    let report = fetch(arguments.ops).await?;
     let mut out = io::stdout().lock();
-    if as_json {
-        writeln!(out, "{}", serde_json::to_string(report)?)?;
+    if arguments.json {
+        writeln!(out, "{}", serde_json::to_string(&report)?)?;
     } else {
-        write!(out, "{}", table(report))?;
+        write!(out, "{}", table(&report))?;
     }
     out.flush()?;
-    let quiet = report.roster_differs.is_empty() && !report.name_conflict;
-    Ok(quiet && report.quorum == stairfront_membership_agent::QuorumStatus::Whole)
+    let agrees = report.roster_differs.is_empty() && !report.name_conflict;
+    Ok(agrees && report.quorum == QuorumStatus::Whole)
+}
+
+async fn fetch(address: SocketAddr) -> io::Result<Report> {
+    admin_client::call(address, "GET", MEMBERS_PATH, None)
+        .await?
+        .json()
 }
 
-pub fn table(report: &Report) -> String {
-    let seconds = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
+fn table(report: &Report) -> String {
     let mut text = format!(
         "{} of group {}: {} for {}, digest {}\n",
         report.name,
@@ -92,30 +82,30 @@
         text += &format!("another roster at: {}\n", report.roster_differs.join(", "));
     }
     if report.divergence_ms > 0 {
-        text += &format!(
-            "somebody has seen the group otherwise for {}\n",
-            seconds(report.divergence_ms)
-        );
+        let divergence = seconds(report.divergence_ms);
+        text += &format!("somebody has seen the group otherwise for {divergence}\n");
     }
     if !report.cordons.is_empty() {
         text += &format!("out for the group: {}\n", report.cordons.join(", "));
     }
-    text += &format!(
-        "{:20}{:24}{:10}{:>16}{:>12}\n",
-        "member", "address", "state", "incarnation", "since"
-    );
+    text += &row("member", "address", "state", "incarnation", "since");
     for member in &report.members {
-        let address = member
-            .address
-            .map_or("never heard of".to_string(), |address| address.to_string());
-        text += &format!(
-            "{:20}{:24}{:10}{:>16}{:>12}\n",
-            member.name,
-            address,
+        let address = member.address.map(|address| address.to_string());
+        text += &row(
+            &member.name,
+            address.as_deref().unwrap_or("never heard of"),
             member.state.as_str(),
-            member.incarnation,
-            seconds(member.since_ms)
+            &member.incarnation.to_string(),
+            &seconds(member.since_ms),
         );
     }
     text
 }
+
+fn row(member: &str, address: &str, state: &str, incarnation: &str, since: &str) -> String {
+    format!("{member:20}{address:24}{state:10}{incarnation:>16}{since:>12}\n")
+}
+
+fn seconds(ms: u64) -> String {
+    format!("{:.1} s", ms as f64 / 1e3)
+}
--- a/crates/stairfront/src/serve.rs
+++ b/crates/stairfront/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving: the configuration, the log and the balancer.
+//! `stairfront serve`: the configuration, the log and the balancer.
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -7,8 +7,9 @@
 use stairfront_policy::Policy;
 use tracing::{error, Level};
 
-use crate::command_line::{LogFormat, LogLevel};
+use crate::arguments::{LogFormat, LogLevel};
 
+/// Serves until SIGTERM, with the configuration at this path or the one that the environment names.
 pub fn serve(config: Option<&Path>, format: LogFormat, level: LogLevel) -> ExitCode {
     start_log(format, level);
     let config = match config {
@@ -17,15 +18,15 @@
     };
     let config = match config {
         Ok(config) => config,
-        Err(problem) => {
-            error!("cannot start: {problem}");
+        Err(error) => {
+            error!(%error, "cannot start");
             return ExitCode::FAILURE;
         }
     };
     match server::run(config, Policy::new) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            error!("cannot serve: {problem}");
+        Err(error) => {
+            error!(%error, "cannot serve");
             ExitCode::FAILURE
         }
     }
@@ -37,7 +38,7 @@
         LogLevel::Info => Level::INFO,
         LogLevel::Debug => Level::DEBUG,
     };
-    // Danger: the log's own complaint about a standard error that nobody reads any more would panic.
+    // An error of the log itself would be printed to standard error, which panics where nobody reads that any more.
     let log = tracing_subscriber::fmt().log_internal_errors(false);
     let log = log
         .with_max_level(level)
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -1,4 +1,6 @@
-//! Stand-in servers from the command line.
+//! `stairfront stand-in`: one stand-in server.
+use std::fmt::Display;
+use std::net::SocketAddr;
 use std::process::ExitCode;
 
 use stairfront_emulator::cache_host::CacheSettings;
@@ -6,11 +8,29 @@
 use stairfront_emulator::origin::OriginSettings;
 use stairfront_lab::stand_in::{line, serve, StandIn};
 
-use crate::{command_line, FAULTY};
+use crate::{arguments, failure, invalid_input};
 
-pub fn stand_in(what: command_line::StandIn) -> ExitCode {
-    let (made, listen, seed) = match what {
-        command_line::StandIn::Cache {
+/// The seed of a server that draws no random numbers.
+const NO_SEED: u64 = 1;
+
+/// A stand-in server with its address and seed.
+struct Server {
+    stand_in: StandIn,
+    listen: SocketAddr,
+    seed: u64,
+}
+
+/// Runs a stand-in server until Ctrl-C.
+pub fn stand_in(server: arguments::StandIn) -> ExitCode {
+    match configure(server) {
+        Ok(server) => run(server),
+        Err(error) => invalid_input(&error),
+    }
+}
+
+fn configure(server: arguments::StandIn) -> Result<Server, String> {
+    match server {
+        arguments::StandIn::Cache {
             listen,
             work_ms,
             cores,
@@ -19,84 +39,94 @@
             cold,
             seed,
         } => {
-            let usual = CacheSettings::default();
-            let hit = ServiceTime {
-                mean_ms: work_ms,
-                ..usual.hit
-            };
             let settings = CacheSettings {
-                hit,
                 cores,
                 queue,
                 store,
-                ..usual
+                ..cache_settings(work_ms)
             };
-            let fault = settings
-                .fault()
-                .map(|(key, problem)| format!("{key}: {problem}"));
-            (
-                fault.map_or(Ok(StandIn::Cache { settings, cold }), Err),
+            check(settings.fault())?;
+            Ok(Server {
+                stand_in: StandIn::Cache { settings, cold },
                 listen,
                 seed,
-            )
+            })
         }
-        command_line::StandIn::Origin {
+        arguments::StandIn::Origin {
             listen,
             work_ms,
             cores,
             fills,
             seed,
         } => {
-            let usual = OriginSettings::default();
-            let service = ServiceTime {
-                mean_ms: work_ms,
-                ..usual.read
-            };
             let settings = OriginSettings {
-                read: service,
-                write: service,
                 cores,
-                ..usual
+                ..origin_settings(work_ms)
             };
-            let fault = settings
-                .fault()
-                .map(|(key, problem)| format!("{key}: {problem}"));
-            (
-                fault.map_or(
-                    Ok(StandIn::Origin {
-                        settings,
-                        caches: fills,
-                    }),
-                    Err,
-                ),
+            check(settings.fault())?;
+            Ok(Server {
+                stand_in: StandIn::Origin {
+                    settings,
+                    caches: fills,
+                },
                 listen,
                 seed,
-            )
+            })
         }
-        command_line::StandIn::Discovery { listen, servers } => {
+        arguments::StandIn::Discovery { listen, servers } => {
             let lines = servers
                 .iter()
                 .map(|server| line(server))
-                .collect::<Result<Vec<_>, _>>();
-            (
-                lines.map(|lines| StandIn::Discovery { lines, lag_ms: 0.0 }),
+                .collect::<Result<Vec<_>, _>>()?;
+            Ok(Server {
+                stand_in: StandIn::Discovery { lines, lag_ms: 0.0 },
                 listen,
-                1,
-            )
-        }
-    };
-    let what = match made {
-        Ok(what) => what,
-        Err(problem) => {
-            eprintln!("{problem}");
-            return ExitCode::from(FAULTY);
+                seed: NO_SEED,
+            })
         }
+    }
+}
+
+fn cache_settings(work_ms: f64) -> CacheSettings {
+    let defaults = CacheSettings::default();
+    CacheSettings {
+        hit: ServiceTime {
+            mean_ms: work_ms,
+            ..defaults.hit
+        },
+        ..defaults
+    }
+}
+
+fn origin_settings(work_ms: f64) -> OriginSettings {
+    let defaults = OriginSettings::default();
+    let service = ServiceTime {
+        mean_ms: work_ms,
+        ..defaults.read
     };
-    match serve(what, listen, seed) {
+    OriginSettings {
+        read: service,
+        write: service,
+        ..defaults
+    }
+}
+
+/// The error of settings by its key, if they have one.
+fn check<E: Display>(error: Option<(&str, E)>) -> Result<(), String> {
+    match error {
+        None => Ok(()),
+        Some((key, error)) => Err(format!("{key}: {error}")),
+    }
+}
+
+fn run(server: Server) -> ExitCode {
+    let Server {
+        stand_in,
+        listen,
+        seed,
+    } = server;
+    match serve(stand_in, listen, seed) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("cannot stand in at {listen}: {problem}");
-            ExitCode::FAILURE
-        }
+        Err(error) => failure(&format!("cannot stand in at {listen}: {error}")),
     }
 }
