--- a/crates/stairfront-balancer/src/client/write.rs
+++ b/crates/stairfront-balancer/src/client/write.rs
@@ -6,7 +6,8 @@
 
 use bytes::{Buf, Bytes};
 use futures_util::{Sink, SinkExt};
-use stairfront_codec::resp::{shrink, RespError};
+use stairfront_codec::buffer::shrink;
+use stairfront_codec::resp::RespError;
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::codec::Framed;
 
--- a/crates/stairfront-balancer/src/control/admin_server/calls.rs
+++ b/crates/stairfront-balancer/src/control/admin_server/calls.rs
@@ -5,7 +5,7 @@
     AdminRequest, AdminRequestError, CordonScope, OperatorOrder, OrderOutcome, OrderSource,
     PlanAction, PlanVerb,
 };
-use stairfront_codec::http_server::{Received, Reply};
+use stairfront_codec::http_server::{Request, Response};
 use stairfront_maintenance::{CommandKind, Plan};
 use stairfront_membership_agent::{CordonOrder, MembershipAgent};
 use tracing::info;
@@ -26,7 +26,7 @@
 const NOT_IN_TIME: &str = "not done in time; ask again";
 
 impl AdminServer {
-    pub(super) async fn answer(&self, received: &Received) -> Reply {
+    pub(super) async fn answer(&self, received: &Request) -> Response {
         match AdminRequest::read(&received.method, &received.target) {
             Ok(request) => self.answer_request(request, &received.body).await,
             Err(error @ AdminRequestError::UnknownPath) => replies::not_found(&error.to_string()),
@@ -37,7 +37,7 @@
         }
     }
 
-    async fn answer_request(&self, request: AdminRequest, body: &[u8]) -> Reply {
+    async fn answer_request(&self, request: AdminRequest, body: &[u8]) -> Response {
         match request {
             AdminRequest::Health if *self.ready.borrow() => replies::ok("serves\n"),
             AdminRequest::Health => replies::unavailable("no list of servers yet"),
@@ -81,7 +81,7 @@
 
     /// A plan is checked as a whole against what is agreed of the fleet, before it is proposed and again as it is
     /// committed.
-    async fn post_plan(&self, body: &[u8], dry_run: bool) -> Reply {
+    async fn post_plan(&self, body: &[u8], dry_run: bool) -> Response {
         let Some(maintenance) = &self.maintenance else {
             return replies::not_found(NO_AGREEMENT);
         };
@@ -103,7 +103,7 @@
         }
     }
 
-    async fn change_plan(&self, action: PlanAction) -> Reply {
+    async fn change_plan(&self, action: PlanAction) -> Response {
         let PlanAction {
             verb,
             plan,
@@ -127,7 +127,7 @@
         self.run_plan_command(&author, kind).await
     }
 
-    async fn run_plan_command(&self, author: &str, kind: CommandKind) -> Reply {
+    async fn run_plan_command(&self, author: &str, kind: CommandKind) -> Response {
         let Some(maintenance) = &self.maintenance else {
             return replies::not_found(NO_AGREEMENT);
         };
@@ -162,7 +162,7 @@
 
     /// Carries out an order at this balancer alone. It is confirmed only once the engine has carried it out, since
     /// operators then restart a cache host that must get no more requests.
-    async fn run_order(&self, order: OperatorOrder) -> Reply {
+    async fn run_order(&self, order: OperatorOrder) -> Response {
         let outcome = timeout(ORDER_TIMEOUT, self.run_at_all_processes(&order)).await;
         match outcome.ok().flatten() {
             Some(OrderOutcome::Done) => {
@@ -208,7 +208,7 @@
     /// Orders a cordon, or its end, of the whole group. A cordon is confirmed once every member of the roster has
     /// confirmed it or has left on purpose, its end once a majority has. Otherwise the answer names the missing members
     /// and the order goes on being sent.
-    async fn run_group_order(&self, order: CordonOrder) -> Reply {
+    async fn run_group_order(&self, order: CordonOrder) -> Response {
         let Some(membership) = &self.membership else {
             return replies::not_found(NO_GROUP);
         };
@@ -246,7 +246,11 @@
     }
 
     /// A reply if the engine does not know this host, so that a mistyped name is not sent to all members.
-    async fn check_host_is_known(&self, membership: &MembershipAgent, host: &str) -> Option<Reply> {
+    async fn check_host_is_known(
+        &self,
+        membership: &MembershipAgent,
+        host: &str,
+    ) -> Option<Response> {
         if membership.is_cordoned(host) {
             return None;
         }
@@ -260,7 +264,7 @@
     }
 }
 
-fn plan_error(error: &PlanCommandError) -> Reply {
+fn plan_error(error: &PlanCommandError) -> Response {
     if error.is_rejection() {
         replies::conflict(&error.to_string())
     } else {
--- a/crates/stairfront-balancer/src/messages.rs
+++ b/crates/stairfront-balancer/src/messages.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stairfront_codec::budget::Claim;
-use stairfront_codec::part::LARGEST_WHOLE;
+use stairfront_codec::budget::Reservation;
+use stairfront_codec::message_part::MAX_BUFFERED_BYTES;
 use stairfront_common::time::Micros;
 use stairfront_policy::interface::{
     CacheId, CacheStatus, Endpoint, LoadReport, Outcome, Request, RequestId,
@@ -109,7 +109,7 @@
         self.command
             .value
             .as_ref()
-            .filter(|value| value.len() > LARGEST_WHOLE)
+            .filter(|value| value.len() > MAX_BUFFERED_BYTES)
     }
 
     /// The list of names and values with `d` set to the time that this balancer will wait; all else as it came.
@@ -140,7 +140,7 @@
     /// The command as it goes on to servers.
     pub command: Command,
     /// Memory that a large value takes until the request is finished.
-    pub memory: Option<Claim>,
+    pub memory: Option<Reservation>,
     /// Gets the final answer.
     pub answer: oneshot::Sender<FinalAnswer>,
     /// Set by the client's connection as soon as its client leaves, ahead of all events that wait for the engine then.
@@ -332,7 +332,7 @@
     Retune(Box<SettingsUpdate>),
     /// There is no other process of this balancer any more.
     PeerEnded,
-    /// This process has been told to end.
+    /// The shutdown of this process has begun.
     ShuttingDown,
     /// Another member of the group has a newer endpoint list than this balancer, or a hint of that kind has ended.
     DrainHint {
--- a/crates/stairfront-balancer/src/upstream/cache_host.rs
+++ b/crates/stairfront-balancer/src/upstream/cache_host.rs
@@ -5,8 +5,8 @@
 
 use bytes::{Bytes, BytesMut};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::{put_bulk, put_number, PartReader, RespError, Value};
+use stairfront_codec::message_part::MessagePart;
+use stairfront_codec::resp::{put_bulk, put_number, RespError, StreamingDecoder, Value};
 use stairfront_policy::interface::{CacheStatus, LoadReport, Outcome};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -19,20 +19,20 @@
 
 /// Encodes commands and decodes replies.
 #[derive(Debug)]
-pub struct CacheCodec(PartReader);
+pub struct CacheCodec(StreamingDecoder);
 
 impl CacheCodec {
     /// A codec that reads values of at most `max_value_bytes`; `budget` is for replies that have not come as a whole.
     pub fn new(max_value_bytes: usize, budget: &Rc<Budget>) -> Self {
-        CacheCodec(PartReader::new(max_value_bytes, budget))
+        CacheCodec(StreamingDecoder::new(max_value_bytes, budget))
     }
 }
 
 impl Decoder for CacheCodec {
-    type Item = Part<Value>;
+    type Item = MessagePart<Value>;
     type Error = RespError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part<Value>>, RespError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart<Value>>, RespError> {
         self.0.decode(src)
     }
 }
--- a/crates/stairfront-balancer/src/upstream/exchange.rs
+++ b/crates/stairfront-balancer/src/upstream/exchange.rs
@@ -1,8 +1,8 @@
 //! One command on a connection to a server, and what comes back.
 use bytes::Buf;
 use futures_util::{SinkExt, StreamExt};
-use stairfront_codec::part::Part;
-use stairfront_codec::resp::shrink;
+use stairfront_codec::buffer::shrink;
+use stairfront_codec::message_part::MessagePart;
 use stairfront_policy::interface::Outcome;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::oneshot;
@@ -96,10 +96,10 @@
     report_fields: &[String],
 ) -> ExchangeOutcome {
     match framed.next().await {
-        Some(Ok(Part::Whole(reply))) => {
+        Some(Ok(MessagePart::Complete(reply))) => {
             ExchangeOutcome::Finished(P::interpret(reply, report_fields))
         }
-        Some(Ok(Part::Begun(length, reply))) => {
+        Some(Ok(MessagePart::Head { length, reply })) => {
             let reply = P::interpret(reply, report_fields);
             let result = AttemptOutcome {
                 value: None,
@@ -108,7 +108,9 @@
             ExchangeOutcome::BodyStarted { result, length }
         }
         // No codec yields these first.
-        Some(Ok(Part::Piece(_) | Part::Done(_))) => ExchangeOutcome::failed(Outcome::Malformed),
+        Some(Ok(MessagePart::Chunk(_) | MessagePart::End(_))) => {
+            ExchangeOutcome::failed(Outcome::Malformed)
+        }
         Some(Err(error)) => {
             debug!(%error, "reply not read");
             ExchangeOutcome::failed(if P::is_malformed(&error) {
--- a/crates/stairfront-balancer/tests/common/mod.rs
+++ b/crates/stairfront-balancer/tests/common/mod.rs
@@ -1,4 +1,5 @@
 //! In-process stand-ins on loopback for cache hosts, the origin, discovery and clients.
+// Each test file uses a part of these helpers.
 #![allow(dead_code)]
 use std::cell::RefCell;
 use std::future::Future;
@@ -28,7 +29,6 @@
 }
 
 /// For a test with many long steps.
-#[allow(dead_code)]
 pub fn run_within<F: Future>(limit: Duration, test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -374,7 +374,7 @@
         let address = listener.local_addr().unwrap();
         let admin_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let admin = admin_listener.local_addr().unwrap();
-        let (phase, phases) = watch::channel(Phase::Running);
+        let (phase, phase_receiver) = watch::channel(Phase::Running);
         let (hangups, hangup_receiver) = mpsc::channel(1);
         let clock = Clock::start();
         let dependencies = ServerDependencies {
@@ -386,7 +386,7 @@
             successor: Rc::default(),
             membership: None,
             clock,
-            phase: phases,
+            phase: phase_receiver,
             hangups: hangup_receiver,
         };
         let served = server::serve(config, Policy::new, dependencies);
--- a/crates/stairfront/src/admin_client.rs
+++ b/crates/stairfront/src/admin_client.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use stairfront_codec::budget::Budget;
-use stairfront_codec::http::{Body, HttpCodec, Request};
+use stairfront_codec::http_client::{HttpClientCodec, Request, RequestBody};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
@@ -71,13 +71,13 @@
     body: Option<Vec<u8>>,
 ) -> io::Result<AdminResponse> {
     let socket = TcpStream::connect(address).await?;
-    let codec = HttpCodec::new(MAX_RESPONSE_BYTES, &Budget::new(MAX_RESPONSE_BYTES));
+    let codec = HttpClientCodec::new(MAX_RESPONSE_BYTES, &Budget::new(MAX_RESPONSE_BYTES));
     let mut connection = Framed::new(socket, codec);
     let request = Request {
         method,
         target: target.to_string(),
         headers: vec![("Host", Bytes::from(address.to_string()))],
-        body: body.map_or(Body::None, |body| Body::Here(body.into())),
+        body: body.map_or(RequestBody::Empty, |body| RequestBody::Inline(body.into())),
     };
     connection.send(request).await.map_err(io::Error::other)?;
     let response = connection
--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -1,10 +1,9 @@
 //! `stairfront stand-in`: one stand-in server.
-use std::fmt::Display;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
 use stairfront_emulator::cache_host::CacheSettings;
-use stairfront_emulator::dice::ServiceTime;
+use stairfront_emulator::distributions::ServiceTime;
 use stairfront_emulator::origin::OriginSettings;
 use stairfront_lab::stand_in::{line, serve, StandIn};
 
@@ -41,11 +40,11 @@
         } => {
             let settings = CacheSettings {
                 cores,
-                queue,
-                store,
+                max_queue: queue,
+                max_keys: store,
                 ..cache_settings(work_ms)
             };
-            check(settings.fault())?;
+            settings.validate().map_err(|error| error.to_string())?;
             Ok(Server {
                 stand_in: StandIn::Cache { settings, cold },
                 listen,
@@ -63,7 +62,7 @@
                 cores,
                 ..origin_settings(work_ms)
             };
-            check(settings.fault())?;
+            settings.validate().map_err(|error| error.to_string())?;
             Ok(Server {
                 stand_in: StandIn::Origin {
                     settings,
@@ -111,14 +110,6 @@
     }
 }
 
-/// The error of settings by its key, if they have one.
-fn check<E: Display>(error: Option<(&str, E)>) -> Result<(), String> {
-    match error {
-        None => Ok(()),
-        Some((key, error)) => Err(format!("{key}: {error}")),
-    }
-}
-
 fn run(server: Server) -> ExitCode {
     let Server {
         stand_in,
