--- a/crates/stairfront-lab/src/balancer_group/actions.rs
+++ b/crates/stairfront-lab/src/balancer_group/actions.rs
@@ -54,25 +54,25 @@
         fault: LinkFault,
     ) {
         self.relay.add_fault(number, pairs.clone(), fault);
-        let sign = GroupEvent::LinksFaulted {
+        let event = GroupEvent::LinksFaulted {
             pairs: pairs.clone(),
             cut: fault.cuts(),
             mild: fault.is_mild(),
         };
         self.active_faults
             .insert(number, ActiveFault { pairs, fault });
-        self.observer.observe(now, sign);
+        self.observer.observe(now, event);
     }
 
     fn remove_link_fault(&mut self, now: Micros, number: u64) {
         self.relay.remove_fault(number);
         if let Some(ActiveFault { pairs, fault }) = self.active_faults.remove(&number) {
-            let sign = GroupEvent::LinksRestored {
+            let event = GroupEvent::LinksRestored {
                 pairs,
                 cut: fault.cuts(),
                 mild: fault.is_mild(),
             };
-            self.observer.observe(now, sign);
+            self.observer.observe(now, event);
         }
     }
 
