--- a/crates/stairfront/tests/group_scripts.rs
+++ b/crates/stairfront/tests/group_scripts.rs
@@ -56,12 +56,12 @@
         group.script.join("\n"),
         group.report.examples.join("\n")
     );
-    let figures = &group.report.metrics;
+    let metrics = &group.report.metrics;
     assert!(
-        figures.judged_alive > 100 && figures.judged_quorum > 20,
-        "{figures:?}"
+        metrics.judged_alive > 100 && metrics.judged_quorum > 20,
+        "{metrics:?}"
     );
-    assert!(figures.complete_after_ms.is_some(), "{figures:?}");
+    assert!(metrics.complete_after_ms.is_some(), "{metrics:?}");
     outcome
 }
 
@@ -110,15 +110,15 @@
         "{}",
         group.report.examples.join("\n")
     );
-    let figures = &group.report.metrics;
+    let metrics = &group.report.metrics;
     assert!(
-        group.detected_ms.len() >= 5 && figures.judged_dead > 0,
-        "{:?} {figures:?}",
+        group.detected_ms.len() >= 5 && metrics.judged_dead > 0,
+        "{:?} {metrics:?}",
         group.detected_ms
     );
-    assert!(figures.judged_quorum > 50, "{figures:?}");
+    assert!(metrics.judged_quorum > 50, "{metrics:?}");
     assert!(
-        figures.complete_after_ms.is_some_and(|ms| ms < 4000.0),
-        "{figures:?}"
+        metrics.complete_after_ms.is_some_and(|ms| ms < 4000.0),
+        "{metrics:?}"
     );
 }
--- a/crates/stairfront/tests/lab.rs
+++ b/crates/stairfront/tests/lab.rs
@@ -18,7 +18,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_stairfront");
 
 /// Runs an experiment; its first run.
-fn lab(text: &str) -> Outcome {
+fn run_experiment(text: &str) -> Outcome {
     let around = Surroundings {
         balancer: Build {
             program: PathBuf::from(PROGRAM),
@@ -38,7 +38,8 @@
 #[test]
 fn a_balancer_stall_is_in_the_latency_of_all_requests_due_meanwhile() {
     // With four connections, a tool that waits for answers would measure four slow requests only.
-    let outcome = lab(r#"
+    let outcome = run_experiment(
+        r#"
         name = "freeze"
         seconds = 3
         warm_up_s = 0
@@ -48,7 +49,8 @@
         [clients]
         traffic = { rate = 300 }
         habits = { connections = 4 }
-    "#);
+    "#,
+    );
     let latency = &outcome.latency;
     assert!(
         latency.p50_ms < 200.0 && latency.p99_ms > 400.0,
@@ -61,7 +63,8 @@
 
 #[test]
 fn a_restart_and_a_killed_cache_under_load_break_no_rule_and_lose_no_request() {
-    let outcome = lab(r#"
+    let outcome = run_experiment(
+        r#"
         name = "trouble"
         seconds = 5
         warm_up_s = 0
@@ -81,7 +84,8 @@
         traffic = { rate = 200, keys = 300, classes = [0.9, 0.1] }
         habits = { connections = 16, one_shot = 0.1, idle = 4, slow_readers = 1 }
         retries = { most = 1 }
-    "#);
+    "#,
+    );
     assert!(outcome.rules.holds(), "{:?}", outcome.rules);
     let counts = outcome.counts;
     assert_eq!(
@@ -99,7 +103,8 @@
 #[test]
 fn a_balancer_that_breaks_a_rule_is_found() {
     // The balancer is configured for four attempts where the rules allow one, so the fetch after each miss breaks them.
-    let outcome = lab(r#"
+    let outcome = run_experiment(
+        r#"
         name = "wrong"
         seconds = 1
         warm_up_s = 0
@@ -108,7 +113,8 @@
         variants = [{ name = "wrong", set = { "settings.caps.most_tries" = 4 } }]
         [clients]
         traffic = { rate = 50 }
-    "#);
+    "#,
+    );
     let broken: Vec<bool> = outcome
         .rules
         .rules
