--- a/crates/stairfront/src/stand_in.rs
+++ b/crates/stairfront/src/stand_in.rs
@@ -5,13 +5,25 @@
 use stairfront_emulator::cache_host::CacheSettings;
 use stairfront_emulator::distributions::ServiceTime;
 use stairfront_emulator::origin::OriginSettings;
-use stairfront_lab::stand_in::{parse_server, serve, StandIn};
+use stairfront_emulator::settings_error::SettingsError;
+use stairfront_lab::stand_in::{parse_server, serve, ParseServerError, StandIn};
 
 use crate::{arguments, failure, invalid_input};
 
 /// The seed of a server that draws no random numbers.
 const NO_SEED: u64 = 1;
 
+/// Why the arguments name no server that can be run.
+#[derive(Debug, thiserror::Error)]
+enum StandInError {
+    /// A setting of the server is invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// A server of the discovery list cannot be read.
+    #[error(transparent)]
+    Server(#[from] ParseServerError),
+}
+
 /// A stand-in server with its address and seed.
 struct Server {
     stand_in: StandIn,
@@ -27,7 +39,7 @@
     }
 }
 
-fn configure(server: arguments::StandIn) -> Result<Server, String> {
+fn configure(server: arguments::StandIn) -> Result<Server, StandInError> {
     match server {
         arguments::StandIn::Cache {
             listen,
@@ -44,7 +56,7 @@
                 max_keys: store,
                 ..cache_settings(work_ms)
             };
-            settings.validate().map_err(|error| error.to_string())?;
+            settings.validate()?;
             Ok(Server {
                 stand_in: StandIn::Cache { settings, cold },
                 listen,
@@ -62,7 +74,7 @@
                 cores,
                 ..origin_settings(work_ms)
             };
-            settings.validate().map_err(|error| error.to_string())?;
+            settings.validate()?;
             Ok(Server {
                 stand_in: StandIn::Origin {
                     settings,
@@ -75,7 +87,7 @@
         arguments::StandIn::Discovery { listen, servers } => {
             let lines = servers
                 .iter()
-                .map(|server| parse_server(server).map_err(|error| error.to_string()))
+                .map(|server| parse_server(server))
                 .collect::<Result<Vec<_>, _>>()?;
             Ok(Server {
                 stand_in: StandIn::Discovery { lines, lag_ms: 0.0 },
