--- a/crates/stairfront-maintenance/tests/plans/main.rs
+++ b/crates/stairfront-maintenance/tests/plans/main.rs
@@ -28,13 +28,19 @@
 /// A command that is proposed again after a change of the leader can be in the log twice. A plan would be submitted twice.
 #[test]
 fn a_command_that_is_in_the_log_twice_is_applied_once() {
+    let log = log_with_a_plan_submitted_twice();
+    assert_eq!(log.state.view().plans.len(), 1);
+}
+
+/// A log with a fleet and one plan, whose command is in the log a second time.
+fn log_with_a_plan_submitted_twice() -> CommandLog {
     let mut log = CommandLog::with_fleet(fleet(6, 2, 3));
     log.commit(CommandKind::Submit(plan(&["caches"], 1)))
         .unwrap();
     let entry = log.entries.last().unwrap().clone();
     log.state
         .apply(entry.index + 1, entry.term + 1, &entry.command);
-    assert_eq!(log.state.view().plans.len(), 1);
+    log
 }
 
 /// A step that is due: its plan, its machine, and the entry by which the machine's stage began.
@@ -59,9 +65,7 @@
 /// One host passes through all stages, with a wrong command at each.
 #[test]
 fn a_step_needs_the_stage_before_it_and_every_confirmation() {
-    let mut log = CommandLog::with_fleet(fleet(6, 2, 3));
-    log.commit(CommandKind::Submit(plan(&["caches"], 1)))
-        .unwrap();
+    let mut log = log_with_a_plan_submitted_twice();
     let step = first_step_without_the_first_host(&mut log);
     // A step that the leader found due from another stage would leave a stage out.
     let error = log.commit(step.command(step.entered + 7, Stage::Notified, &[]));
