--- a/crates/stairfront-policy/src/interface.rs
+++ b/crates/stairfront-policy/src/interface.rs
@@ -1,7 +1,7 @@
 //! Events and actions of the decision module, and the types they are made of.
 //!
-//! Nothing here knows a wire format: an adapter (the balancer's engine, or the simulator's adapter) translates. All points
-//! in time and durations are whole microseconds.
+//! Nothing here knows a wire format: an adapter (the balancer's engine, or the simulator's adapter)
+//! translates. All points in time and durations are whole microseconds.
 mod endpoint;
 mod ids;
 mod log_record;
@@ -172,20 +172,23 @@
     },
     /// State exported by the previous process; given after the first list, which takes precedence.
     Inherited(&'a PolicySnapshot),
-    /// New settings apply from now on. Classes keep their positions; `tenants` holds for each new tenant its position
-    /// before. Requests in progress keep the class and the number of attempts that they were admitted with.
+    /// New settings apply from now on. Classes keep their positions; `tenants` holds for each new
+    /// tenant its position before. Requests in progress keep the class and the number of attempts
+    /// that they were admitted with.
     SettingsChanged {
         /// The new settings.
         settings: &'a Settings,
         /// For each new tenant, its position in the former settings.
         tenants: &'a [Option<usize>],
     },
-    /// This balancer shuts down: what it has admitted and will still admit has to be answered by then.
+    /// This balancer shuts down: what it has admitted and will still admit has to be answered by
+    /// then.
     ShuttingDown {
         /// When the process ends.
         by: Micros,
     },
-    /// Operators take a cache out of service, whatever the list says of it, or give it back after its restart.
+    /// Operators take a cache out of service, whatever the list says of it, or give it back after
+    /// its restart.
     Cordon {
         /// The cache.
         cache: CacheId,
@@ -205,8 +208,9 @@
         cache: CacheId,
         /// Time limit of the attempt.
         timeout: Micros,
-        /// The whole command has to reach the server within this time, or it may not be sent at all. Set for the retry
-        /// of a keyed request, whose first byte may wait for a connection until the key's time is over.
+        /// The whole command has to reach the server within this time, or it may not be sent at
+        /// all. Set for the retry of a keyed request, whose first byte may wait for a connection
+        /// until the key's time is over.
         send_within: Option<Micros>,
     },
     /// Reject a request: nothing ran, so a retry is harmless.
--- a/crates/stairfront-policy/src/interface/log_record.rs
+++ b/crates/stairfront-policy/src/interface/log_record.rs
@@ -8,7 +8,8 @@
 /// A log record. Its `Display` is the text of the log line, which operators' pages quote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LogRecord {
-    /// The concurrency limit of a server fell below one or rose to it, or that of the origin was cut.
+    /// The concurrency limit of a server fell below one or rose to it, or that of the origin was
+    /// cut.
     ServerWindow {
         /// The server.
         cache: CacheId,
--- a/crates/stairfront-policy/src/interface/settings.rs
+++ b/crates/stairfront-policy/src/interface/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of one balancer: classes of requests, tenants, limits and the rules that are stated in times.
+//! Settings of one balancer: classes of requests, tenants, limits and the rules that are stated in
+//! times.
 use stairfront_common::time::Micros;
 
 use super::endpoint::Location;
@@ -9,8 +10,8 @@
 pub enum Idempotency {
     /// Safe to repeat.
     Idempotent,
-    /// Carries an idempotency key: repeats are discarded inside one scope, for `key_ttl` from the earliest attempt that
-    /// may have run.
+    /// Carries an idempotency key: repeats are discarded inside one scope, for `key_ttl` from the
+    /// earliest attempt that may have run.
     Keyed {
         /// The caches that discard each other's repeats.
         scope: DeduplicationScope,
@@ -72,7 +73,8 @@
 /// Who fetches a value that a cache lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheMode {
-    /// Cache-aside: the balancer fetches from the listed origin, an endpoint of this kind, and sends writes there.
+    /// Cache-aside: the balancer fetches from the listed origin, an endpoint of this kind, and
+    /// sends writes there.
     Aside {
         /// Machine kind of the origin in the endpoint list.
         origin: Kind,
@@ -135,11 +137,13 @@
 pub struct Rules {
     /// Slack of a final answer past the client's deadline.
     pub answer_slack: Micros,
-    /// Time without a call to discovery after which a balancer counts as notified of what its list lacks.
+    /// Time without a call to discovery after which a balancer counts as notified of what its list
+    /// lacks.
     pub poll_interval: Micros,
     /// Time from the notice of a drain or removal after which nothing new may reach the server.
     pub drain_grace: Micros,
-    /// Only a server listed as draining may get nothing new; one that a list drops without that may still be used.
+    /// Only a server listed as draining may get nothing new; one that a list drops without that may
+    /// still be used.
     pub removal_is_advisory: bool,
     /// Fraction of its capacity that a cold cache starts with, at the least.
     pub slow_start_floor: f64,
@@ -151,8 +155,9 @@
     pub overload_window: Micros,
 }
 
-/// Weight of the slowest requests, by class and 5 s. Served requests count in full while no more than the tolerated
-/// fraction missed the latency objective, and for nothing at five times that. A rejection within the objective is no miss.
+/// Weight of the slowest requests, by class and 5 s. Served requests count in full while no more
+/// than the tolerated fraction missed the latency objective, and for nothing at five times that. A
+/// rejection within the objective is no miss.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TailLatency {
     /// Part of the result that the tail decides; 0 where only priority weights are counted.
--- a/crates/stairfront-policy/src/policy.rs
+++ b/crates/stairfront-policy/src/policy.rs
@@ -1,7 +1,8 @@
 //! The decisions of one balancer, and the table of its events.
 //!
-//! Placement is the two-choice consistent hashing of Byers, Considine and Mitzenmacher ("Geometric generalizations of
-//! the power of two choices"). The other modules decide what that design leaves open:
+//! Placement is the two-choice consistent hashing of Byers, Considine and Mitzenmacher ("Geometric
+//! generalizations of the power of two choices"). The other modules decide what that design leaves
+//! open:
 //!
 //! | question | module |
 //! | --- | --- |
--- a/crates/stairfront-policy/src/policy/admission.rs
+++ b/crates/stairfront-policy/src/policy/admission.rs
@@ -6,7 +6,8 @@
 use super::Policy;
 use crate::interface::{Action, Class, Request};
 
-/// Most votes that the usual time left may gather, so that a change of the clients' habit is noticed.
+/// Most votes that the usual time left may gather, so that a change of the clients' habit is
+/// noticed.
 const MAX_DEADLINE_VOTES: i32 = 500;
 /// Ticks by which a request's time left may differ from the usual one.
 const DEADLINE_TOLERANCE_TICKS: Micros = 4;
@@ -60,8 +61,8 @@
         }
     }
 
-    /// When an answer stops being in time. A client's own retry arrives with less time left than usual; its time counts
-    /// from the first attempt of the client.
+    /// When an answer stops being in time. A client's own retry arrives with less time left than
+    /// usual; its time counts from the first attempt of the client.
     fn objective_at(&mut self, now: Micros, request: &Request, class: &Class) -> Micros {
         let time_left = request.expires_at - now;
         let tolerance = DEADLINE_TOLERANCE_TICKS * self.settings.tick;
--- a/crates/stairfront-policy/src/policy/attempt.rs
+++ b/crates/stairfront-policy/src/policy/attempt.rs
@@ -9,14 +9,16 @@
 use super::Policy;
 use crate::interface::{Action, AttemptResult, CacheId, Idempotency, Outcome, RequestId};
 
-/// Fraction of unanswered attempts at a server above which an attempt is cancelled half way to its objective.
+/// Fraction of unanswered attempts at a server above which an attempt is cancelled half way to its
+/// objective.
 const CANCEL_UNANSWERED_FRACTION: f64 = 0.08;
 
 impl Policy {
     /// Sends an attempt.
     ///
-    /// Work that is cancelled goes on at the server. So an attempt stays in flight and counts until the client leaves,
-    /// unless answers get lost while the server is idle: waiting then takes all the time that a retry needs.
+    /// Work that is cancelled goes on at the server. So an attempt stays in flight and counts until
+    /// the client leaves, unless answers get lost while the server is idle: waiting then takes all
+    /// the time that a retry needs.
     pub(super) fn send(
         &mut self,
         now: Micros,
@@ -38,7 +40,8 @@
         };
         server.slow_start_tokens = (tokens - 1.0).max(0.0);
         server.tokens_updated_at = now;
-        // Something on the path may drop idle connections without notice, and what is sent on one is lost.
+        // Something on the path may drop idle connections without notice, and what is sent on one
+        // is lost.
         server.connection_idle = server.idle_time(now);
         if self
             .idle_connections
@@ -132,7 +135,8 @@
             }
             return;
         }
-        // A cancelled attempt is this balancer's own decision, and no failure that a retry would multiply.
+        // A cancelled attempt is this balancer's own decision, and no failure that a retry would
+        // multiply.
         let cost = if outcome == Outcome::Cancelled {
             0.0
         } else {
@@ -171,7 +175,8 @@
 }
 
 impl Server {
-    /// How long the connection that the next attempt is sent on has been idle; 0 for a new one or one in use.
+    /// How long the connection that the next attempt is sent on has been idle; 0 for a new one or
+    /// one in use.
     fn idle_time(&self, now: Micros) -> Micros {
         if self.in_flight > 0 || self.connection_used_at == 0 {
             0
@@ -201,7 +206,8 @@
         if let Some(ended) = ended.filter(|_| !result.outcome.proves_no_effect()) {
             self.maybe_executed.get_or_insert(ended);
         }
-        // The cache has what was malformed or lost on the way: on a retry it need not fetch, as another would.
+        // The cache has what was malformed or lost on the way: on a retry it need not fetch, as
+        // another would.
         let answer_lost = matches!(
             result.outcome,
             Outcome::Malformed | Outcome::Reset | Outcome::Cancelled
--- a/crates/stairfront-policy/src/policy/concurrency_limit.rs
+++ b/crates/stairfront-policy/src/policy/concurrency_limit.rs
@@ -1,8 +1,8 @@
-//! Concurrency limit: the window of attempts in flight at one server, with additive increase while answers are in time
-//! and multiplicative decrease while they are not.
+//! Concurrency limit: the window of attempts in flight at one server, with additive increase while
+//! answers are in time and multiplicative decrease while they are not.
 //!
-//! Below one, a window stands for pauses between single attempts: hundreds of balancers with one attempt each can
-//! overload a server.
+//! Below one, a window stands for pauses between single attempts: hundreds of balancers with one
+//! attempt each can overload a server.
 use stairfront_common::time::{Micros, SECOND};
 
 use super::outlier_detection::BUSY_UTILIZATION;
@@ -18,11 +18,13 @@
 const MAX_WINDOW: f64 = 256.0;
 /// Factor of one cut of a window above one.
 const CUT_FACTOR: f64 = 0.8;
-/// Factor of one cut of a window of one or less: answers are too rare there for small steps, and a good one opens it.
+/// Factor of one cut of a window of one or less: answers are too rare there for small steps, and a
+/// good one opens it.
 pub(super) const SPARSE_CUT_FACTOR: f64 = 0.5;
 /// Latency ratio above which a window is cut.
 const MAX_LATENCY_RATIO: f64 = 1.0;
-/// The same for a window of one or less: more than the variation of single answers of a healthy cache.
+/// The same for a window of one or less: more than the variation of single answers of a healthy
+/// cache.
 const MAX_SPARSE_LATENCY_RATIO: f64 = 1.5;
 /// The same for an origin that is not busy.
 const MAX_IDLE_ORIGIN_LATENCY_RATIO: f64 = 2.0;
@@ -32,13 +34,14 @@
 pub(super) const LATENCY_TIME_CONSTANT: f64 = 2.0 * SECOND as f64;
 /// Longest pause between two attempts that a window stands for, in microseconds.
 const MAX_PAUSE: f64 = 20.0 * SECOND as f64;
-/// The same in usual intervals, if that is longer: all balancers together then send a quarter of the usual load.
+/// The same in usual intervals, if that is longer: all balancers together then send a quarter of
+/// the usual load.
 const MAX_PAUSE_INTERVALS: f64 = 4.0;
 
 /// Growth of a window in one round of answers in time.
 ///
-/// All balancers together grow by one. An origin is as strong as the fleet that it stands behind is large; a cache is
-/// not.
+/// All balancers together grow by one. An origin is as strong as the fleet that it stands behind is
+/// large; a cache is not.
 pub(super) fn window_step(role: Role, fleet_size: f64, balancers: u16) -> f64 {
     let scale = match role {
         Role::Origin => (fleet_size / INITIAL_WINDOW).max(1.0),
@@ -53,8 +56,8 @@
 }
 
 impl Server {
-    /// Whether one more attempt may be in flight, where this balancer usually sends one in `request_interval`
-    /// microseconds to a cache.
+    /// Whether one more attempt may be in flight, where this balancer usually sends one in
+    /// `request_interval` microseconds to a cache.
     pub(super) fn has_capacity(&self, now: Micros, request_interval: f64) -> bool {
         if self.window >= 1.0 || self.in_flight > 0 {
             return f64::from(self.in_flight) < self.window;
@@ -67,7 +70,8 @@
         (now - self.sent_rate.last_event_at) as f64 >= (unit / self.window).min(max_pause)
     }
 
-    /// Adapts the window to an answer, or to the lack of one, after `elapsed` microseconds, where `target` were wanted.
+    /// Adapts the window to an answer, or to the lack of one, after `elapsed` microseconds, where
+    /// `target` were wanted.
     pub(super) fn record_latency(&mut self, now: Micros, elapsed: f64, target: f64) {
         self.latency_ewma
             .record(now, elapsed, LATENCY_SAMPLE_WEIGHT, LATENCY_TIME_CONSTANT);
@@ -90,8 +94,8 @@
     }
 
     fn max_latency_ratio(&self) -> f64 {
-        // An origin that is slow by nature would fetch little if it were held to a cache's times, and all keys would
-        // miss again.
+        // An origin that is slow by nature would fetch little if it were held to a cache's times,
+        // and all keys would miss again.
         if self.role == Role::Origin && self.utilization < BUSY_UTILIZATION {
             MAX_IDLE_ORIGIN_LATENCY_RATIO
         } else if self.window <= 1.0 {
--- a/crates/stairfront-policy/src/policy/cordon.rs
+++ b/crates/stairfront-policy/src/policy/cordon.rs
@@ -1,4 +1,5 @@
-//! Cordons: operators take a cache out of service, whatever discovery says of it, and give it back after its restart.
+//! Cordons: operators take a cache out of service, whatever discovery says of it, and give it back
+//! after its restart.
 use std::collections::BTreeMap;
 
 use stairfront_common::time::Micros;
@@ -20,8 +21,9 @@
 pub(super) struct Cordons(BTreeMap<CacheId, Cordon>);
 
 impl Cordons {
-    /// A list entry as it applies here. Discovery knows nothing of cordons: by its entry alone a cordoned cache would be
-    /// used, and one that was restarted under its cordon would count as warm.
+    /// A list entry as it applies here. Discovery knows nothing of cordons: by its entry alone a
+    /// cordoned cache would be used, and one that was restarted under its cordon would count as
+    /// warm.
     pub(super) fn apply(&self, listed: &Endpoint) -> Endpoint {
         match (self.0.get(&listed.id), listed.state) {
             (Some(Cordon::Active), EndpointState::Ready) => Endpoint {
@@ -41,7 +43,8 @@
         self.0.retain(
             |_, cordon| !matches!(cordon, Cordon::Lifted(at) if now - *at > slow_start_window),
         );
-        // An order to lift a cordon may be repeated; it may not make a cache cold that has been in use since.
+        // An order to lift a cordon may be repeated; it may not make a cache cold that has been in
+        // use since.
         if !on && self.0.get(&cache) != Some(&Cordon::Active) {
             return false;
         }
--- a/crates/stairfront-policy/src/policy/endpoint_list.rs
+++ b/crates/stairfront-policy/src/policy/endpoint_list.rs
@@ -94,9 +94,10 @@
 
     /// Decides whether the removal of these servers is doubted.
     ///
-    /// A list that removes much of the fleet sends all requests to the few servers that remain, which fail one by one.
-    /// Where only draining is binding such a list is doubted: so many servers do not stop within one change of it, and
-    /// attempts show which have. A few at once likely have stopped.
+    /// A list that removes much of the fleet sends all requests to the few servers that remain,
+    /// which fail one by one. Where only draining is binding such a list is doubted: so many
+    /// servers do not stop within one change of it, and attempts show which have. A few at once
+    /// likely have stopped.
     fn doubt_removals(&mut self, removed: &[CacheId]) {
         let known = removed.iter().filter_map(|id| self.servers.get(id));
         let removed_ready = known.filter(|server| server.is_ready()).count();
@@ -105,7 +106,8 @@
             && removed_ready as f64 >= DOUBTED_FRACTION * all_ready as f64;
     }
 
-    /// Removes a server, or marks its removal as doubted. The removal of one that drains or is cordoned is final.
+    /// Removes a server, or marks its removal as doubted. The removal of one that drains or is
+    /// cordoned is final.
     fn remove_endpoint(&mut self, id: CacheId) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Makes a doubted removal final once attempts at the server fail. A wrong list or a server that is really gone thus
-    /// costs a few failed attempts.
+    /// Makes a doubted removal final once attempts at the server fail. A wrong list or a server
+    /// that is really gone thus costs a few failed attempts.
     pub(super) fn confirm_removal(&mut self, cache: CacheId) {
         let Some(server) = self.servers.get_mut(&cache) else {
             return;
@@ -131,15 +133,16 @@
         }
     }
 
-    /// Polls discovery after a random time. After a mass restart all balancers would otherwise poll at once, and all
-    /// calls would fail, again and again.
+    /// Polls discovery after a random time. After a mass restart all balancers would otherwise poll
+    /// at once, and all calls would fail, again and again.
     fn schedule_poll(&mut self, actions: &mut Vec<Action>) {
         if self.settings.discovery != DiscoveryMode::Poll {
             return;
         }
         let balancers = Micros::from(self.settings.balancers);
         let spread = balancers * POLL_SPREAD_PER_BALANCER * (1 << self.list.failures);
-        // Past the stated time without a call the balancer counts as notified of what its list lacks.
+        // Past the stated time without a call the balancer counts as notified of what its list
+        // lacks.
         let poll_interval = self.settings.rules.poll_interval.max(SECOND);
         let max_delay = POLL_FRACTION * poll_interval as f64;
         let random_delay = self.rng.unit() * max_delay.min(spread as f64);
@@ -206,8 +209,8 @@
         }
     }
 
-    /// The mean number of keys placed on the other caches, which a new cache starts with: it would otherwise attract
-    /// all new keys.
+    /// The mean number of keys placed on the other caches, which a new cache starts with: it would
+    /// otherwise attract all new keys.
     fn average_placed_keys(&self, new_server: CacheId) -> i64 {
         let mut sum = 0;
         let mut count = 0;
@@ -223,8 +226,8 @@
         self.ring.caches().filter_map(|id| self.servers.get(&id))
     }
 
-    /// Builds the hash ring of the ready caches. It is built within the event that changes one of them, so that a
-    /// draining or removed cache gets nothing new.
+    /// Builds the hash ring of the ready caches. It is built within the event that changes one of
+    /// them, so that a draining or removed cache gets nothing new.
     pub(super) fn rebuild_ring(&mut self) {
         let members = self.servers.values().filter(|s| s.is_ring_member());
         self.ring.rebuild(members.map(Server::id));
--- a/crates/stairfront-policy/src/policy/hand_off.rs
+++ b/crates/stairfront-policy/src/policy/hand_off.rs
@@ -1,6 +1,7 @@
 //! Hand-off to the next process: what is exported, and what of it the next process adopts.
 //!
-//! The endpoint list in hand goes before a snapshot: nothing in it overrides a drain, a restart or a cordon.
+//! The endpoint list in hand goes before a snapshot: nothing in it overrides a drain, a restart or
+//! a cordon.
 use std::cmp::Reverse;
 
 use stairfront_common::time::{Micros, SECOND};
@@ -53,14 +54,15 @@
             })
         };
         let mut records: Vec<PlacementRecord> = self.placements.iter().filter_map(record).collect();
-        // Keys that were requested at one time are ordered too, so that the same table gives the same text.
+        // Keys that were requested at one time are ordered too, so that the same table gives the
+        // same text.
         records.sort_unstable_by_key(|record| (Reverse(record.seen_at), record.key));
         records.truncate(MAX_PLACEMENTS);
         records
     }
 
-    /// Adopts what still holds of a snapshot: servers whose incarnation is that of the list in hand, and keys placed on
-    /// one.
+    /// Adopts what still holds of a snapshot: servers whose incarnation is that of the list in
+    /// hand, and keys placed on one.
     pub(super) fn inherit(&mut self, now: Micros, snapshot: &PolicySnapshot) {
         let is_recent = now - snapshot.at < MEASUREMENT_TTL;
         // Cordons come first, since they change the incarnations that are compared below.
--- a/crates/stairfront-policy/src/policy/idempotency.rs
+++ b/crates/stairfront-policy/src/policy/idempotency.rs
@@ -31,7 +31,8 @@
 
     /// Time left until a server may forget the key of a keyed retry; `None` for any other request.
     ///
-    /// A retry that is decided within the time of its key may wait for a connection and be sent after it.
+    /// A retry that is decided within the time of its key may wait for a connection and be sent
+    /// after it.
     pub(super) fn key_time_left(&self, now: Micros, pending: &PendingRequest) -> Option<Micros> {
         match (pending.class.idempotency, pending.maybe_executed) {
             (Idempotency::Keyed { key_ttl, .. }, Some(earliest)) => {
--- a/crates/stairfront-policy/src/policy/idle_connections.rs
+++ b/crates/stairfront-policy/src/policy/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Idle connections that something on the path drops unseen: a device that forgets them notifies neither end, and what is
-//! sent on one is lost.
+//! Idle connections that something on the path drops unseen: a device that forgets them notifies
+//! neither end, and what is sent on one is lost.
 use stairfront_common::time::{Micros, MS, SECOND};
 
 use crate::interface::Outcome;
--- a/crates/stairfront-policy/src/policy/load_shedding.rs
+++ b/crates/stairfront-policy/src/policy/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: under pressure, requests of tenants beyond their share are rejected first, with a probability that
-//! rises while requests find no capacity.
+//! Load shedding: under pressure, requests of tenants beyond their share are rejected first, with a
+//! probability that rises while requests find no capacity.
 use stairfront_common::time::Micros;
 
 use super::Policy;
@@ -22,7 +22,8 @@
 }
 
 impl LoadShedding {
-    /// Counts a request or attempt, and whether it was under pressure: all candidates full, or the answer late.
+    /// Counts a request or attempt, and whether it was under pressure: all candidates full, or the
+    /// answer late.
     pub(super) fn record(&mut self, under_pressure: bool) {
         let step = f64::from(u8::from(under_pressure)) - TOLERATED_PRESSURE;
         self.level = (self.level + LEVEL_STEP * step).clamp(0.0, 1.0);
@@ -40,7 +41,8 @@
 }
 
 impl Policy {
-    /// Whether the request is to be rejected since its tenant is beyond its share and capacity is short.
+    /// Whether the request is to be rejected since its tenant is beyond its share and capacity is
+    /// short.
     pub(super) fn sheds(
         &mut self,
         now: Micros,
--- a/crates/stairfront-policy/src/policy/miss_admission.rs
+++ b/crates/stairfront-policy/src/policy/miss_admission.rs
@@ -1,5 +1,6 @@
-//! Protection of the origin in read-through mode: fewer of the likely misses are admitted while misses end late or in
-//! error. Fetches past the origin's capacity would hold up the caches, and with them the keys that they still have.
+//! Protection of the origin in read-through mode: fewer of the likely misses are admitted while
+//! misses end late or in error. Fetches past the origin's capacity would hold up the caches, and
+//! with them the keys that they still have.
 //!
 //! A key that this balancer has not seen served is a likely miss.
 use stairfront_common::time::{Micros, SECOND};
@@ -84,7 +85,8 @@
 }
 
 impl Policy {
-    /// Whether this balancer has seen the request's key served where it is placed, so that a hit is likely.
+    /// Whether this balancer has seen the request's key served where it is placed, so that a hit is
+    /// likely.
     pub(super) fn is_likely_cached(&self, request: &Request) -> bool {
         request
             .key
@@ -107,7 +109,8 @@
         !likely_cached && admitted_fraction < 1.0 && self.rng.unit() > admitted_fraction
     }
 
-    /// Learns from the answer to a likely miss. In cache-aside mode the origin's own window limits fetches.
+    /// Learns from the answer to a likely miss. In cache-aside mode the origin's own window limits
+    /// fetches.
     pub(super) fn record_miss(
         &mut self,
         now: Micros,
--- a/crates/stairfront-policy/src/policy/origin_fetch.rs
+++ b/crates/stairfront-policy/src/policy/origin_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches from the origin in cache-aside mode: one for each key at a time (singleflight), and not more in all than the
-//! origin's concurrency limit admits.
+//! Fetches from the origin in cache-aside mode: one for each key at a time (singleflight), and not
+//! more in all than the origin's concurrency limit admits.
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
@@ -45,8 +45,8 @@
 }
 
 impl Policy {
-    /// Lets a request wait for another one's fetch of the same key, if there is one. A popular key that has expired would
-    /// otherwise be fetched once for each reader.
+    /// Lets a request wait for another one's fetch of the same key, if there is one. A popular key
+    /// that has expired would otherwise be fetched once for each reader.
     pub(super) fn share_fetch(&mut self, id: RequestId) -> bool {
         let Some(pending) = self.pending.get_mut(&id) else {
             return false;
@@ -78,8 +78,8 @@
         self.start_fetches(now, actions);
     }
 
-    /// Ends the fetch that a request led. Its followers read the value that was stored; if none was, the next of them
-    /// fetches.
+    /// Ends the fetch that a request led. Its followers read the value that was stored; if none
+    /// was, the next of them fetches.
     pub(super) fn finish_fetch(
         &mut self,
         now: Micros,
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Sends queued fetches while the origin has capacity. Past its capacity every fetch would be late.
+    /// Sends queued fetches while the origin has capacity. Past its capacity every fetch would be
+    /// late.
     pub(super) fn start_fetches(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(origin) = self.select_origin() {
             let server = self.servers.get(&origin);
@@ -121,7 +122,8 @@
             let Some(pending) = self.pending.get(&id).filter(waits) else {
                 continue;
             };
-            // A long queue served in turn answers every reader too late, so those that would be late are left out.
+            // A long queue served in turn answers every reader too late, so those that would be
+            // late are left out.
             let due_at = if self.fetches.are_queued() {
                 pending.objective_at
             } else {
--- a/crates/stairfront-policy/src/policy/outlier_detection.rs
+++ b/crates/stairfront-policy/src/policy/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: what the outcome of an attempt says of its server.
 //!
-//! There is no separate list of ejected servers: faults cut the concurrency limit of the server, down to single attempts
-//! that find out whether it has recovered.
+//! There is no separate list of ejected servers: faults cut the concurrency limit of the server,
+//! down to single attempts that find out whether it has recovered.
 use stairfront_common::time::{Micros, SECOND};
 
 use super::concurrency_limit::{LATENCY_TIME_CONSTANT, MIN_WINDOW, SPARSE_CUT_FACTOR};
@@ -13,7 +13,8 @@
 pub(super) const BUSY_UTILIZATION: f32 = 0.9;
 /// Stands for a server that reports no utilization: not idle, and not known to be busy.
 pub(super) const UNKNOWN_UTILIZATION: f32 = f32::MAX;
-/// Lost connections and malformed answers in a row that are chance: the network's, not the server's.
+/// Lost connections and malformed answers in a row that are chance: the network's, not the
+/// server's.
 pub(super) const MAX_CHANCE_FAULTS: u32 = 2;
 /// Attempts without an answer in a row that are chance.
 const MAX_CHANCE_UNANSWERED: u32 = 8;
@@ -21,7 +22,8 @@
 const MAX_FAULT_WINDOW: f64 = 0.25;
 /// Least weight of one attempt in the fraction of unanswered ones.
 const UNANSWERED_SAMPLE_WEIGHT: f64 = 0.05;
-/// Fraction of its latency objective that an answer may take on average; the rest is for variation and a retry.
+/// Fraction of its latency objective that an answer may take on average; the rest is for variation
+/// and a retry.
 const TARGET_FRACTION: f64 = 0.4;
 
 /// Measures by which the outcome of an attempt is judged.
@@ -55,8 +57,8 @@
         };
         let former_window = server.window;
         server.record_acceptance(now, result.outcome);
-        // A cache that answers with errors at once looks idle and attracts requests. Where it fetches by itself, the
-        // errors are the origin's.
+        // A cache that answers with errors at once looks idle and attracts requests. Where it
+        // fetches by itself, the errors are the origin's.
         if result.outcome == Outcome::Errored && is_cache_aside {
             server.record_fault(now, 0);
         }
@@ -74,7 +76,8 @@
         }
     }
 
-    /// The latency objective of the attempt's request, and the shortest of all if the request has ended.
+    /// The latency objective of the attempt's request, and the shortest of all if the request has
+    /// ended.
     fn latency_objective_of(&self, result: &AttemptResult) -> Micros {
         let classes = &self.settings.classes;
         let shortest = classes.iter().map(|class| class.latency_objective).min();
@@ -85,7 +88,8 @@
             .unwrap_or(SECOND)
     }
 
-    /// Learns of the connection that the attempt was sent on; returns whether the attempt may have been lost with it.
+    /// Learns of the connection that the attempt was sent on; returns whether the attempt may have
+    /// been lost with it.
     fn record_connection(
         &mut self,
         now: Micros,
@@ -99,7 +103,8 @@
             self.log(now, LogRecord::IdleConnectionsLost { idle }, actions);
         }
         if let Some(server) = self.servers.get_mut(&result.cache) {
-            // After a loss the next attempt has a new connection, whose answer says nothing of idle ones.
+            // After a loss the next attempt has a new connection, whose answer says nothing of idle
+            // ones.
             server.connection_used_at = if verdict.possibly_lost { 0 } else { now };
             if verdict.possibly_lost {
                 let cache = result.cache;
@@ -137,14 +142,16 @@
             Outcome::Served | Outcome::Miss => {
                 self.record_answer(now, result, utilization, context.target);
             }
-            // A malformed request gets a malformed answer at each retry, and any connection is lost now and then.
+            // A malformed request gets a malformed answer at each retry, and any connection is lost
+            // now and then.
             Outcome::Malformed if is_retry => {}
             // The path to the server has lost it, not the server.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset if context.possibly_lost => {}
             Outcome::ConnectFailed | Outcome::Reset | Outcome::Malformed => {
                 self.record_fault(now, MAX_CHANCE_FAULTS);
             }
-            // With a request every few seconds, a count of unanswered attempts would cost a request each.
+            // With a request every few seconds, a count of unanswered attempts would cost a request
+            // each.
             Outcome::TimedOut if context.traffic_is_rare => {
                 self.record_latency(now, elapsed, context.target);
             }
@@ -188,8 +195,8 @@
         );
     }
 
-    /// Counts a fault; past `max_chance` of them in a row the window is cut. A dead or broken server answers at once, so
-    /// a fault counts for more than a slow answer.
+    /// Counts a fault; past `max_chance` of them in a row the window is cut. A dead or broken
+    /// server answers at once, so a fault counts for more than a slow answer.
     fn record_fault(&mut self, now: Micros, max_chance: u32) {
         self.consecutive_faults += 1;
         if self.consecutive_faults > max_chance {
@@ -198,7 +205,8 @@
         }
     }
 
-    /// The record of a window that has fallen below one or risen to it, or of any cut of an origin's window.
+    /// The record of a window that has fallen below one or risen to it, or of any cut of an
+    /// origin's window.
     fn window_change(&self, former_window: f64, outcome: Outcome) -> Option<LogRecord> {
         let crossed_one = (self.window < 1.0) != (former_window < 1.0);
         let origin_cut = self.role == Role::Origin && self.window < former_window;
--- a/crates/stairfront-policy/src/policy/pending_request.rs
+++ b/crates/stairfront-policy/src/policy/pending_request.rs
@@ -3,7 +3,8 @@
 
 use crate::interface::{CacheId, Class, Location, Request};
 
-/// An attempt that is in flight, or that may have been executed: the retry of a keyed request is bound to it.
+/// An attempt that is in flight, or that may have been executed: the retry of a keyed request is
+/// bound to it.
 #[derive(Clone, Copy)]
 pub(crate) struct MaybeExecuted {
     /// Number of the attempt, from 0.
--- a/crates/stairfront-policy/src/policy/placement.rs
+++ b/crates/stairfront-policy/src/policy/placement.rs
@@ -1,5 +1,6 @@
-//! Placement of keys by two-choice consistent hashing, after Byers, Considine and Mitzenmacher, "Geometric generalizations
-//! of the power of two choices": a key hashes to two points of the ring and belongs to the owner with fewer keys.
+//! Placement of keys by two-choice consistent hashing, after Byers, Considine and Mitzenmacher,
+//! "Geometric generalizations of the power of two choices": a key hashes to two points of the ring
+//! and belongs to the owner with fewer keys.
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
@@ -12,13 +13,15 @@
 
 /// Points that a key hashes to: the paper's d.
 const POINTS_PER_KEY: usize = 2;
-/// Candidates of a key. The third is used when two points have one owner, or the first two have no capacity.
+/// Candidates of a key. The third is used when two points have one owner, or the first two have no
+/// capacity.
 const MAX_CANDIDATES: usize = 3;
 /// Seed of the hash of caches; those of keys follow it.
 const CACHE_SEED: u64 = 0;
 /// Seed of the first hash of keys.
 const FIRST_KEY_SEED: u64 = CACHE_SEED + 1;
-/// Two counts of keys are tied within this many standard deviations of their difference under chance alone.
+/// Two counts of keys are tied within this many standard deviations of their difference under
+/// chance alone.
 const TIE_DEVIATIONS: f64 = 2.0;
 /// Most keys remembered: some megabytes.
 const MAX_PLACEMENTS: usize = 65_536;
@@ -32,7 +35,8 @@
     cache: CacheId,
 }
 
-/// The hash ring: the ready caches in the order of their positions. A cache owns the arc before its position.
+/// The hash ring: the ready caches in the order of their positions. A cache owns the arc before its
+/// position.
 #[derive(Default)]
 pub(super) struct Ring(Vec<RingPoint>);
 
@@ -113,7 +117,8 @@
         self.len += 1;
     }
 
-    /// The two owners that a new key is placed on one of; the same one twice where there is no other.
+    /// The two owners that a new key is placed on one of; the same one twice where there is no
+    /// other.
     fn choices(&self) -> Option<(usize, usize)> {
         let first = *self.indices().first()?;
         let second = self.indices[self.len.min(POINTS_PER_KEY) - 1];
@@ -126,8 +131,8 @@
 pub(super) struct Placement {
     /// The cache.
     pub(super) cache: CacheId,
-    /// Incarnation of the cache that the key was placed on. The placement is void for any other, also if the cache was
-    /// not listed in between.
+    /// Incarnation of the cache that the key was placed on. The placement is void for any other,
+    /// also if the cache was not listed in between.
     pub(super) incarnation: Micros,
     /// When the key was last requested.
     pub(super) seen_at: Micros,
@@ -179,8 +184,8 @@
             .map(|(key, placement)| (*key, placement))
     }
 
-    /// The next key that is to be forgotten, since it has not been requested for too long, or there are too many keys
-    /// and it was inspected longest ago.
+    /// The next key that is to be forgotten, since it has not been requested for too long, or there
+    /// are too many keys and it was inspected longest ago.
     fn pop_expired(&mut self, now: Micros) -> Option<Key> {
         while let Some(&SeenKey { seen_at, key }) = self.by_age.front() {
             let full = self.placements.len() >= MAX_PLACEMENTS;
@@ -202,7 +207,8 @@
 }
 
 impl Policy {
-    /// Where a key belongs: where it is placed, and a new key on one of its candidates. `None` while the ring is empty.
+    /// Where a key belongs: where it is placed, and a new key on one of its candidates. `None`
+    /// while the ring is empty.
     pub(super) fn place(&mut self, now: Micros, key: Key) -> Option<CacheId> {
         if let Some(placement) = self.placements.get_mut(key) {
             let server = self.servers.get(&placement.cache);
@@ -226,8 +232,8 @@
 
     /// The owner with fewer keys, and the one with the shorter arc if they are tied.
     ///
-    /// Small counts differ by chance, and each of many balancers would choose another cache; counts that differ by no
-    /// more than chance are a tie.
+    /// Small counts differ by chance, and each of many balancers would choose another cache; counts
+    /// that differ by no more than chance are a tie.
     fn less_loaded(&self, first: usize, second: usize) -> usize {
         let first_keys = self.placed_keys_at(first);
         let second_keys = self.placed_keys_at(second);
--- a/crates/stairfront-policy/src/policy/reconfiguration.rs
+++ b/crates/stairfront-policy/src/policy/reconfiguration.rs
@@ -7,8 +7,9 @@
 use crate::statistics::MajorityVote;
 
 impl Policy {
-    /// Adopts new settings. Open requests keep the class that they were admitted with: with other rules for retries one
-    /// could take effect twice. Windows, placements and the tenants' recent use stay.
+    /// Adopts new settings. Open requests keep the class that they were admitted with: with other
+    /// rules for retries one could take effect twice. Windows, placements and the tenants' recent
+    /// use stay.
     pub(super) fn on_settings_changed(
         &mut self,
         settings: &Settings,
@@ -21,7 +22,8 @@
         self.settings = settings.clone();
     }
 
-    /// Prepares for the end of the process: a request whose client waits for longer would end with it, unanswered.
+    /// Prepares for the end of the process: a request whose client waits for longer would end with
+    /// it, unanswered.
     pub(super) fn on_shutting_down(
         &mut self,
         now: Micros,
--- a/crates/stairfront-policy/src/policy/request.rs
+++ b/crates/stairfront-policy/src/policy/request.rs
@@ -15,9 +15,11 @@
         ANSWER_MARGIN_TICKS * self.settings.tick
     }
 
-    /// When the final answer is given at the latest: while it still earns something, and before the client leaves.
+    /// When the final answer is given at the latest: while it still earns something, and before the
+    /// client leaves.
     ///
-    /// A fetch goes on past the objective: its value is stored for the next reader only if its own reader waits.
+    /// A fetch goes on past the objective: its value is stored for the next reader only if its own
+    /// reader waits.
     pub(super) fn answer_due_at(&self, pending: &PendingRequest) -> Micros {
         let last = pending.request.expires_at - self.answer_margin();
         let late_answers_count =
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Handles the timer of the final answer. Every request has one, so that each is answered whatever became of its
-    /// attempts.
+    /// Handles the timer of the final answer. Every request has one, so that each is answered
+    /// whatever became of its attempts.
     pub(super) fn on_deadline(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else {
             return;
@@ -64,7 +66,8 @@
                 token: TimerToken::Deadline(id).encode(),
             });
         } else {
-            // Caches that answer all requests too late reject none, so this is what shows the pressure.
+            // Caches that answer all requests too late reject none, so this is what shows the
+            // pressure.
             self.load_shedding.record(true);
             self.finish_unserved(now, id, actions);
         }
--- a/crates/stairfront-policy/src/policy/retry_budget.rs
+++ b/crates/stairfront-policy/src/policy/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Retry budget: retries are paid from a budget that first attempts fill, as in Finagle and linkerd. Retries of failures
-//! would otherwise multiply the load that caused them.
+//! Retry budget: retries are paid from a budget that first attempts fill, as in Finagle and
+//! linkerd. Retries of failures would otherwise multiply the load that caused them.
 
 /// Amount that each request adds to the budget, in retries.
 const DEPOSIT_PER_REQUEST: f64 = 0.3;
--- a/crates/stairfront-policy/src/policy/server.rs
+++ b/crates/stairfront-policy/src/policy/server.rs
@@ -23,11 +23,13 @@
     pub(crate) listed: Endpoint,
     /// Cache or origin.
     pub(crate) role: Role,
-    /// Number of keys that this balancer has placed on this incarnation; it can fall below 0 after a hand-off.
+    /// Number of keys that this balancer has placed on this incarnation; it can fall below 0 after
+    /// a hand-off.
     pub(crate) placed_keys: i64,
     /// Number of attempts in flight to it.
     pub(crate) in_flight: u32,
-    /// The endpoint list lacks it or calls it removed, and that is not binding: the outcomes of attempts decide.
+    /// The endpoint list lacks it or calls it removed, and that is not binding: the outcomes of
+    /// attempts decide.
     pub(crate) removal_doubted: bool,
     /// Lost connections, malformed answers and unanswered attempts since the last good answer.
     pub(crate) consecutive_faults: u32,
@@ -35,7 +37,8 @@
     pub(crate) unanswered_fraction: Ewma,
     /// Fraction of its cores in use by its last load report.
     pub(crate) utilization: f32,
-    /// Concurrency limit: number of attempts that may be in flight; below 1 it stands for pauses between attempts.
+    /// Concurrency limit: number of attempts that may be in flight; below 1 it stands for pauses
+    /// between attempts.
     pub(crate) window: f64,
     /// Growth of the window in one round of answers in time.
     pub(crate) window_step: f64,
--- a/crates/stairfront-policy/src/policy/server_selection.rs
+++ b/crates/stairfront-policy/src/policy/server_selection.rs
@@ -1,5 +1,5 @@
-//! Choice of the server for one request: the cache that its key is placed on, and the exceptions where that one is full,
-//! cold or has been tried.
+//! Choice of the server for one request: the cache that its key is placed on, and the exceptions
+//! where that one is full, cold or has been tried.
 use stairfront_common::time::{Micros, SECOND};
 
 use super::outlier_detection::{BUSY_UTILIZATION, UNKNOWN_UTILIZATION};
@@ -16,7 +16,8 @@
 const PRIORITY_WINDOW_MULTIPLE: f64 = 2.0;
 /// Latency ratio below which a cache is idle enough to take over a key.
 const IDLE_LATENCY_RATIO: f64 = 0.7;
-/// Most that counts as the usual interval between two of this balancer's requests to one cache, in microseconds.
+/// Most that counts as the usual interval between two of this balancer's requests to one cache, in
+/// microseconds.
 const MAX_REQUEST_INTERVAL: f64 = 30.0 * SECOND as f64;
 /// Least rate that is divided by.
 const MIN_RATE: f64 = 1e-9;
@@ -26,7 +27,8 @@
 /// Result of a walk over the candidates of a key.
 #[derive(Default)]
 struct CandidateReview {
-    /// The first candidate with capacity below the spill limit, or else the one with the fewest attempts in flight.
+    /// The first candidate with capacity below the spill limit, or else the one with the fewest
+    /// attempts in flight.
     selected: Option<CacheId>,
     /// The first full candidate that may be used beyond its window, by priority.
     over_window: Option<CacheId>,
@@ -95,7 +97,8 @@
             review.any_accepts = true;
             let in_flight = f64::from(server.in_flight);
             if !self.has_capacity(server, now) {
-                // Requests of a higher priority are rejected last: before that they may exceed the window.
+                // Requests of a higher priority are rejected last: before that they may exceed the
+                // window.
                 if prioritized && in_flight < PRIORITY_WINDOW_MULTIPLE * server.window {
                     review.over_window = review.over_window.or(Some(cache));
                 }
@@ -115,7 +118,8 @@
 
     /// Moves a key to the next idle cache clockwise, where it stays: one miss for each key.
     ///
-    /// In a small fleet arcs and machines differ, so all candidates of a key can be full while other caches are idle.
+    /// In a small fleet arcs and machines differ, so all candidates of a key can be full while
+    /// other caches are idle.
     fn relocate_key(&mut self, now: Micros, key: Key, tried: TriedServers) -> Option<CacheId> {
         // Each balancer's move is a miss, and would keep an origin short that is short.
         if self.miss_admission.origin_is_short() || self.fetches.are_queued() {
@@ -170,8 +174,8 @@
 
 /// Whether its cores were in use by its last load report, unless that is too old.
 ///
-/// Hundreds of balancers may each have one attempt in flight to a cache where many keys are hot: none of them sees the
-/// queue, and all wait past their objective.
+/// Hundreds of balancers may each have one attempt in flight to a cache where many keys are hot:
+/// none of them sees the queue, and all wait past their objective.
 fn is_reported_busy(server: &Server, now: Micros) -> bool {
     (BUSY_UTILIZATION..UNKNOWN_UTILIZATION).contains(&server.utilization)
         && ((now - server.sent_rate.last_event_at) as f64) < LOAD_REPORT_TTL
--- a/crates/stairfront-policy/src/policy/slow_start.rs
+++ b/crates/stairfront-policy/src/policy/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: a cache that has just started is cold and weaker, and gets requests from a budget that grows with its age.
+//! Slow start: a cache that has just started is cold and weaker, and gets requests from a budget
+//! that grows with its age.
 use std::collections::BTreeMap;
 
 use stairfront_common::time::{Micros, SECOND};
@@ -7,14 +8,15 @@
 use super::Policy;
 use crate::interface::{CacheId, Kind};
 
-/// Requests a second that a cold cache always gets from all balancers together, so that it warms up.
+/// Requests a second that a cold cache always gets from all balancers together, so that it warms
+/// up.
 const TRICKLE_PER_SECOND: f64 = 1.5;
 /// Fraction of the stated budget of a cold cache that all balancers together may save up.
 const SAVED_FRACTION: f64 = 0.3;
 /// Time constant of the rates of one server, in microseconds.
 pub(super) const RATE_TIME_CONSTANT: f64 = 4.0 * SECOND as f64;
-/// Time between two measurements of the whole fleet: a tenth of the time constant of what they measure. One walk over
-/// all servers for each request would be too much.
+/// Time between two measurements of the whole fleet: a tenth of the time constant of what they
+/// measure. One walk over all servers for each request would be too much.
 pub(super) const MEASUREMENT_INTERVAL: Micros = RATE_TIME_CONSTANT as Micros / 10;
 
 /// Rates of the warm caches, as of the last measurement.
@@ -22,7 +24,8 @@
 pub(super) struct FleetRates {
     /// Mean rate of attempts sent to a warm cache, per second.
     pub(super) warm_rate: f64,
-    /// Mean rate that a warm cache of each machine kind accepts, per second. A kind without a warm cache keeps its last.
+    /// Mean rate that a warm cache of each machine kind accepts, per second. A kind without a warm
+    /// cache keeps its last.
     by_kind: BTreeMap<Kind, f64>,
     /// When they were measured.
     pub(super) measured_at: Micros,
@@ -79,7 +82,8 @@
             + (1.0 - rules.slow_start_floor) * (age.max(0) as f64 / rules.slow_start_window as f64)
     }
 
-    /// Whether an ordinary request may be sent to the server now: it is warm, or the request's draw wins a token.
+    /// Whether an ordinary request may be sent to the server now: it is warm, or the request's draw
+    /// wins a token.
     pub(super) fn accepts_requests(&self, server: &Server, now: Micros) -> bool {
         server.is_ready()
             && (self.capacity_fraction(server, now) >= 1.0
@@ -88,12 +92,13 @@
 
     /// Requests that a cold server may get from this balancer now.
     ///
-    /// A cold cache that gets a multiple of its present capacity fails and does not recover. The rate at which
-    /// this balancer sends to a warm cache stands for its part of the capacity, so that no other balancer has to be asked.
+    /// A cold cache that gets a multiple of its present capacity fails and does not recover. The
+    /// rate at which this balancer sends to a warm cache stands for its part of the capacity, so
+    /// that no other balancer has to be asked.
     pub(super) fn available_tokens(&self, server: &Server, now: Micros) -> f64 {
         let trickle = TRICKLE_PER_SECOND / f64::from(self.settings.balancers);
-        // The mean of all kinds is a multiple of what the weakest kind can do, and what a full cache rejected is no work
-        // that it could have done: so by kind, and completed work only.
+        // The mean of all kinds is a multiple of what the weakest kind can do, and what a full
+        // cache rejected is no work that it could have done: so by kind, and completed work only.
         let warm_rate = self
             .fleet_rates
             .by_kind
@@ -107,8 +112,8 @@
 
     /// Most tokens that may be saved up at this rate per microsecond.
     ///
-    /// Whole tokens saved up by each of hundreds of balancers would be spent in one burst. So a part of the budget may be
-    /// saved; where that is below one, a request draws for it.
+    /// Whole tokens saved up by each of hundreds of balancers would be spent in one burst. So a
+    /// part of the budget may be saved; where that is below one, a request draws for it.
     fn max_tokens(&self, rate: f64) -> f64 {
         let rules = &self.settings.rules;
         let multiple = rules.overload_multiple.max(1.0);
@@ -117,8 +122,8 @@
             .min((rate * SECOND as f64 / 2.0).max(1.0))
     }
 
-    /// Spends the fraction of a token that a request has drawn for and lost; with enough draws it would otherwise always
-    /// be won.
+    /// Spends the fraction of a token that a request has drawn for and lost; with enough draws it
+    /// would otherwise always be won.
     pub(super) fn forfeit_tokens(&mut self, now: Micros, cache: CacheId) {
         let Some(server) = self.servers.get(&cache) else {
             return;
--- a/crates/stairfront-policy/src/policy/tenant_quota.rs
+++ b/crates/stairfront-policy/src/policy/tenant_quota.rs
@@ -4,7 +4,8 @@
 
 /// A tenant is beyond its share above this multiple of the median use of quotas here.
 const FAIR_MULTIPLE: f64 = 1.2;
-/// Nothing is shed of a use below this multiple of the median: that is chance and the variation of a day.
+/// Nothing is shed of a use below this multiple of the median: that is chance and the variation of
+/// a day.
 const MIN_SHED_MULTIPLE: f64 = 1.5;
 /// Number of requests that the fractions of traffic are averaged over.
 const MAX_SAMPLES: f64 = 400.0;
@@ -15,7 +16,8 @@
 
 /// Each tenant's fraction of recent requests.
 ///
-/// Fractions are kept and not rates, since a balancer with little traffic sees most tenants only every few seconds.
+/// Fractions are kept and not rates, since a balancer with little traffic sees most tenants only
+/// every few seconds.
 #[derive(Clone)]
 pub(super) struct TenantUsage {
     /// By position in the settings.
@@ -43,8 +45,8 @@
         }
     }
 
-    /// Adopts another list of tenants, which names each tenant's position in the former one; a new tenant begins with
-    /// its fraction of the quotas.
+    /// Adopts another list of tenants, which names each tenant's position in the former one; a new
+    /// tenant begins with its fraction of the quotas.
     pub(super) fn reassign(&mut self, tenants: &[Tenant], former_positions: &[Option<usize>]) {
         let quotas = total_quota(tenants);
         let reassigned = tenants
@@ -63,7 +65,8 @@
         shift_fractions(&mut self.fractions, tenant.0 as usize, self.samples);
     }
 
-    /// Fraction of a tenant's requests that are beyond its share, by the median use of quotas; 0 or less if none is.
+    /// Fraction of a tenant's requests that are beyond its share, by the median use of quotas; 0 or
+    /// less if none is.
     pub(super) fn excess_fraction(&self, tenant: TenantId, tenants: &[Tenant]) -> f64 {
         let quotas = total_quota(tenants);
         let uses: Vec<f64> = self
@@ -77,7 +80,8 @@
             return 0.0;
         };
         let median = lower_median(uses);
-        // Of two tenants the lower median is the smaller use, so the greater one would be rejected inside its share.
+        // Of two tenants the lower median is the smaller use, so the greater one would be rejected
+        // inside its share.
         let beyond = own >= MIN_SHED_MULTIPLE * median.max(1.0);
         f64::from(u8::from(beyond)) * (1.0 - FAIR_MULTIPLE * median / own)
     }
--- a/crates/stairfront-policy/src/policy/timer_token.rs
+++ b/crates/stairfront-policy/src/policy/timer_token.rs
@@ -1,4 +1,5 @@
-//! Purposes of the policy's timers. A timer's number encodes its purpose, so that no table of timers is kept.
+//! Purposes of the policy's timers. A timer's number encodes its purpose, so that no table of
+//! timers is kept.
 use crate::interface::RequestId;
 
 const POLL_LIST: u64 = u64::MAX;
--- a/crates/stairfront-policy/src/snapshot.rs
+++ b/crates/stairfront-policy/src/snapshot.rs
@@ -1,14 +1,16 @@
-//! State that one balancer process has learned, as plain data for the process that takes over from it.
+//! State that one balancer process has learned, as plain data for the process that takes over from
+//! it.
 //!
-//! Both processes may be of different versions, so the stored names are pinned: where a field's name here differs, the
-//! stored one stands in `serde(rename)`. All times are Unix time in microseconds, which both processes read from the clock
-//! of one machine.
+//! Both processes may be of different versions, so the stored names are pinned: where a field's
+//! name here differs, the stored one stands in `serde(rename)`. All times are Unix time in
+//! microseconds, which both processes read from the clock of one machine.
 use serde::{Deserialize, Serialize};
 use stairfront_common::time::Micros;
 
 use crate::statistics::{DecayingRate, Ewma};
 
-/// State exported by one process for the next one. `Policy` decides how much of it the next process adopts.
+/// State exported by one process for the next one. `Policy` decides how much of it the next process
+/// adopts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PolicySnapshot {
     /// When it was exported.
--- a/crates/stairfront-policy/src/statistics.rs
+++ b/crates/stairfront-policy/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Arithmetic beneath the decisions: fixed hashes, seeded random numbers, averages and rates that decay. It decides
-//! nothing.
+//! Arithmetic beneath the decisions: fixed hashes, seeded random numbers, averages and rates that
+//! decay. It decides nothing.
 use serde::{Deserialize, Serialize};
 use stairfront_common::time::{Micros, SECOND};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -9,14 +9,16 @@
 /// Bits of a random number that a fraction keeps: the mantissa of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
-/// Position of a value on the hash ring under one of the hash functions, the same at every balancer (xxHash, XXH3-64).
+/// Position of a value on the hash ring under one of the hash functions, the same at every balancer
+/// (xxHash, XXH3-64).
 pub(crate) fn ring_position(value: u64, seed: u64) -> u64 {
     xxh3_64_with_seed(&value.to_le_bytes(), seed)
 }
 
 /// Random numbers of one balancer, the same for the same seed: hashes of a counter.
 ///
-/// The numbers themselves are part of the decisions, so the generator is not that of the other crates.
+/// The numbers themselves are part of the decisions, so the generator is not that of the other
+/// crates.
 #[derive(Default)]
 pub(crate) struct CounterRng(u64);
 
@@ -34,7 +36,8 @@
     }
 }
 
-/// Fraction of a weight that remains after `age`, in exponential decay with this time constant, in microseconds.
+/// Fraction of a weight that remains after `age`, in exponential decay with this time constant, in
+/// microseconds.
 fn decay(age: Micros, time_constant: f64) -> f64 {
     (-(age.max(0) as f64) / time_constant).exp()
 }
@@ -61,7 +64,8 @@
     }
 }
 
-/// Exponentially weighted moving average whose samples are weighted by number and, where they are rare, by age.
+/// Exponentially weighted moving average whose samples are weighted by number and, where they are
+/// rare, by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Ewma {
     /// The average.
@@ -71,7 +75,8 @@
 }
 
 impl Ewma {
-    /// Adds a sample. Its weight grows with the time since the one before and is at least `min_weight`.
+    /// Adds a sample. Its weight grows with the time since the one before and is at least
+    /// `min_weight`.
     pub(crate) fn record(&mut self, now: Micros, sample: f64, min_weight: f64, time_constant: f64) {
         let weight = (1.0 - decay(now - self.updated_at, time_constant)).max(min_weight);
         self.updated_at = now;
@@ -95,7 +100,8 @@
     }
 }
 
-/// The value that more than half of a sequence lies near to, found in one pass (Boyer and Moore's majority vote).
+/// The value that more than half of a sequence lies near to, found in one pass (Boyer and Moore's
+/// majority vote).
 #[derive(Clone, Copy, Default)]
 pub(crate) struct MajorityVote {
     candidate: Micros,
@@ -103,8 +109,9 @@
 }
 
 impl MajorityVote {
-    /// Counts a value that is near the candidate if it differs by `tolerance` at most; returns whether it is the usual
-    /// one. The candidate holds `max_votes` at most, so that a change of the usual value is noticed.
+    /// Counts a value that is near the candidate if it differs by `tolerance` at most; returns
+    /// whether it is the usual one. The candidate holds `max_votes` at most, so that a change of
+    /// the usual value is noticed.
     pub(crate) fn vote(&mut self, value: Micros, tolerance: Micros, max_votes: i32) -> bool {
         let near = (value - self.candidate).abs() <= tolerance;
         self.votes = (self.votes + if near { 1 } else { -1 }).min(max_votes);
