--- a/crates/stairfront-policy/tests/log_records.rs
+++ b/crates/stairfront-policy/tests/log_records.rs
@@ -14,6 +14,10 @@
             window(0.25, Outcome::ConnectFailed),
             "server 00002b074a12 rests, window 0.2 after ConnectFailed",
         ),
+        (
+            window(0.5, Outcome::Malformed),
+            "server 00002b074a12 rests, window 0.5 after Malformed",
+        ),
         (
             window(1.0, Outcome::Served),
             "server 00002b074a12 is in use, window 1.0 after Served",
