--- a/crates/stairfront-balancer/src/lifecycle/handover.rs
+++ b/crates/stairfront-balancer/src/lifecycle/handover.rs
@@ -284,7 +284,7 @@
                     handed_over.send(connection).await.ok()
                 }
                 (message, ..) => {
-                    debug!(?message, "unexpected message of the other process");
+                    debug!(received = ?message, "unexpected message of the other process");
                     Some(())
                 }
             };
